--- a/policy/src/relay/chain.rs
+++ b/policy/src/relay/chain.rs
@@ -1,13 +1,15 @@
-//! Chains: through which runners a token passes.
+//! Chains: sequences of runners that together run all layers of a model.
 //!
 //! A chain covers the layers `0..n` with ranges of runners, without gap or overlap. A runner holds
-//! one contiguous range and may run any part of it. [`cheapest`] walks the layers from the left:
-//! at each boundary it keeps the cheapest way to get there. The last layer that a runner holds
-//! grows strictly along a chain; that loses no cover, and no runner can stand in a chain twice,
-//! which runners refuse.
+//! one contiguous range and may run any part of it. [`cheapest`] is a shortest-path search over the
+//! range boundaries: for each boundary it keeps the path of least cost. The last layer that a runner
+//! holds increases strictly along a chain. This excludes no coverable layer, and prevents a runner
+//! from appearing twice in a chain, which runners refuse.
 //!
-//! Chains stay inside one failure domain as long as one can be found there: each crossing moves
-//! the activations of every token, the prompt's included, over one pipe that all chains share.
+//! Chains stay inside one failure domain if possible: each hop between domains moves the activations
+//! of every token, those of the prompt included, over a link that all chains share.
+//!
+//! *Room* is memory left beside the weights for the KV cache of requests.
 
 use std::collections::BTreeMap;
 
@@ -15,78 +17,78 @@
 use crate::relay::intent::Engine;
 use crate::relay::runners::{RunnerEntry, Runners, Standing};
 
-/// A runner that can take part in a chain.
+/// A runner that holds layers and can take part in a chain.
 #[derive(Clone, Debug)]
 pub struct Holder<'a> {
     /// Runner.
     pub entry: &'a RunnerEntry,
-    /// Layers held: first, and one past the last.
+    /// Layers held, end exclusive.
     pub layers: (u32, u32),
-    /// Whether it names a rate beyond which it gets no requests: a first runner gets all of a chain's.
+    /// Whether it announces a rate limit. The first runner of a chain receives all its requests.
     pub limited: bool,
-    /// Time of a token step a layer, in milliseconds.
+    /// Time of a token step for one layer, in milliseconds.
     pub layer_ms: f64,
-    /// Memory beside the weights, as tokens times layers.
+    /// Room, as tokens times layers.
     pub room: f64,
-    /// Tokens that a chain should have room for.
-    pub wanted: f64,
+    /// Target room of a chain, in tokens.
+    pub target_room: f64,
 }
 
 impl Holder<'_> {
-    /// Cost of running `used` layers here, in milliseconds a token.
+    /// Returns the cost of running `used` layers on this runner, in milliseconds per token.
     fn cost(&self, used: u32) -> f64 {
         let room = self.room / f64::from(used.max(1));
-        let short = (1.0 - room / self.wanted.max(1.0)).max(0.0);
-        STAGE_MS + f64::from(used) * self.layer_ms + short * SHORT_MS
+        let shortfall = (1.0 - room / self.target_room.max(1.0)).max(0.0);
+        STAGE_MS + f64::from(used) * self.layer_ms + shortfall * NO_ROOM_MS
     }
 }
 
-/// One runner's part of a chain.
+/// A part of a chain: the layers that one runner runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stage {
     /// Runner.
     pub runner: RunnerEntry,
-    /// First layer, and one past the last.
+    /// Layers, end exclusive.
     pub layers: (u32, u32),
-    /// Memory of the runner beside the weights, as tokens times layers.
+    /// Room of the runner, as tokens times layers.
     pub room: f64,
 }
 
 impl Stage {
-    /// Layers that a token runs here.
+    /// Returns the number of layers.
     #[must_use]
     pub fn count(&self) -> f64 {
         f64::from(self.layers.1 - self.layers.0)
     }
 }
 
-/// Runners that hold a whole model between them.
+/// A sequence of stages that covers all layers of a model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Chain {
-    /// Failure domain; `None`: it crosses domains.
+    /// Failure domain, or `None` if the chain crosses domains.
     pub domain: Option<Name>,
-    /// Parts in order.
+    /// Stages in the order of layers.
     pub stages: Vec<Stage>,
-    /// Time of a token step, in milliseconds, as the declared figures have it.
+    /// Estimated time of a token step, in milliseconds, from the declared speeds.
     pub step_ms: f64,
-    /// Tokens that have room along the whole chain.
+    /// Room of the stage that has the least, in tokens.
     pub room_tokens: f64,
 }
 
 impl Chain {
-    /// The runner that requests are sent to.
+    /// Returns the first runner, which receives the requests.
     #[must_use]
     pub fn head(&self) -> &RunnerEntry {
         &self.stages[0].runner
     }
 
-    /// Whether a runner takes part.
+    /// Returns whether a runner takes part in the chain.
     #[must_use]
     pub fn has(&self, id: &str) -> bool {
         self.stages.iter().any(|s| *s.runner.id == *id)
     }
 
-    /// Whether two chains send through the same parts.
+    /// Returns whether two chains have the same stages on the same lifetimes of runners.
     #[must_use]
     pub fn same_stages(&self, other: &Chain) -> bool {
         let key = |s: &Stage| (s.runner.id.clone(), s.runner.born_ms, s.layers);
@@ -94,24 +96,24 @@
     }
 }
 
-/// Cost of one more runner in a chain, in milliseconds a token: the hop, and one more thing that
-/// may fail.
+/// Cost of a further stage, in milliseconds per token: the network hop, and one more point of
+/// failure.
 const STAGE_MS: f64 = 0.25;
 
-/// Cost of a part that has no room at all for requests, in milliseconds a token, and its share
-/// where it has some of the room that is wanted: a chain has the room of its tightest part, and a
-/// chain with half the room serves half as many, however fast it is.
-const SHORT_MS: f64 = 12.0;
+/// Cost of a stage without any room, in milliseconds per token; proportionally less with a part of
+/// the target room. A chain has the room of its tightest stage, and one with half the room serves
+/// half as many requests, however fast it is.
+const NO_ROOM_MS: f64 = 12.0;
 
-/// Cost of a hop into another failure domain, in milliseconds a token: above what any chain inside
-/// a domain costs, so that a crossing is only ever the last resort.
+/// Cost of a hop into another failure domain, in milliseconds per token. It exceeds the cost of any
+/// chain inside a domain, so that chains cross domains only as a last resort.
 const CROSSING_MS: f64 = 1_000.0;
 
-/// Cost of a limited runner at the beginning of a chain, in milliseconds a token: above what a chain inside
-/// a domain costs without it, and below a crossing.
+/// Cost of a rate-limited runner at the head of a chain, in milliseconds per token: above the cost of
+/// any chain inside a domain without it, and below [`CROSSING_MS`].
 const LIMITED_MS: f64 = 500.0;
 
-/// Usable holders of a service's layers.
+/// Returns the usable holders of a service's layers.
 #[must_use]
 pub fn holders<'a>(
     runners: &'a Runners,
@@ -143,12 +145,12 @@
         limited: s.limited,
         layer_ms: engine.step_ms * kind.pace * s.slowness() * share,
         room: engine.room(kind, entry.held(), 1),
-        wanted: engine.room_tokens,
+        target_room: engine.room_tokens,
     })
 }
 
-/// The chains of each failure domain, which have no runner in common; where no domain has any, one
-/// that crosses domains.
+/// Returns the chains of each failure domain, which have no runner in common. If no domain has any,
+/// returns one that crosses domains, if there is one.
 #[must_use]
 pub fn chains(runners: &Runners, service: &str, engine: &Engine, now: Millis) -> Vec<Chain> {
     let holders = holders(runners, service, engine, now);
@@ -173,25 +175,25 @@
     chains
 }
 
-/// The best way known to a boundary: its cost, the last holder, where its part begins.
+/// The best known path to a boundary: its cost, its last holder and the first layer run there.
 #[derive(Clone, Copy, Debug)]
-struct Way {
+struct Path {
     cost: f64,
     holder: usize,
     from: u32,
 }
 
-/// The chain of least cost over layers `0..layers`, if the holders cover them.
+/// Returns the chain of least cost over layers `0..layers`, if the holders cover them.
 #[must_use]
 pub fn cheapest(holders: &[Holder<'_>], layers: u32) -> Option<Chain> {
-    let cuts = cuts(holders, layers);
-    // Best way to each cut by each last holder.
-    let mut best: BTreeMap<u32, BTreeMap<usize, Way>> = BTreeMap::new();
-    for &from in cuts.iter().filter(|c| **c < layers) {
+    let boundaries = boundaries(holders, layers);
+    // Best path to each boundary, by last holder.
+    let mut best: BTreeMap<u32, BTreeMap<usize, Path>> = BTreeMap::new();
+    for &from in boundaries.iter().filter(|b| **b < layers) {
         let arrived: Vec<(Option<usize>, f64)> = match from {
             0 => vec![(None, 0.0)],
-            _ => best.get(&from).map_or_else(Vec::new, |ways| {
-                ways.iter().map(|(h, w)| (Some(*h), w.cost)).collect()
+            _ => best.get(&from).map_or_else(Vec::new, |paths| {
+                paths.iter().map(|(h, p)| (Some(*h), p.cost)).collect()
             }),
         };
         for (next, holder) in holders.iter().enumerate() {
@@ -207,20 +209,22 @@
                 0.0
             };
             let base = base + limited_ms;
-            extend(&mut best, &cuts, holder, next, from, base);
+            extend(&mut best, &boundaries, holder, next, from, base);
         }
     }
-    chain_of(holders, &best, layers)
+    reconstruct(holders, &best, layers)
 }
 
-fn cuts(holders: &[Holder<'_>], layers: u32) -> Vec<u32> {
+/// Returns the layers at which a stage may begin or end, in ascending order.
+fn boundaries(holders: &[Holder<'_>], layers: u32) -> Vec<u32> {
     let ends = holders.iter().flat_map(|h| [h.layers.0, h.layers.1]);
-    let mut cuts: Vec<u32> = ends.chain([0, layers]).filter(|c| *c <= layers).collect();
-    cuts.sort_unstable();
-    cuts.dedup();
-    cuts
+    let mut boundaries: Vec<u32> = ends.chain([0, layers]).filter(|b| *b <= layers).collect();
+    boundaries.sort_unstable();
+    boundaries.dedup();
+    boundaries
 }
 
+/// Returns the least cost at which holder `next` can continue one of the paths in `arrived`.
 fn cheapest_arrival(
     holders: &[Holder<'_>],
     arrived: &[(Option<usize>, f64)],
@@ -235,21 +239,26 @@
     arrived.iter().filter_map(cost).min_by(f64::total_cmp)
 }
 
+/// Extends a path of cost `base` that ends at layer `from` by `holder`, to each boundary that it
+/// reaches.
 fn extend(
-    best: &mut BTreeMap<u32, BTreeMap<usize, Way>>,
-    cuts: &[u32],
+    best: &mut BTreeMap<u32, BTreeMap<usize, Path>>,
+    boundaries: &[u32],
     holder: &Holder<'_>,
     index: usize,
     from: u32,
     base: f64,
 ) {
-    for &to in cuts.iter().filter(|c| **c > from && **c <= holder.layers.1) {
+    for &to in boundaries
+        .iter()
+        .filter(|b| **b > from && **b <= holder.layers.1)
+    {
         let cost = base + holder.cost(to - from);
-        let ways = best.entry(to).or_default();
-        if ways.get(&index).is_none_or(|w| cost < w.cost) {
-            ways.insert(
+        let paths = best.entry(to).or_default();
+        if paths.get(&index).is_none_or(|p| cost < p.cost) {
+            paths.insert(
                 index,
-                Way {
+                Path {
                     cost,
                     holder: index,
                     from,
@@ -259,38 +268,39 @@
     }
 }
 
-fn chain_of(
+/// Reconstructs the cheapest chain from the paths to the last boundary.
+fn reconstruct(
     holders: &[Holder<'_>],
-    best: &BTreeMap<u32, BTreeMap<usize, Way>>,
+    best: &BTreeMap<u32, BTreeMap<usize, Path>>,
     layers: u32,
 ) -> Option<Chain> {
-    let by_cost = |a: &&Way, b: &&Way| a.cost.total_cmp(&b.cost);
-    let mut way = best.get(&layers)?.values().min_by(by_cost)?;
+    let by_cost = |a: &&Path, b: &&Path| a.cost.total_cmp(&b.cost);
+    let mut path = best.get(&layers)?.values().min_by(by_cost)?;
     let mut to = layers;
     let mut stages = Vec::new();
     let mut step_ms = 0.0;
     let mut room_tokens = f64::INFINITY;
     loop {
-        let holder = &holders[way.holder];
-        let used = f64::from(to - way.from);
+        let holder = &holders[path.holder];
+        let used = f64::from(to - path.from);
         step_ms += used * holder.layer_ms;
         room_tokens = room_tokens.min(holder.room / used);
         stages.push(Stage {
             runner: holder.entry.clone(),
-            layers: (way.from, to),
+            layers: (path.from, to),
             room: holder.room,
         });
-        if way.from == 0 {
+        if path.from == 0 {
             break;
         }
-        to = way.from;
+        to = path.from;
         let end = holder.layers.1;
         let before = best.get(&to)?.values();
-        let fits = before.filter(|w| holders[w.holder].layers.1 < end);
-        way = fits.min_by(|a, b| {
-            let crossing = |w: &Way| {
-                let same = holders[w.holder].entry.domain == holder.entry.domain;
-                if same { w.cost } else { w.cost + CROSSING_MS }
+        let fits = before.filter(|p| holders[p.holder].layers.1 < end);
+        path = fits.min_by(|a, b| {
+            let crossing = |p: &Path| {
+                let same = holders[p.holder].entry.domain == holder.entry.domain;
+                if same { p.cost } else { p.cost + CROSSING_MS }
             };
             crossing(a).total_cmp(&crossing(b))
         })?;
