--- a/policy/src/relay/loads.rs
+++ b/policy/src/relay/loads.rs
@@ -1,16 +1,16 @@
-//! What the instances have in flight, as each tells the others.
+//! Gossip of the requests in flight and the retries spent by each instance.
 //!
-//! Load pattern: hundreds of instances send to the same chains and spend the same budget. Told to
-//! everybody one by one, what goes round grows with the square of the fleet. So the load of one
-//! instance goes round in its own failure domain, and the other domains hear the domain's sum, which
-//! is all that room and budget are counted from. Either goes only to an instance whose own copy is
-//! older.
+//! Load pattern: hundreds of instances send to the same chains and share one retry budget. If each
+//! load were sent to every instance, the traffic would grow with the square of the fleet. So the load
+//! of a single instance is gossiped within its failure domain only, and other domains receive the sum
+//! over the domain, which is all that room and budget are computed from. Both are sent only to an
+//! instance whose copy is older.
 //!
 //! Invariants:
-//! - Each load counts once: those of the own domain one by one, those of another domain in its sum.
-//! - Of two loads of one instance the one that was written later counts; of two sums of one domain,
-//!   the younger one. A sum travels with its age, since clocks differ.
-//! - A sum is made only by a member of the domain that heard from most of the others of late.
+//! - Each load counts once: single loads within the own domain, the sum for every other domain.
+//! - Of two loads of an instance the one written later counts; of two sums of a domain, the younger
+//!   one. A sum is sent with its age instead of a timestamp, since clocks differ.
+//! - Only a member of the domain that has recent loads of most other members computes a sum.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,23 +19,25 @@
 use crate::prelude::*;
 use crate::relay::spending::Counts;
 
-/// Age at which the load of an instance says nothing any more, in milliseconds.
-const LOAD_AGE_MS: Millis = 3_000;
+/// Maximum age of the load of an instance, in milliseconds.
+const MAX_LOAD_AGE_MS: Millis = 3_000;
 
-/// The same for the sum of a domain: it takes longer to arrive, and nothing else tells of so many.
-const DOMAIN_AGE_MS: Millis = 6_000;
+/// Maximum age of the sum of a domain, in milliseconds. It is longer than that of a load: a sum takes
+/// longer to arrive, and its loss would remove the load of a whole domain.
+const MAX_SUM_AGE_MS: Millis = 6_000;
 
-/// A sum is sent to an instance whose own copy is older by more than this, in milliseconds.
-const YOUNGER_MS: Millis = 150;
+/// Minimum difference of age at which a sum is sent to an instance with an older copy, in
+/// milliseconds.
+const MIN_SUM_AGE_DIFF_MS: Millis = 150;
 
-/// Time after which an unchanged load is written anew, in milliseconds: well within
-/// [`LOAD_AGE_MS`].
-const REWRITTEN_MS: Millis = 1_000;
+/// Time after which an unchanged load is written again, in milliseconds; well below
+/// [`MAX_LOAD_AGE_MS`].
+const REWRITE_AFTER_MS: Millis = 1_000;
 
-/// Part of a domain's other members that its sum must count.
-const HEARD_SHARE: f64 = 0.75;
+/// Minimum share of a domain's other members whose loads a sum must include.
+const MIN_HEARD_SHARE: f64 = 0.75;
 
-/// Tokens in flight through the chains that begin at one runner.
+/// Tokens in flight through the chains with the same first runner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeadUse {
     /// Service.
@@ -46,126 +48,127 @@
     pub tokens: u32,
 }
 
-/// Requests and further sends for one service in the budget's window.
+/// Requests and retries for one service in the window of the retry budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceCounts {
     /// Service.
     pub service: Name,
-    /// How many.
+    /// Counts.
     pub counts: Counts,
 }
 
-/// What one instance has in flight, and how far it can be used.
+/// The load of one instance, and whether it hears the store and serves callers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Time of writing on the writer's own clock, in milliseconds: grows with each change.
+    /// Time of writing by the writer's clock, in milliseconds; increases with each change.
     pub written_ms: u64,
-    /// Whether it hears the store.
+    /// Whether it receives updates of the store.
     pub hears_store: bool,
-    /// Whether it serves callers: one that cannot vouch for its configuration refuses them.
+    /// Whether it serves callers; without a confirmed configuration it refuses them.
     pub serves: bool,
     /// Tokens in flight.
     pub used: Vec<HeadUse>,
-    /// Requests and further sends.
+    /// Requests and retries.
     pub spent: Vec<ServiceCounts>,
 }
 
 impl Load {
-    fn says_the_same(&self, other: &Load) -> bool {
-        let what = |l: &Load| (l.hears_store, l.serves);
-        what(self) == what(other) && self.used == other.used && self.spent == other.spent
+    /// Returns whether two loads are equal except for the time of writing.
+    fn same_content(&self, other: &Load) -> bool {
+        let flags = |l: &Load| (l.hears_store, l.serves);
+        flags(self) == flags(other) && self.used == other.used && self.spent == other.spent
     }
 }
 
-/// What the instances of one failure domain have in flight together.
+/// The sum of the loads of one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DomainLoad {
     /// Failure domain.
     pub domain: Name,
-    /// Mean age of the loads in it when this was sent, in milliseconds.
+    /// Mean age of the included loads at the time of sending, in milliseconds.
     pub age_ms: Millis,
     /// Tokens in flight.
     pub used: Vec<HeadUse>,
-    /// Requests and further sends.
+    /// Requests and retries.
     pub spent: Vec<ServiceCounts>,
-    /// Members that do not hear the store.
+    /// Members that receive no updates of the store.
     pub without_store: BTreeSet<Name>,
     /// Members that refuse callers.
     pub refusing: BTreeSet<Name>,
 }
 
-/// The load of one instance, as it travels.
+/// The load of one instance in a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberLoad {
     /// Instance.
     pub name: Name,
-    /// Its load.
+    /// Load.
     pub load: Load,
 }
 
-/// Which load of an instance is known.
+/// The version of an instance's load that the sender has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownLoad {
     /// Instance.
     pub name: Name,
-    /// When its known load was written, by its own clock, in milliseconds.
+    /// Time of writing by the clock of that instance, in milliseconds.
     pub written_ms: u64,
 }
 
-/// Which sum of a domain is known.
+/// The age of a domain's sum that the sender has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownDomain {
     /// Failure domain.
     pub domain: Name,
-    /// Age of the known sum, in milliseconds.
+    /// Age of the sum, in milliseconds.
     pub age_ms: Millis,
 }
 
-/// What an instance knows already, for one that is to tell it the rest.
+/// Anti-entropy digest: the versions of loads and sums that an instance has.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Known {
-    /// Loads of its own domain.
+    /// Loads within its own domain.
     pub members: Vec<KnownLoad>,
     /// Sums of other domains.
     pub domains: Vec<KnownDomain>,
 }
 
-/// What one instance tells another.
+/// Loads and sums that one instance sends to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
-    /// Loads of instances of the domain that both are in.
+    /// Loads within the failure domain of sender and receiver, if it is the same.
     pub members: Vec<MemberLoad>,
     /// Sums of domains.
     pub domains: Vec<DomainLoad>,
 }
 
-/// Something that was heard, and when it held.
+/// A received value with the time as of which it is valid.
 #[derive(Clone, Debug)]
-struct Heard<T> {
-    what: T,
-    at_ms: Millis,
+struct Received<T> {
+    value: T,
+    as_of_ms: Millis,
 }
 
-impl<T> Heard<T> {
-    /// Whether it still says something at `now`, where that lasts for `age_ms` milliseconds.
-    fn is_fresh(&self, now: Millis, age_ms: Millis) -> bool {
-        now < self.at_ms + age_ms
+impl<T> Received<T> {
+    /// Returns whether the value is younger than `max_age_ms` milliseconds at `now`.
+    fn is_fresh(&self, now: Millis, max_age_ms: Millis) -> bool {
+        now < self.as_of_ms + max_age_ms
     }
 }
 
-/// All loads that one instance knows.
+/// All loads known to one instance.
 #[derive(Clone, Debug)]
 pub struct Loads {
     name: Name,
     domain: Name,
     own: Load,
     own_written: Option<Millis>,
-    members: BTreeMap<Name, Heard<Load>>,
-    domains: BTreeMap<Name, Heard<DomainLoad>>,
+    members: BTreeMap<Name, Received<Load>>,
+    domains: BTreeMap<Name, Received<DomainLoad>>,
     totals: Totals,
 }
 
-/// What all other instances have in flight, by service.
+/// Totals over all other instances, by service.
 #[derive(Clone, Debug, Default)]
 struct Totals {
     used: BTreeMap<Name, BTreeMap<Name, f64>>,
@@ -207,7 +210,7 @@
 }
 
 impl Loads {
-    /// The loads as instance `name` of `domain` knows them at its start: none.
+    /// Returns an empty table for instance `name` in `domain`.
     #[must_use]
     pub fn new(name: Name, domain: Name) -> Loads {
         Loads {
@@ -221,18 +224,20 @@
         }
     }
 
-    /// What this instance has in flight itself at `now`. An unchanged load is not written anew at
-    /// once: the others have it.
+    /// Sets the load of this instance at `now`. An unchanged load is written again only after
+    /// [`REWRITE_AFTER_MS`], since the other instances have it.
     pub fn set_own(&mut self, load: Load, now: Millis) {
-        let recent = self.own_written.is_some_and(|at| now < at + REWRITTEN_MS);
-        if recent && self.own.says_the_same(&load) {
+        let recent = self
+            .own_written
+            .is_some_and(|at| now < at + REWRITE_AFTER_MS);
+        if recent && self.own.same_content(&load) {
             return;
         }
         self.own = load;
         self.own_written = Some(now);
     }
 
-    /// What this instance knows at `now`, for one of the same domain (`near`) or of another.
+    /// Returns the digest at `now` for an instance of the same domain (`near`) or of another.
     #[must_use]
     pub fn known(&self, near: bool, now: Millis) -> Known {
         let own = std::iter::once((&self.name, &self.own));
@@ -246,16 +251,16 @@
                 })
                 .collect(),
             domains: domains
-                .map(|(domain, heard)| KnownDomain {
+                .map(|(domain, received)| KnownDomain {
                     domain: domain.clone(),
-                    age_ms: now.saturating_sub(heard.at_ms),
+                    age_ms: now.saturating_sub(received.as_of_ms),
                 })
                 .collect(),
         }
     }
 
-    /// What this instance tells another unasked: its own load within the domain, the domain's sum
-    /// elsewhere. `neighbours`: other instances of the domain that live.
+    /// Returns what this instance pushes without having a digest: its own load within its domain,
+    /// the domain's sum to another. `neighbours` is the number of other live instances of its domain.
     #[must_use]
     pub fn unasked(&self, near: bool, neighbours: usize, now: Millis) -> Told {
         match near {
@@ -270,7 +275,7 @@
         }
     }
 
-    /// What an instance that knows `known` lacks.
+    /// Returns what an instance with the digest `known` lacks.
     #[must_use]
     pub fn lacking(&self, known: &Known, near: bool, neighbours: usize, now: Millis) -> Told {
         let mut told = self.unasked(near, neighbours, now);
@@ -306,11 +311,11 @@
         let theirs = known.domains.iter();
         let theirs: BTreeMap<&Name, Millis> = theirs.map(|k| (&k.domain, k.age_ms)).collect();
         let mut younger = Vec::new();
-        for (domain, heard) in self.fresh_domains(now) {
-            let age_ms = now.saturating_sub(heard.at_ms);
-            let lacks = |known: &Millis| *known > age_ms + YOUNGER_MS;
+        for (domain, received) in self.fresh_domains(now) {
+            let age_ms = now.saturating_sub(received.as_of_ms);
+            let lacks = |known: &Millis| *known > age_ms + MIN_SUM_AGE_DIFF_MS;
             if theirs.get(domain).is_none_or(lacks) {
-                let mut sum = heard.what.clone();
+                let mut sum = received.value.clone();
                 sum.age_ms = age_ms;
                 younger.push(sum);
             }
@@ -318,74 +323,81 @@
         younger
     }
 
-    /// Takes in what an instance of `domain` told.
+    /// Applies an update from an instance of `domain`.
     pub fn take(&mut self, domain: &str, told: Told, now: Millis) {
         if *domain == *self.domain {
             for m in told.members {
-                self.take_member(m, now);
+                self.apply_member(m, now);
             }
         }
         for sum in told.domains {
-            self.take_domain(sum, now);
+            self.apply_domain(sum, now);
         }
         self.count(now);
     }
 
-    fn take_member(&mut self, m: MemberLoad, now: Millis) {
+    fn apply_member(&mut self, m: MemberLoad, now: Millis) {
         if m.name == self.name {
             return;
         }
-        // One that started anew with its time of day set back writes an earlier time.
+        // An instance that restarts with its clock set back writes earlier times, so a stale load
+        // is replaced whatever its time of writing.
         let fresh = self.members.get(&m.name);
-        let fresh = fresh.filter(|h| h.is_fresh(now, LOAD_AGE_MS));
-        if fresh.is_none_or(|h| h.what.written_ms < m.load.written_ms) {
-            let heard = Heard {
-                what: m.load,
-                at_ms: now,
+        let fresh = fresh.filter(|r| r.is_fresh(now, MAX_LOAD_AGE_MS));
+        if fresh.is_none_or(|r| r.value.written_ms < m.load.written_ms) {
+            let received = Received {
+                value: m.load,
+                as_of_ms: now,
             };
-            self.members.insert(m.name, heard);
+            self.members.insert(m.name, received);
         }
     }
 
-    fn take_domain(&mut self, sum: DomainLoad, now: Millis) {
-        let at_ms = now.saturating_sub(sum.age_ms);
+    fn apply_domain(&mut self, sum: DomainLoad, now: Millis) {
+        let as_of_ms = now.saturating_sub(sum.age_ms);
         let known = self.domains.get(&sum.domain);
-        if sum.domain != self.domain && known.is_none_or(|h| h.at_ms < at_ms) {
+        if sum.domain != self.domain && known.is_none_or(|r| r.as_of_ms < as_of_ms) {
             let domain = sum.domain.clone();
-            self.domains.insert(domain, Heard { what: sum, at_ms });
+            self.domains.insert(
+                domain,
+                Received {
+                    value: sum,
+                    as_of_ms,
+                },
+            );
         }
     }
 
-    /// Forgets what is too old at `now` and counts the rest.
+    /// Drops what is too old at `now` and computes the totals from the rest.
     pub fn count(&mut self, now: Millis) {
-        self.members.retain(|_, h| h.is_fresh(now, LOAD_AGE_MS));
-        self.domains.retain(|_, h| h.is_fresh(now, DOMAIN_AGE_MS));
+        self.members.retain(|_, r| r.is_fresh(now, MAX_LOAD_AGE_MS));
+        self.domains.retain(|_, r| r.is_fresh(now, MAX_SUM_AGE_MS));
         let mut totals = Totals::default();
-        for h in self.members.values() {
-            totals.add(&h.what.used, &h.what.spent);
+        for r in self.members.values() {
+            totals.add(&r.value.used, &r.value.spent);
         }
-        for h in self.domains.values() {
-            totals.add(&h.what.used, &h.what.spent);
+        for r in self.domains.values() {
+            totals.add(&r.value.used, &r.value.spent);
         }
         self.totals = totals;
     }
 
-    /// The domain's sum, if enough of its members were heard.
+    /// Returns the sum over the own domain, if recent loads of enough members are known.
     fn sum(&self, neighbours: usize, now: Millis) -> Option<DomainLoad> {
         self.own_written?;
         let members = self.members.iter();
-        let heard: Vec<_> = members
-            .filter(|(_, h)| h.is_fresh(now, LOAD_AGE_MS))
+        let received: Vec<_> = members
+            .filter(|(_, r)| r.is_fresh(now, MAX_LOAD_AGE_MS))
             .collect();
-        if (heard.len() as f64) < neighbours as f64 * HEARD_SHARE {
+        if (received.len() as f64) < neighbours as f64 * MIN_HEARD_SHARE {
             return None;
         }
-        let ages: Millis = heard.iter().map(|(_, h)| now - h.at_ms).sum();
+        let ages: Millis = received.iter().map(|(_, r)| now - r.as_of_ms).sum();
         let mut totals = Totals::default();
         let mut without_store = BTreeSet::new();
         let mut refusing = BTreeSet::new();
         let own = std::iter::once((&self.name, &self.own));
-        for (name, load) in own.chain(heard.iter().map(|(name, h)| (*name, &h.what))) {
+        for (name, load) in own.chain(received.iter().map(|(name, r)| (*name, &r.value))) {
             totals.add(&load.used, &load.spent);
             if !load.hears_store {
                 without_store.insert(name.clone());
@@ -396,7 +408,7 @@
         }
         Some(DomainLoad {
             domain: self.domain.clone(),
-            age_ms: ages / (heard.len() as Millis + 1),
+            age_ms: ages / (received.len() as Millis + 1),
             used: totals.head_uses(),
             spent: totals.service_counts(),
             without_store,
@@ -406,17 +418,17 @@
 
     fn fresh_members(&self, now: Millis) -> impl Iterator<Item = (&Name, &Load)> {
         let fresh = self.members.iter();
-        let fresh = fresh.filter(move |(_, h)| h.is_fresh(now, LOAD_AGE_MS));
-        fresh.map(|(name, h)| (name, &h.what))
+        let fresh = fresh.filter(move |(_, r)| r.is_fresh(now, MAX_LOAD_AGE_MS));
+        fresh.map(|(name, r)| (name, &r.value))
     }
 
-    fn fresh_domains(&self, now: Millis) -> impl Iterator<Item = (&Name, &Heard<DomainLoad>)> {
+    fn fresh_domains(&self, now: Millis) -> impl Iterator<Item = (&Name, &Received<DomainLoad>)> {
         let all = self.domains.iter();
-        all.filter(move |(_, h)| h.is_fresh(now, DOMAIN_AGE_MS))
+        all.filter(move |(_, r)| r.is_fresh(now, MAX_SUM_AGE_MS))
     }
 
-    /// Tokens that the others have in flight through chains of `service` that begin at `head`, as
-    /// last counted.
+    /// Returns the tokens that other instances have in flight through chains of `service` that begin
+    /// at `head`, by the last computed totals.
     #[must_use]
     pub fn used(&self, service: &str, head: &str) -> f64 {
         let of_service = self.totals.used.get(service);
@@ -424,13 +436,13 @@
         used.copied().unwrap_or(0.0)
     }
 
-    /// Requests and further sends of the others for a service, as last counted.
+    /// Returns the requests and retries of other instances for a service, by the last computed totals.
     #[must_use]
     pub fn spent(&self, service: &str) -> Counts {
         self.totals.spent.get(service).copied().unwrap_or_default()
     }
 
-    /// Whether another instance said of late that it hears the store.
+    /// Returns whether another instance recently reported that it receives updates of the store.
     #[must_use]
     pub fn hears_store(&self, name: &str, domain: &str, now: Millis) -> bool {
         match *domain == *self.domain {
@@ -442,7 +454,7 @@
         }
     }
 
-    /// Whether another instance said of late that it serves no callers.
+    /// Returns whether another instance recently reported that it refuses callers.
     #[must_use]
     pub fn refuses(&self, name: &str, domain: &str, now: Millis) -> bool {
         match *domain == *self.domain {
@@ -455,14 +467,14 @@
     }
 
     fn member(&self, name: &str, now: Millis) -> Option<&Load> {
-        let heard = self.members.get(name);
-        let fresh = heard.filter(|h| h.is_fresh(now, LOAD_AGE_MS));
-        fresh.map(|h| &h.what)
+        let received = self.members.get(name);
+        let fresh = received.filter(|r| r.is_fresh(now, MAX_LOAD_AGE_MS));
+        fresh.map(|r| &r.value)
     }
 
     fn domain_sum(&self, domain: &str, now: Millis) -> Option<&DomainLoad> {
-        let heard = self.domains.get(domain);
-        let fresh = heard.filter(|h| h.is_fresh(now, DOMAIN_AGE_MS));
-        fresh.map(|h| &h.what)
+        let received = self.domains.get(domain);
+        let fresh = received.filter(|r| r.is_fresh(now, MAX_SUM_AGE_MS));
+        fresh.map(|r| &r.value)
     }
 }
