--- a/policy/src/relay/spending.rs
+++ b/policy/src/relay/spending.rs
@@ -1,18 +1,19 @@
-//! How many requests may be sent once more.
+//! Retry budget of a service, shared by all instances.
 //!
-//! A dead failure domain makes every request fail, and each that is sent again is load on what is
-//! left. All instances together may add a share of the requests plus a fixed number in a window.
+//! A dead failure domain makes every request in it fail, and each retry is additional load on the
+//! remaining domains. All instances together may retry a share of the requests plus a fixed number
+//! (slack) in a window.
 //!
-//! Each instance has a part for certain: the share of its own requests, and its part of the fixed
-//! number. It needs no word of the others, but callers are not spread evenly when instances
-//! are down, and one whose part is used up cuts streams while the others' parts lie idle. So
-//! beyond its part it may use what it was lent at the last exchange: a part of what all have left,
-//! so that those who do the same between two exchanges stay within the bound.
+//! Each instance has a guaranteed part: the share of its own requests, and its part of the slack. This
+//! part needs no communication. But callers are not spread evenly while instances are down, and an
+//! instance that has used up its part would cut streams while the parts of others are unused. So it
+//! may borrow beyond its part what it was lent at the last exchange: a fraction of what all instances
+//! have left, small enough that the bound holds if others borrow between the same two exchanges.
 //!
-//! What is lent comes out of the others' parts, which are as much smaller: spent twice, it is beyond the
-//! bound when their turn comes.
+//! Borrowed retries are subtracted from the guaranteed parts of the other instances. Otherwise they
+//! would be spent twice, and exceed the bound once the others need their parts.
 //!
-//! What can be refused truthfully leaves the last of it to what cannot: see [`Need`].
+//! Requests that can be refused truthfully leave the last retries to those that cannot: see [`Need`].
 
 use std::collections::VecDeque;
 
@@ -21,27 +22,27 @@
 use crate::need::Need;
 use crate::prelude::*;
 
-/// Bound over all instances.
+/// Bound on the retries of all instances together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SpendingConfig {
-    /// Further sends for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Further sends besides, over all instances.
+    /// Additional retries, over all instances.
     pub slack: f64,
-    /// Length of the window, in milliseconds.
+    /// Window length, in milliseconds.
     pub window_ms: Millis,
 }
 
-/// Requests and further sends in a window.
+/// Requests and retries in a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Requests.
     pub requests: u32,
-    /// Further sends.
+    /// Retries.
     pub repeats: u32,
-    /// Those of them that went beyond the certain part of their instance.
+    /// Retries beyond the guaranteed part of their instance.
     pub borrowed: u32,
-    /// Instances that went beyond it.
+    /// Instances with such retries.
     pub borrowers: u32,
 }
 
@@ -54,51 +55,53 @@
     }
 }
 
-/// Part of the bound that the certain parts use together: requests are counted where they arrive,
-/// and the bound's window may begin anywhere.
-const USED_SHARE: f64 = 0.88;
+/// Share of the bound that all guaranteed parts use together. It is below 1 since each instance counts
+/// only requests that arrive at it, and the window of the bound may begin at any time.
+const GUARANTEED_SHARE: f64 = 0.88;
 
-/// Part of the bound up to which instances lend each other. Above it each has its own part only.
+/// Share of the bound up to which instances may borrow. Above it each has its guaranteed part only.
 const LENT_SHARE: f64 = 0.58;
 
-/// What is left below that is divided by this for each instance where there are few.
-const LENT_TO: f64 = 4.0;
+/// Divisor of the remaining loan for each instance in a small fleet.
+const LOAN_DIVISOR: f64 = 4.0;
 
-/// What is added to that for each instance beyond [`LEAST_INSTANCES`]: of six a few break at a time,
-/// of seventy all that have a stream through a dead runner, before an exchange has reached them. What
-/// is lent to all together then fits beside the certain parts.
-const LENT_TO_FURTHER: f64 = LENT_SHARE / (1.0 - USED_SHARE);
+/// Increment of [`LOAN_DIVISOR`] for each instance beyond [`MIN_INSTANCES`]. In a fleet of six, a few
+/// instances need retries at the same time; in one of seventy, all that have a stream through a dead
+/// runner do, before an exchange has reached them. With the increment, the loans of all instances fit
+/// beside the guaranteed parts.
+const LOAN_DIVISOR_STEP: f64 = LENT_SHARE / (1.0 - GUARANTEED_SHARE);
 
-/// The least number of instances that the fixed number is divided by: instances that are not known
-/// yet spend as well.
-const LEAST_INSTANCES: usize = 6;
+/// Minimum number of instances that the slack is divided by: instances that are not known yet spend
+/// as well.
+const MIN_INSTANCES: usize = 6;
 
-/// Requests and further sends of this instance in the window, for one service.
+/// Requests and retries of this instance in the window, for one service.
 #[derive(Clone, Debug, Default)]
 pub struct Spending {
     requests: VecDeque<Millis>,
     repeats: VecDeque<Millis>,
+    /// Retries that may still be borrowed.
+    loan: f64,
+    /// Retries that others borrowed from the guaranteed part of this instance.
     lent: f64,
-    /// What others borrowed of this instance's part.
-    borrowed_here: f64,
-    /// Instances at the last exchange.
+    /// Number of instances at the last exchange.
     instances: usize,
 }
 
 impl Spending {
-    /// A request came for the service.
+    /// Records a request for the service.
     pub fn request(&mut self, now: Millis, cfg: &SpendingConfig) {
         self.requests.push_back(now);
         drop_old(&mut self.requests, now, cfg.window_ms);
     }
 
-    /// What this instance counted in the window that ends at `now`.
+    /// Returns the counts of this instance in the window that ends at `now`.
     pub fn counts(&mut self, now: Millis, cfg: &SpendingConfig) -> Counts {
         drop_old(&mut self.requests, now, cfg.window_ms);
         drop_old(&mut self.repeats, now, cfg.window_ms);
         let count = |times: &VecDeque<Millis>| u32::try_from(times.len()).unwrap_or(u32::MAX);
         let (requests, repeats) = (count(&self.requests), count(&self.repeats));
-        let part = whole_part(requests, cfg, self.instances);
+        let part = guaranteed_part(requests, cfg, self.instances);
         let borrowed = (f64::from(repeats) - part).max(0.0) as u32;
         Counts {
             requests,
@@ -108,29 +111,29 @@
         }
     }
 
-    /// An exchange brought what all other instances counted; there are `instances` in all.
+    /// Recomputes the loan from the counts of all other instances; there are `instances` in total.
     pub fn lend(&mut self, now: Millis, cfg: &SpendingConfig, others: Counts, instances: usize) {
         self.instances = instances;
         let lenders = instances.saturating_sub(others.borrowers as usize).max(1);
-        self.borrowed_here = f64::from(others.borrowed) / lenders as f64;
+        self.lent = f64::from(others.borrowed) / lenders as f64;
         let own = self.counts(now, cfg);
         let requests = f64::from(own.requests) + f64::from(others.requests);
         let repeats = f64::from(own.repeats) + f64::from(others.repeats);
         let bound = cfg.ratio * requests + cfg.slack;
-        let further = instances.saturating_sub(LEAST_INSTANCES) as f64;
-        let to = LENT_TO + LENT_TO_FURTHER * further;
-        self.lent = ((LENT_SHARE * bound - repeats) / to).max(0.0);
+        let further = instances.saturating_sub(MIN_INSTANCES) as f64;
+        let divisor = LOAN_DIVISOR + LOAN_DIVISOR_STEP * further;
+        self.loan = ((LENT_SHARE * bound - repeats) / divisor).max(0.0);
     }
 
-    /// Whether there is a further send among `instances` instances.
+    /// Returns whether a retry is available in a fleet of `instances` instances.
     pub fn has(&mut self, now: Millis, cfg: &SpendingConfig, instances: usize, need: Need) -> bool {
-        let certain = self.certain(now, cfg, instances);
-        let kept = need.leaves(certain.all);
-        let there_is = certain.left >= 1.0 || self.lent >= 1.0;
-        there_is && certain.left.max(0.0) + self.lent >= 1.0 + kept
+        let guaranteed = self.guaranteed(now, cfg, instances);
+        let reserved = need.leaves(guaranteed.total);
+        let available = guaranteed.left >= 1.0 || self.loan >= 1.0;
+        available && guaranteed.left.max(0.0) + self.loan >= 1.0 + reserved
     }
 
-    /// Takes one further send, if there is one among `instances` instances.
+    /// Spends a retry if one is available in a fleet of `instances` instances; returns whether it was.
     pub fn take(
         &mut self,
         now: Millis,
@@ -141,33 +144,34 @@
         if !self.has(now, cfg, instances, need) {
             return false;
         }
-        if self.certain(now, cfg, instances).left < 1.0 {
-            self.lent -= 1.0;
+        if self.guaranteed(now, cfg, instances).left < 1.0 {
+            self.loan -= 1.0;
         }
         self.repeats.push_back(now);
         true
     }
 
-    fn certain(&mut self, now: Millis, cfg: &SpendingConfig, instances: usize) -> Certain {
+    fn guaranteed(&mut self, now: Millis, cfg: &SpendingConfig, instances: usize) -> Guaranteed {
         let own = self.counts(now, cfg);
-        let all = whole_part(own.requests, cfg, instances) - self.borrowed_here;
-        let all = all.max(0.0);
-        Certain {
-            all,
-            left: all - f64::from(own.repeats),
+        let total = guaranteed_part(own.requests, cfg, instances) - self.lent;
+        let total = total.max(0.0);
+        Guaranteed {
+            total,
+            left: total - f64::from(own.repeats),
         }
     }
 }
 
-/// The certain part of one of `instances` instances, whatever others borrowed of it.
-fn whole_part(requests: u32, cfg: &SpendingConfig, instances: usize) -> f64 {
-    let of_slack = cfg.slack / instances.max(LEAST_INSTANCES) as f64;
-    USED_SHARE * (cfg.ratio * f64::from(requests) + of_slack)
+/// Returns the guaranteed part of one of `instances` instances, before subtraction of what others
+/// borrowed.
+fn guaranteed_part(requests: u32, cfg: &SpendingConfig, instances: usize) -> f64 {
+    let of_slack = cfg.slack / instances.max(MIN_INSTANCES) as f64;
+    GUARANTEED_SHARE * (cfg.ratio * f64::from(requests) + of_slack)
 }
 
-/// An instance's certain part, and what is left of it.
-struct Certain {
-    all: f64,
+/// The guaranteed part of an instance, and the unspent rest of it.
+struct Guaranteed {
+    total: f64,
     left: f64,
 }
 
