--- a/policy/src/relay/limits.rs
+++ b/policy/src/relay/limits.rs
@@ -1,16 +1,17 @@
-//! Rates that runners name: how many requests a second each takes from all instances together.
+//! Distributed rate limiting by rates that runners announce.
 //!
-//! Load pattern: a runner in need names a rate in its answers. Each instance alone would keep to it, and
-//! all together send as many times more as there are instances.
+//! Load pattern: an overloaded runner announces in its answers the rate of requests that it accepts. If
+//! each instance applied that rate to its own requests, all together would send the rate multiplied by the
+//! number of instances.
 //!
-//! The named rate is shared by a few instances, each of which may save up one request; so together they send
-//! no more than the rate and a few requests in any window. Which instances share it follows from the names
-//! of those that live. What one hears it tells the others: the newest statement of a runner holds, also the
-//! one that it names no rate any more.
+//! A few instances share the announced rate, each with a token bucket that holds a single request. Together
+//! they send no more than the rate and a few requests in any window. Which instances share it is derived
+//! from the names of the live ones by rendezvous hashing. Instances gossip the rates that they receive. The
+//! latest report of a runner applies, also one that it no longer has a limit.
 //!
 //! Invariants:
-//! - Of two statements of one lifetime the later one holds, whoever heard it.
-//! - A statement travels with its age, since clocks differ.
+//! - Of two reports for one lifetime the later one applies, whichever instance received it.
+//! - A report is sent with its age instead of a timestamp, since clocks differ.
 
 use std::collections::BTreeMap;
 
@@ -20,72 +21,77 @@
 use crate::relay::lifetime::Lifetime;
 use crate::relay::ranks::{is_among_first, rank_for};
 
-/// Instances that share a rate beyond one for each request a second: each may have saved up one.
-const SPARE_SHARES: f64 = 3.0;
+/// Number of instances that share a rate beyond one per request a second. Each of them may send one
+/// request at once from its bucket.
+const EXTRA_SHARERS: f64 = 3.0;
 
-/// The least rate that is used, in requests a second: a runner that gets nothing cannot say that it is well.
-const LEAST_RATE: f64 = 0.25;
+/// Lower bound of the applied rate, in requests per second: a runner that gets no requests cannot announce
+/// that it has recovered.
+const MIN_RATE: f64 = 0.25;
 
-/// The most requests that an instance saves up.
-const SAVED: f64 = 1.0;
+/// Capacity of an instance's token bucket, in requests.
+const BUCKET_SIZE: f64 = 1.0;
 
-/// Time for which a statement holds that nothing repeats, in milliseconds.
-const KEPT_MS: Millis = 30_000;
+/// Time for which a report is valid unless it is renewed, in milliseconds.
+const REPORT_TTL_MS: Millis = 30_000;
 
-/// Change of a rate that is told to others at once, as a part of it.
-const NEWS_SHARE: f64 = 0.05;
+/// Relative change of a rate above which it is sent to other instances at once.
+const SIGNIFICANT_CHANGE: f64 = 0.05;
 
-/// What a runner said of its rate.
+/// A runner's announcement of its rate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Statement {
-    /// The runner, in one lifetime.
+    /// Lifetime of the runner.
     pub lifetime: Lifetime,
-    /// Requests a second; `None`: as many as there are.
+    /// Requests per second, or `None` for no limit.
     pub rate: Option<f64>,
-    /// Time since it said so when this was written, in milliseconds.
+    /// Time between the announcement and the writing of this report, in milliseconds.
     pub age_ms: Millis,
 }
 
+/// The latest report of a runner, and the token bucket of this instance for it.
 #[derive(Clone, Debug)]
-struct Named {
+struct RunnerRate {
     rate: Option<f64>,
-    said_ms: Millis,
-    /// When it last said something else, in milliseconds.
+    /// Time of the announcement, in milliseconds.
+    announced_ms: Millis,
+    /// Time of the last significant change, in milliseconds.
     changed_ms: Millis,
-    /// Requests that this instance may send now, as of `counted_ms`.
-    saved: f64,
-    counted_ms: Millis,
+    /// Tokens in the bucket as of `refilled_ms`.
+    tokens: f64,
+    refilled_ms: Millis,
 }
 
-/// The instances that live, this one included.
+/// The live instances, this one included.
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet<'a> {
     /// This instance.
     pub own: &'a Name,
-    /// Those that live, this one among them or not.
+    /// Live instances; may or may not include this one.
     pub live: &'a [Name],
-    /// The most that lived at the same time: those that are out of sight go on sending.
+    /// The largest number that has been live at the same time: unreachable instances go on sending.
     pub most: usize,
 }
 
-/// All that runners said.
+/// Rate limits of all runners.
 #[derive(Clone, Debug, Default)]
-pub struct Limits(BTreeMap<Lifetime, Named>);
+pub struct Limits(BTreeMap<Lifetime, RunnerRate>);
 
 impl Limits {
-    /// Whether no runner names a rate.
+    /// Returns whether no runner has a report.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Whether a runner names a rate at `now`.
+    /// Returns whether a runner has a rate limit at `now`.
     #[must_use]
     pub fn is_limited(&self, lifetime: &Lifetime, now: Millis) -> bool {
         self.rate(lifetime, now).is_some()
     }
 
-    /// A runner's answer named `rate`, or none; whether that is news.
+    /// Records the `rate` from an answer of a runner, or that it had none; returns whether that is a
+    /// significant change.
     pub fn said(&mut self, lifetime: &Lifetime, rate: Option<f64>, now: Millis) -> bool {
         if rate.is_none() && !self.0.contains_key(lifetime) {
             return false;
@@ -100,106 +106,110 @@
         )
     }
 
-    /// Something that a runner said, here or elsewhere; whether that is news.
+    /// Merges a report, received from the runner or from another instance; returns whether it is a
+    /// significant change.
     pub fn hear(&mut self, s: &Statement, now: Millis) -> bool {
         let is_usable = s.rate.is_none_or(|r| r.is_finite() && r >= 0.0);
-        if !is_usable || s.age_ms >= KEPT_MS {
+        if !is_usable || s.age_ms >= REPORT_TTL_MS {
             return false;
         }
-        let said_ms = now.saturating_sub(s.age_ms);
-        let Some(named) = self.0.get_mut(&s.lifetime) else {
-            let named = Named {
+        let announced_ms = now.saturating_sub(s.age_ms);
+        let Some(known) = self.0.get_mut(&s.lifetime) else {
+            let new = RunnerRate {
                 rate: s.rate,
-                said_ms,
+                announced_ms,
                 changed_ms: now,
-                saved: SAVED,
-                counted_ms: now,
+                tokens: BUCKET_SIZE,
+                refilled_ms: now,
             };
-            self.0.insert(s.lifetime.clone(), named);
+            self.0.insert(s.lifetime.clone(), new);
             return true;
         };
-        if said_ms <= named.said_ms {
+        if announced_ms <= known.announced_ms {
             return false;
         }
-        let is_news = differ(named.rate, s.rate);
-        named.said_ms = said_ms;
-        named.rate = s.rate;
-        if is_news {
-            named.changed_ms = now;
+        let is_significant = differ(known.rate, s.rate);
+        known.announced_ms = announced_ms;
+        known.rate = s.rate;
+        if is_significant {
+            known.changed_ms = now;
         }
-        is_news
+        is_significant
     }
 
-    /// Forgets what nobody repeats.
+    /// Drops reports that were not renewed in time.
     pub fn forget(&mut self, now: Millis) {
-        self.0.retain(|_, n| now < n.said_ms + KEPT_MS);
+        self.0.retain(|_, r| now < r.announced_ms + REPORT_TTL_MS);
     }
 
-    /// What is told at `now` of runners that said something within `age_ms`; `news`: something else than
-    /// before.
-    pub fn told(&self, age_ms: Millis, news: bool, now: Millis) -> Vec<Statement> {
-        let is_told = |n: &Named| match news {
-            true => now <= n.changed_ms + age_ms,
-            false => now <= n.said_ms + age_ms,
+    /// Returns the reports announced within the last `age_ms` milliseconds at `now`, or with
+    /// `changed_only` those that changed significantly within that time.
+    pub fn told(&self, age_ms: Millis, changed_only: bool, now: Millis) -> Vec<Statement> {
+        let is_recent = |r: &RunnerRate| match changed_only {
+            true => now <= r.changed_ms + age_ms,
+            false => now <= r.announced_ms + age_ms,
         };
-        let told = self.0.iter().filter(|(_, n)| is_told(n));
-        told.map(|(lifetime, n)| Statement {
-            lifetime: lifetime.clone(),
-            rate: n.rate,
-            age_ms: now.saturating_sub(n.said_ms),
-        })
-        .collect()
+        let recent = self.0.iter().filter(|(_, r)| is_recent(r));
+        recent
+            .map(|(lifetime, r)| Statement {
+                lifetime: lifetime.clone(),
+                rate: r.rate,
+                age_ms: now.saturating_sub(r.announced_ms),
+            })
+            .collect()
     }
 
-    /// Whether this instance of a fleet may send a runner a request at `now`.
+    /// Returns whether this instance may send a request to a runner at `now`.
     #[must_use]
     pub fn allows(&self, lifetime: &Lifetime, fleet: Fleet<'_>, now: Millis) -> bool {
         let Some(rate) = self.rate(lifetime, now) else {
             return true;
         };
         let share = share(rate, lifetime, fleet);
-        let saved = self.0.get(lifetime).map(|n| n.saved_at(share, now));
-        share > 0.0 && saved.is_some_and(|saved| saved >= 1.0)
+        let tokens = self.0.get(lifetime).map(|r| r.tokens_at(share, now));
+        share > 0.0 && tokens.is_some_and(|tokens| tokens >= 1.0)
     }
 
-    /// This instance sends a runner a request at `now`.
+    /// Records that this instance sends a request to a runner at `now`.
     pub fn sent(&mut self, lifetime: &Lifetime, fleet: Fleet<'_>, now: Millis) {
         let Some(rate) = self.rate(lifetime, now) else {
             return;
         };
         let share = share(rate, lifetime, fleet);
-        if let Some(named) = self.0.get_mut(lifetime) {
-            named.saved = named.saved_at(share, now) - 1.0;
-            named.counted_ms = now;
+        if let Some(known) = self.0.get_mut(lifetime) {
+            known.tokens = known.tokens_at(share, now) - 1.0;
+            known.refilled_ms = now;
         }
     }
 
     fn rate(&self, lifetime: &Lifetime, now: Millis) -> Option<f64> {
-        let named = self.0.get(lifetime)?;
-        named.rate.filter(|_| now < named.said_ms + KEPT_MS)
+        let known = self.0.get(lifetime)?;
+        known
+            .rate
+            .filter(|_| now < known.announced_ms + REPORT_TTL_MS)
     }
 }
 
-impl Named {
-    fn saved_at(&self, share: f64, now: Millis) -> f64 {
-        let passed_s = now.saturating_sub(self.counted_ms) as f64 / 1e3;
-        (self.saved + share * passed_s).min(SAVED)
+impl RunnerRate {
+    fn tokens_at(&self, share: f64, now: Millis) -> f64 {
+        let passed_s = now.saturating_sub(self.refilled_ms) as f64 / 1e3;
+        (self.tokens + share * passed_s).min(BUCKET_SIZE)
     }
 }
 
 fn differ(a: Option<f64>, b: Option<f64>) -> bool {
     match (a, b) {
-        (Some(a), Some(b)) => (a - b).abs() > NEWS_SHARE * a.max(b),
+        (Some(a), Some(b)) => (a - b).abs() > SIGNIFICANT_CHANGE * a.max(b),
         (None, None) => false,
         _ => true,
     }
 }
 
-/// What an instance of a fleet may send of a runner's rate, in requests a second: nothing where others share
-/// it.
+/// Returns the share of a runner's rate that an instance may send, in requests per second; 0 if it is not
+/// among the instances that share the rate.
 fn share(rate: f64, lifetime: &Lifetime, fleet: Fleet<'_>) -> f64 {
-    let rate = rate.max(LEAST_RATE);
-    let shares = (rate + SPARE_SHARES).floor().min(fleet.most.max(1) as f64);
+    let rate = rate.max(MIN_RATE);
+    let shares = (rate + EXTRA_SHARERS).floor().min(fleet.most.max(1) as f64);
     let ranks = fleet.live.iter().map(|n| rank_for(n, &lifetime.runner));
     let own = rank_for(fleet.own, &lifetime.runner);
     match is_among_first(shares as usize, own, ranks) {
