--- a/policy/src/relay/attempts.rs
+++ b/policy/src/relay/attempts.rs
@@ -1,17 +1,17 @@
-//! On which runners one request may run.
+//! Limit on the runners and sends of one request.
 //!
-//! A route names the most runners that may work on one request. A runner that has ended does not
-//! count any more, and one that is tried again counts once. What counts of a chain is its first
-//! runner: when a part behind it dies, the first one lives on and has run the request. Requests
-//! that were resumed for every dead part ran on three runners of two.
+//! A route sets the maximum number of runners that may run one request. A runner whose lifetime has
+//! ended no longer counts, and one that is tried again counts once. Only the first runner of a chain
+//! counts: it stays alive when a later stage dies, and has run the request. Otherwise a request that
+//! is resumed after each dead stage would run on three runners where two are allowed.
 
 use crate::prelude::*;
 
-/// Sends of one request beyond the route's number, at the most: each lost runner may cost one, and
-/// a request that met more than two is better given up.
-const MOST_FURTHER: u32 = 2;
+/// Maximum number of sends of one request beyond the route's number of runners. Each lost runner may
+/// cost one send; a request that loses more than two runners is given up.
+const MAX_EXTRA_SENDS: u32 = 2;
 
-/// Runners that may have run a request, by identity and lifetime.
+/// Runners that may have run a request, by name and start of their lifetime.
 #[derive(Clone, Debug, Default)]
 pub struct Attempts {
     ran: Vec<(Name, u64)>,
@@ -19,7 +19,7 @@
 }
 
 impl Attempts {
-    /// The request is sent to a runner.
+    /// Records that the request is sent to a runner.
     pub fn sent(&mut self, id: &Name, born_ms: u64) {
         self.sends += 1;
         if !self.has(id, born_ms) {
@@ -27,28 +27,28 @@
         }
     }
 
-    /// The last send certainly did not run. A runner that was tried before stays counted, since
-    /// the earlier send may have.
+    /// Records that the last send certainly did not run. With `ran_before` the runner stays counted,
+    /// since an earlier send may have run there.
     pub fn not_run(&mut self, id: &Name, born_ms: u64, ran_before: bool) {
         if !ran_before {
             self.ran.retain(|(i, b)| (i, *b) != (id, born_ms));
         }
     }
 
-    /// Whether a runner may have run the request.
+    /// Returns whether a runner may have run the request.
     #[must_use]
     pub fn has(&self, id: &Name, born_ms: u64) -> bool {
         self.ran.iter().any(|(i, b)| (i, *b) == (id, born_ms))
     }
 
-    /// Whether the request may be sent to nobody any more where a route allows `most` runners.
+    /// Returns whether no further send is allowed on a route with a limit of `most` runners.
     #[must_use]
     pub fn is_spent(&self, most: u32) -> bool {
-        self.sends >= most + MOST_FURTHER
+        self.sends >= most + MAX_EXTRA_SENDS
     }
 
-    /// Whether the request may be sent to a runner where a route allows `most`; `ended` tells of a
-    /// runner's lifetime whether it is over.
+    /// Returns whether the request may be sent to a runner on a route with a limit of `most` runners;
+    /// `ended` returns whether the lifetime of a runner is over.
     pub fn allows(
         &self,
         id: &Name,
