--- a/policy/src/relay/intent.rs
+++ b/policy/src/relay/intent.rs
@@ -1,69 +1,69 @@
-//! The configuration in force: routes, services, organisations, limits.
+//! The declared configuration: routes, services, organisations, limits.
 //!
-//! Invariant: the version in force of one process only grows. A stale read, a late watch event or
-//! a store restored from an older copy cannot take it back.
+//! Invariant: the version in force in a process only increases. A stale read, a late watch event or
+//! a store restored from an older copy cannot revert it.
 
 use std::collections::BTreeMap;
 
 use crate::prelude::*;
 
-/// One version of what the operators declared.
+/// One version of the configuration that operators declare.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Intent {
-    /// Version; grows with each change.
+    /// Version; increases with each change.
     pub version: u64,
-    /// Routes by host; those of one host with the longest prefix first.
+    /// Routes by host, those with the longest prefix first.
     pub routes: BTreeMap<Name, Vec<Route>>,
     /// Services by name.
     pub services: BTreeMap<Name, Service>,
-    /// Organisations by their keys; `None`: callers bear no keys.
+    /// Organisations by API key, or `None` if callers need no key.
     pub keys: Option<BTreeMap<Name, Organisation>>,
     /// Limits on callers.
     pub limits: CallerLimits,
 }
 
-/// Where requests of a host and path prefix go.
+/// A route for the requests of a host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Name.
     pub name: Name,
-    /// Begins the path; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: Name,
-    /// What may be repeated.
+    /// Which requests may be retried.
     pub class: CallClass,
-    /// The longest that a caller may be kept waiting for the end, in milliseconds.
+    /// Maximum time until an answer is complete, in milliseconds.
     pub timeout_ms: Millis,
-    /// Time within which an answer has its full worth, in milliseconds.
+    /// Latency objective for an answer, in milliseconds.
     pub objective_ms: Millis,
-    /// Longest pause between two events with which a stream still has its full worth, in
-    /// milliseconds.
+    /// Objective for the inter-token gap of a stream, in milliseconds; the latency objective applies
+    /// if there is none.
     pub pause_ms: Option<Millis>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// Services with the weights by which requests are split.
+    /// Services and the weights by which requests are split among them.
     pub split: Vec<(Name, u32)>,
-    /// The most runners that one request may be sent to.
+    /// Maximum number of runners that one request may be sent to.
     pub max_attempts: u32,
     /// Whether callers need no key.
     pub public: bool,
 }
 
-/// What may be repeated of a request.
+/// Whether and how requests may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallClass {
     /// May run more than once.
     Idempotent,
-    /// Runs once at most.
+    /// Runs at most once.
     NonIdempotent,
     /// A stream of events.
     Stream {
-        /// Whether another run may go on after the last event seen.
+        /// Whether another run may continue after the last event that was received.
         resumable: bool,
     },
 }
 
 impl CallClass {
-    /// Whether a request that may have run may be sent once more.
+    /// Returns whether a request that may have run may be retried.
     #[must_use]
     pub fn repeatable(self) -> bool {
         match self {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Whether answers are streams of events.
+    /// Returns whether answers are streams of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, CallClass::Stream { .. })
@@ -83,30 +83,31 @@
 /// A group of runners that serve the same requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
-    /// Present where runners hold ranges of a model's layers.
+    /// Present if the runners hold ranges of a model's layers.
     pub engine: Option<Engine>,
 }
 
-/// What the runners of a service have in common.
+/// The model of a service and the performance figures of its runners.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Engine {
     /// Layers of the model.
     pub layers: u32,
     /// Memory of one layer's weights, in megabytes.
     pub layer_mb: f64,
-    /// Memory that a token of a request takes in all layers together, in bytes.
+    /// KV-cache memory of one token in all layers together, in bytes.
     pub token_bytes: f64,
-    /// Tokens that a runner with the whole model has room for.
+    /// KV-cache capacity of a runner with the complete model, in tokens; also the target room of a
+    /// chain.
     pub room_tokens: f64,
-    /// Tokens that one event of a stream holds.
+    /// Tokens in one event of a stream.
     pub event_tokens: u32,
-    /// Time of one token step of the whole model on a runner of pace 1, in milliseconds.
+    /// Time of one token step of the complete model on a runner of pace 1, in milliseconds.
     pub step_ms: f64,
-    /// Time to load the whole model, in milliseconds.
+    /// Time to load the complete model, in milliseconds.
     pub load_ms: f64,
-    /// Tokens that a prompt and an answer usually have.
+    /// Typical number of tokens in a prompt and in an answer.
     pub usual_tokens: (u32, u32),
-    /// Accelerators by the name of their kind.
+    /// Accelerators by kind.
     pub kinds: BTreeMap<Name, Accelerator>,
 }
 
@@ -115,18 +116,18 @@
 pub struct Accelerator {
     /// Memory, in megabytes.
     pub memory_mb: f64,
-    /// Time of a token step against pace 1.
+    /// Time of a token step relative to a runner of pace 1.
     pub pace: f64,
 }
 
 impl Engine {
-    /// Bytes that one token takes in one layer.
+    /// Returns the KV-cache memory of one token in one layer, in bytes.
     #[must_use]
     pub fn token_layer_bytes(&self) -> f64 {
         self.token_bytes / f64::from(self.layers.max(1))
     }
 
-    /// The most layers that a kind holds while `tokens` tokens have room beside them.
+    /// Returns the maximum number of layers on a runner of `kind` that leaves room for `tokens` tokens.
     #[must_use]
     pub fn layers_beside(&self, kind: &Accelerator, tokens: f64) -> u32 {
         let per_layer = self.layer_mb + tokens * self.token_layer_bytes() / 1e6;
@@ -134,7 +135,7 @@
         (fit.max(0.0) as u32).min(self.layers)
     }
 
-    /// Tokens that have room on a runner of `kind` that holds `held` layers and runs `used`.
+    /// Returns the room in tokens on a runner of `kind` that holds `held` layers and runs `used`.
     #[must_use]
     pub fn room(&self, kind: &Accelerator, held: u32, used: u32) -> f64 {
         let free_mb = kind.memory_mb - f64::from(held) * self.layer_mb;
@@ -143,28 +144,29 @@
     }
 }
 
-/// Whose key a request bears.
+/// The organisation that an API key belongs to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Organisation {
     /// Name.
     pub name: Name,
-    /// Rank that goes before the route's, where there is one.
+    /// Priority that overrides the route's, if any.
     pub priority: Option<u32>,
 }
 
 /// Limits on callers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallerLimits {
-    /// The largest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// The largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// How long a connection may stand idle, in milliseconds.
+    /// Maximum idle time of a connection, in milliseconds.
     pub idle_timeout_ms: Millis,
 }
 
 impl Default for CallerLimits {
-    /// Before any configuration is known: what a small instance can hold many times over.
+    /// Returns the limits that apply before any configuration is known: small enough for many
+    /// concurrent requests on a small instance.
     fn default() -> Self {
         CallerLimits {
             head_bytes: 16 << 10,
@@ -175,24 +177,24 @@
 }
 
 impl Intent {
-    /// Brings the routes of each host into the order of lookups.
+    /// Sorts the routes of each host into lookup order.
     pub fn sort_routes(&mut self) {
         for routes in self.routes.values_mut() {
             routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len()));
         }
     }
 
-    /// The route of a request: of the host's routes, the one with the longest prefix of `path`.
+    /// Returns the route of a request: the one of the host with the longest matching prefix of `path`.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.routes.get(host)?;
         routes.iter().find(|r| path.starts_with(&*r.prefix))
     }
 
-    /// Whose key `key` is; `Ok(None)` where the request needs none.
+    /// Returns the organisation that `key` belongs to, or `Ok(None)` if the request needs no key.
     ///
     /// # Errors
-    /// The key is missing or nobody's.
+    /// The key is missing or unknown.
     pub fn organisation(
         &self,
         route: &Route,
@@ -210,28 +212,29 @@
     }
 }
 
-/// The least time without an event after which callers give a stream up, in milliseconds, and the
-/// same as multiples of the route's objective and longest pause.
-const LEAST_PATIENCE_MS: Millis = 2_000;
-const PATIENCE_OBJECTIVES: Millis = 4;
-const PATIENCE_PAUSES: Millis = 8;
+/// Time without an event after which callers are expected to abandon a stream: the minimum in
+/// milliseconds, and the multiples of the route's latency objective and gap objective.
+const MIN_ABANDON_MS: Millis = 2_000;
+const ABANDON_OBJECTIVES: Millis = 4;
+const ABANDON_GAPS: Millis = 8;
 
 impl Route {
-    /// Longest pause of a stream that its caller still takes for timely, in milliseconds.
+    /// Returns the largest inter-token gap that is still in time, in milliseconds.
     #[must_use]
     pub fn timely_pause_ms(&self) -> Millis {
         self.pause_ms.unwrap_or(self.objective_ms)
     }
 
-    /// Time without an event after which callers give a stream up, in milliseconds.
+    /// Returns the time without an event after which callers are expected to abandon a stream, in
+    /// milliseconds.
     #[must_use]
     pub fn patience_ms(&self) -> Millis {
-        let by_objective = self.objective_ms * PATIENCE_OBJECTIVES;
-        let by_pause = self.timely_pause_ms() * PATIENCE_PAUSES;
-        LEAST_PATIENCE_MS.max(by_objective).max(by_pause)
+        let by_objective = self.objective_ms * ABANDON_OBJECTIVES;
+        let by_gap = self.timely_pause_ms() * ABANDON_GAPS;
+        MIN_ABANDON_MS.max(by_objective).max(by_gap)
     }
 
-    /// The service of a request, by a `draw` from 0 to 1.
+    /// Returns the service for a request, by a random number `draw` from 0 to 1.
     #[must_use]
     pub fn service(&self, draw: f64) -> Option<&Name> {
         let total: u32 = self.split.iter().map(|(_, w)| w).sum();
@@ -246,15 +249,15 @@
     }
 }
 
-/// A request bears no key that any organisation holds.
+/// The request has no key of any organisation.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
 #[display("no organisation holds this key")]
 pub struct UnknownKey;
 
-/// What came of an offered version.
+/// Comparison of a version that was read with the one in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offered {
-    /// It is in force now.
+    /// It is newer and replaces the one in force.
     Taken,
     /// It is the one in force.
     Same,
@@ -265,7 +268,7 @@
     },
 }
 
-/// Whether a version that was read replaces the one in force.
+/// Compares a version that was read with the one in force.
 #[must_use]
 pub fn compare(in_force: Option<u64>, offered: u64) -> Offered {
     match in_force {
