--- a/policy/examples/relay_cost.rs
+++ b/policy/examples/relay_cost.rs
@@ -1,4 +1,5 @@
-//! Time of the relay's decisions at growing sizes: a first placement, a repair, the chains, a pick.
+//! Measures the time of the relay's decisions at growing fleet sizes: initial placement, repair,
+//! computation of chains, selection of a chain.
 //!
 //! `cargo run --release -p jacinthweir-policy --example relay_cost`
 
@@ -13,9 +14,9 @@
 use jacinthweir_policy::relay::placement::plan;
 use jacinthweir_policy::relay::rooms::{FILL, Room, choose};
 use jacinthweir_policy::relay::runners::Runners;
-use support::{SERVICE, carry_out, engine, runner};
+use support::{SERVICE, apply_moves, engine, runner};
 
-/// Kinds of ten runners of a failure domain.
+/// Accelerator kinds of ten runners of a failure domain.
 const KINDS: [&str; 10] = [
     "a100", "v100", "v100", "v100", "v100", "v100", "l4", "l4", "l4", "l4",
 ];
@@ -47,19 +48,19 @@
         let mut runners = fleet(count, domains);
         let none = BTreeMap::new();
         let (moves, first) = timed(|| plan(&runners, SERVICE, &engine, &none, 0));
-        carry_out(&mut runners, &moves);
+        apply_moves(&mut runners, &moves);
         loop {
             let more = plan(&runners, SERVICE, &engine, &none, 0);
             if more.is_empty() {
                 break;
             }
-            carry_out(&mut runners, &more);
+            apply_moves(&mut runners, &more);
         }
         let (_, idle) = timed(|| plan(&runners, SERVICE, &engine, &none, 0));
         runners.remove(&"runner-0".into(), 0);
         let (_, repair) = timed(|| plan(&runners, SERVICE, &engine, &none, 0));
-        let (found, walk) = timed(|| chains(&runners, SERVICE, &engine, 0));
-        let rooms: Vec<Room> = (0..found.len())
+        let (all_chains, chain_time) = timed(|| chains(&runners, SERVICE, &engine, 0));
+        let rooms: Vec<Room> = (0..all_chains.len())
             .map(|chain| Room {
                 chain,
                 near: chain == 0,
@@ -70,16 +71,16 @@
                 pause_share: 0.0,
             })
             .collect();
-        let picks = 10_000;
-        let (_, pick) = timed(|| {
-            for i in 0..picks {
+        let selections = 10_000;
+        let (_, selection_time) = timed(|| {
+            for i in 0..selections {
                 std::hint::black_box(choose(&rooms, f64::from(i % 1_000), FILL));
             }
         });
         println!(
-            "{count:7} {domains:7} | {first:8.2} | {idle:7.2} | {repair:9.2} | {walk:9.2} | {:6} | {:7.2}",
-            found.len(),
-            pick * 1e3 / f64::from(picks)
+            "{count:7} {domains:7} | {first:8.2} | {idle:7.2} | {repair:9.2} | {chain_time:9.2} | {:6} | {:7.2}",
+            all_chains.len(),
+            selection_time * 1e3 / f64::from(selections)
         );
     }
 }
--- a/policy/tests/relay_placement.rs
+++ b/policy/tests/relay_placement.rs
@@ -1,4 +1,4 @@
-//! Placement and chains: from empty runners to whole chains, and back after losses.
+//! Layer placement and chains: initial placement on empty runners, and repair after losses.
 
 #[path = "support/relay.rs"]
 mod support;
@@ -12,16 +12,16 @@
 use jacinthweir_policy::relay::rooms::Occupancy;
 use jacinthweir_policy::relay::runners::{RunnerEntry, Runners};
 use proptest::prelude::{Strategy, any, prop_assert, prop_assert_eq, proptest};
-use support::{SERVICE, carry_out, domain, engine, runner, settle};
+use support::{SERVICE, add_domain, apply_moves, engine, runner, settle};
 
 const MIXED: [(&str, usize); 3] = [("a100", 2), ("v100", 4), ("l4", 4)];
 
-fn found(runners: &Runners) -> Vec<Chain> {
+fn chains_of(runners: &Runners) -> Vec<Chain> {
     chains(runners, SERVICE, &engine(), 0)
 }
 
-/// Every layer once and in order, no runner twice, each within what it holds.
-fn check(chain: &Chain, runners: &Runners) -> std::result::Result<(), String> {
+/// Checks that a chain runs every layer once and in order, on distinct runners that hold them.
+fn check_chain(chain: &Chain, runners: &Runners) -> std::result::Result<(), String> {
     let mut next = 0;
     let mut seen = BTreeSet::new();
     for stage in &chain.stages {
@@ -48,45 +48,45 @@
 #[gtest]
 fn each_domain_gets_a_chain_with_the_declared_room() {
     let mut runners = Runners::default();
-    domain(&mut runners, "east", &MIXED);
-    domain(
+    add_domain(&mut runners, "east", &MIXED);
+    add_domain(
         &mut runners,
         "north",
         &[("a100", 1), ("v100", 6), ("l4", 6)],
     );
-    domain(
+    add_domain(
         &mut runners,
         "west",
         &[("a100", 1), ("v100", 10), ("l4", 4)],
     );
     settle(&mut runners);
-    let chains = found(&runners);
+    let chains = chains_of(&runners);
     assert_that!(chains.len(), eq(3));
     for chain in &chains {
-        expect_that!(check(chain, &runners), ok(anything()));
+        expect_that!(check_chain(chain, &runners), ok(anything()));
         expect_that!(chain.room_tokens, ge(100_000.0));
         let domain = chain.domain.clone().expect("inside a domain");
         expect_true!(chain.stages.iter().all(|s| s.runner.domain == domain));
     }
 }
 
-/// The caller of a larger deployment is refused while most runners stand idle: a domain whose
-/// memory holds the model several times has to form as many chains, with no runner in common.
+/// A domain with memory for several copies of the model has to form as many chains without common
+/// runners. Otherwise requests are refused while most runners are idle.
 #[gtest]
 fn a_large_domain_holds_the_model_several_times() {
     let mut runners = Runners::default();
-    domain(
+    add_domain(
         &mut runners,
         "east",
         &[("a100", 4), ("v100", 24), ("l4", 11)],
     );
     settle(&mut runners);
-    let chains = found(&runners);
-    // 871 GB of memory, and 175 GB for a copy with the room that a further one must have.
+    let chains = chains_of(&runners);
+    // The domain has 871 GB of memory; a further copy with the required room takes 175 GB.
     expect_that!(chains.len(), eq(4));
     let mut seen = BTreeSet::new();
     for chain in &chains {
-        expect_that!(check(chain, &runners), ok(anything()));
+        expect_that!(check_chain(chain, &runners), ok(anything()));
         expect_that!(chain.room_tokens, ge(60_000.0));
         for stage in &chain.stages {
             expect_true!(seen.insert(stage.runner.id.clone()));
@@ -95,26 +95,26 @@
 }
 
 #[gtest]
-fn nothing_is_moved_once_all_is_placed() {
+fn no_moves_once_placement_is_complete() {
     let mut runners = Runners::default();
-    domain(&mut runners, "east", &MIXED);
+    add_domain(&mut runners, "east", &MIXED);
     settle(&mut runners);
     let moves = plan(&runners, SERVICE, &engine(), &BTreeMap::new(), 0);
     expect_that!(moves, is_empty());
 }
 
 #[gtest]
-fn a_placement_under_way_is_not_ordered_again() {
+fn a_placement_in_progress_is_not_ordered_again() {
     let mut runners = Runners::default();
-    domain(&mut runners, "east", &MIXED);
+    add_domain(&mut runners, "east", &MIXED);
     let moves = plan(&runners, SERVICE, &engine(), &BTreeMap::new(), 0);
     let loading = moves.iter().map(|m| (m.runner.clone(), m.layers)).collect();
     expect_that!(plan(&runners, SERVICE, &engine(), &loading, 0), is_empty());
 }
 
-/// The caller sees a domain that serves few requests for the rest of the day. A large runner that
-/// holds a second copy is moved into a small hole that a small runner left, and the chain runs on
-/// slow runners from then on. The slowest runner that can be spared has to go instead.
+/// A small runner is lost, and a fast runner with a second copy is moved into the small hole; the
+/// chain then runs on slow runners and serves few requests permanently. The slowest runner that is
+/// not needed has to be moved instead.
 #[gtest]
 fn a_fast_runner_with_a_second_copy_is_not_moved_into_a_small_hole() {
     let mut runners = Runners::default();
@@ -137,13 +137,13 @@
     expect_true!(moves.iter().all(|m| &*m.runner != "a100"));
 }
 
-/// The caller sees refusals for want of room long after a lost runner is back. Its layers were
-/// taken over by small runners that have hardly any room left; the runner that came back has to
-/// go where the room is short, not where it is second.
+/// After the loss of a fast runner, small ones that take over its layers are left with little room.
+/// When it returns, it has to take layers that are short of room; otherwise requests are refused for
+/// lack of room permanently.
 #[gtest]
-fn a_runner_that_came_back_relieves_those_without_room() {
+fn a_returned_runner_relieves_runners_short_of_room() {
     let mut runners = Runners::default();
-    domain(
+    add_domain(
         &mut runners,
         "north",
         &[("a100", 1), ("v100", 6), ("l4", 6)],
@@ -152,7 +152,7 @@
     let lost = runners.entry("north-a100-0").expect("placed").clone();
     runners.remove(&Name::from("north-a100-0"), 0);
     settle(&mut runners);
-    let degraded = found(&runners);
+    let degraded = chains_of(&runners);
     assert_that!(degraded.len(), eq(1));
     expect_that!(degraded[0].room_tokens, lt(100_000.0));
     expect_that!(degraded[0].room_tokens, ge(60_000.0));
@@ -162,19 +162,18 @@
         ..lost
     });
     settle(&mut runners);
-    let healed = found(&runners);
+    let healed = chains_of(&runners);
     assert_that!(healed.len(), eq(1));
     expect_that!(healed[0].room_tokens, gt(degraded[0].room_tokens));
     expect_that!(healed[0].step_ms, lt(degraded[0].step_ms));
 }
 
-/// The caller may get 503 while a runner in the chain gives up a layer: it can refuse
-/// new requests until those that pass through that layer have ended. A runner that is in use
-/// keeps what it holds as long as nothing is missing.
+/// A runner that releases a layer may refuse new requests until those that pass through the layer have
+/// ended, which callers see as 503. A runner in use keeps its layers as long as none is missing.
 #[gtest]
-fn what_is_whole_is_not_made_smaller() {
+fn a_complete_chain_is_not_shrunk() {
     let mut runners = Runners::default();
-    domain(
+    add_domain(
         &mut runners,
         "north",
         &[("a100", 1), ("v100", 6), ("l4", 6)],
@@ -184,20 +183,20 @@
     settle(&mut runners);
     runners.put(&runner("north-a100-9", "north", "a100"));
     for _ in 0..20 {
-        let chains = found(&runners);
+        let chains = chains_of(&runners);
         let moves = plan(&runners, SERVICE, &engine(), &BTreeMap::new(), 0);
         for m in &moves {
             expect_that!(m.why, eq(MoveReason::SecondCopy));
             expect_false!(chains.iter().any(|c| c.has(&m.runner)));
         }
-        // What is given up is held by others before the new range is loaded.
+        // Other runners hold the released layers while the new range is loading.
         for m in &moves {
             let mut moving = runners.entry(&m.runner).expect("known").clone();
             moving.layers = None;
             runners.put(&moving);
         }
-        expect_that!(found(&runners).len(), eq(chains.len()));
-        carry_out(&mut runners, &moves);
+        expect_that!(chains_of(&runners).len(), eq(chains.len()));
+        apply_moves(&mut runners, &moves);
     }
     expect_that!(
         plan(&runners, SERVICE, &engine(), &BTreeMap::new(), 0),
@@ -205,14 +204,14 @@
     );
 }
 
-/// The caller is refused for eight seconds: the one fast runner of a domain is cut off for a moment,
-/// all others are told to move at once, and the layers that it still holds are of no use when it
-/// answers again. It must have been away for a while before the whole domain is laid out anew.
+/// The only fast runner of a domain is disconnected briefly. If all others are moved at once, the layers
+/// that it still holds are useless when it answers again, and the domain refuses requests for 8 s. So
+/// the domain is laid out anew only after the runner has been dead for some time.
 #[gtest]
-fn a_domain_is_not_laid_out_anew_for_a_runner_that_was_lost_just_now() {
+fn a_domain_is_not_laid_out_anew_for_a_recently_lost_runner() {
     let mut runners = Runners::default();
     let counts = [("a100", 1), ("v100", 6), ("l4", 6)];
-    domain(&mut runners, "north", &counts);
+    add_domain(&mut runners, "north", &counts);
     settle(&mut runners);
     let id = Name::from("north-a100-0");
     let standing = runners.standing_mut(&id).expect("placed");
@@ -224,24 +223,24 @@
 }
 
 #[gtest]
-fn a_draining_runner_takes_no_part() {
+fn a_draining_runner_takes_part_in_no_chain() {
     let mut runners = Runners::default();
-    domain(&mut runners, "east", &MIXED);
+    add_domain(&mut runners, "east", &MIXED);
     settle(&mut runners);
     let mut leaving = runners.entry("east-a100-0").expect("placed").clone();
     leaving.draining = true;
     runners.put(&leaving);
-    expect_true!(found(&runners).iter().all(|c| !c.has("east-a100-0")));
+    expect_true!(chains_of(&runners).iter().all(|c| !c.has("east-a100-0")));
     settle(&mut runners);
-    let chains = found(&runners);
+    let chains = chains_of(&runners);
     assert_that!(chains.len(), eq(1));
     expect_false!(chains[0].has("east-a100-0"));
 }
 
-/// A chain that crosses domains moves every token's activations over a pipe that all share. It is
-/// used only where no domain has a chain of its own.
+/// A chain that crosses domains moves the activations of every token over a shared link, so it is used
+/// only if no domain has a chain of its own.
 #[gtest]
-fn chains_cross_domains_only_where_no_domain_is_whole() {
+fn chains_cross_domains_only_if_no_domain_is_complete() {
     let mut runners = Runners::default();
     for (id, domain, layers) in [
         ("a", "east", (0, 40)),
@@ -252,20 +251,20 @@
         entry.layers = Some(layers);
         runners.put(&entry);
     }
-    let across = found(&runners);
+    let across = chains_of(&runners);
     assert_that!(across.len(), eq(1));
     expect_that!(across[0].domain, none());
-    expect_that!(check(&across[0], &runners), ok(anything()));
+    expect_that!(check_chain(&across[0], &runners), ok(anything()));
     let mut whole = runner("d", "east", "a100");
     whole.layers = Some((60, 80));
     runners.put(&whole);
-    let inside = found(&runners);
+    let inside = chains_of(&runners);
     assert_that!(inside.len(), eq(1));
     expect_that!(inside[0].domain.as_deref(), some(eq("east")));
 }
 
 #[gtest]
-fn a_runner_that_is_slower_than_declared_is_passed_by() {
+fn a_runner_slower_than_declared_is_bypassed() {
     let mut runners = Runners::default();
     for (id, kind, layers) in [
         ("a", "a100", (0, 40)),
@@ -276,22 +275,22 @@
         entry.layers = Some(layers);
         runners.put(&entry);
     }
-    expect_true!(found(&runners)[0].has("b"));
+    expect_true!(chains_of(&runners)[0].has("b"));
     let slow = runners.standing_mut(&Name::from("b")).expect("known");
     expect_true!(slow.set_pace(12.0, 1));
-    expect_true!(found(&runners)[0].has("c"));
+    expect_true!(chains_of(&runners)[0].has("c"));
 }
 
-/// A runner of a chain turns twelve times as slow for seconds. Each pass waits for it and prompts
-/// queue there, so that nothing in the chain is in time. Others take over as many of its layers as
-/// they have room for; a chain goes on all the while, and once the runner is quick again it is used
-/// again and nothing more is moved.
+/// A runner of a chain becomes twelve times slower for seconds. Each pass waits for it and prompts queue
+/// there, so that no answer of the chain is in time. Other runners take over as many of its layers as
+/// they have room for. A complete chain exists throughout, and when the runner recovers it is used again
+/// without further moves.
 #[gtest]
 fn others_take_over_the_layers_of_a_slow_runner() {
     let mut runners = Runners::default();
-    domain(&mut runners, "east", &MIXED);
+    add_domain(&mut runners, "east", &MIXED);
     settle(&mut runners);
-    let quick = found(&runners).remove(0);
+    let quick = chains_of(&runners).remove(0);
     let mut needed = 0;
     for stage in &quick.stages {
         let slow = stage.runner.id.clone();
@@ -301,14 +300,14 @@
             expect_true!(standing.set_pace(pace, at_ms));
         };
         pace(&mut runners, 12.0, 1);
-        let before = found(&runners).remove(0);
+        let before = chains_of(&runners).remove(0);
         let moves = settle(&mut runners);
         expect_true!(moves.iter().all(|m| m.runner != slow));
-        let after = found(&runners).remove(0);
-        expect_that!(check(&after, &runners), ok(anything()));
+        let after = chains_of(&runners).remove(0);
+        expect_that!(check_chain(&after, &runners), ok(anything()));
         expect_that!(after.step_ms, le(before.step_ms));
-        // A range that has a second holder is passed by without a move, and that of a large runner
-        // has no room on small ones.
+        // A range with a second holder is bypassed without a move, and that of a large runner does not
+        // fit on small ones.
         let is_small = stage.runner.kind.as_deref() != Some("a100");
         if is_small && before.step_ms > quick.step_ms * 1.2 {
             needed += 1;
@@ -317,27 +316,27 @@
         }
         pace(&mut runners, 1.0, 2);
         settle(&mut runners);
-        let again = found(&runners).remove(0);
-        expect_that!(check(&again, &runners), ok(anything()));
+        let again = chains_of(&runners).remove(0);
+        expect_that!(check_chain(&again, &runners), ok(anything()));
         expect_that!(again.step_ms, le(quick.step_ms * 1.1));
     }
     expect_that!(needed, gt(0));
 }
 
 #[gtest]
-fn a_refused_part_is_not_believed_until_its_entry_changes() {
+fn misreported_layers_are_ignored_until_the_entry_changes() {
     let mut runners = Runners::default();
     let mut entry = runner("a", "east", "a100");
     entry.layers = Some((0, 80));
     runners.put(&entry);
     runners.standing_mut(&entry.id).expect("known").misreported = Some((0, 80));
-    expect_that!(found(&runners), is_empty());
+    expect_that!(chains_of(&runners), is_empty());
     entry.layers = Some((0, 79));
     runners.put(&entry);
     entry.layers = Some((0, 80));
     runners.standing_mut(&entry.id).expect("known").misreported = None;
     runners.put(&entry);
-    expect_that!(found(&runners).len(), eq(1));
+    expect_that!(chains_of(&runners).len(), eq(1));
 }
 
 fn losses() -> impl Strategy<Value = Vec<(u8, bool)>> {
@@ -345,14 +344,14 @@
 }
 
 proptest! {
-    /// Whatever is lost and comes back, orders end, no runner is told to hold more than its
-    /// memory, and a chain is found wherever the memory of a domain suffices.
+    /// After any sequence of losses and returns, the moves terminate, no runner is assigned more than its
+    /// memory, and a chain exists in each domain with sufficient memory.
     #[test]
-    fn losses_and_returns_end_in_whole_chains(losses in losses()) {
+    fn losses_and_returns_end_in_complete_chains(losses in losses()) {
         let engine = engine();
         let mut runners = Runners::default();
-        domain(&mut runners, "east", &MIXED);
-        domain(&mut runners, "north", &[("a100", 1), ("v100", 6), ("l4", 6)]);
+        add_domain(&mut runners, "east", &MIXED);
+        add_domain(&mut runners, "north", &[("a100", 1), ("v100", 6), ("l4", 6)]);
         settle(&mut runners);
         let names: Vec<Name> = runners.entries().map(|e| e.id.clone()).collect();
         for (draw, returns) in losses {
@@ -370,21 +369,21 @@
                 prop_assert!(m.layers.0 < m.layers.1 && m.layers.1 <= engine.layers);
             }
         }
-        for chain in found(&runners) {
-            prop_assert_eq!(check(&chain, &runners), Ok(()));
+        for chain in chains_of(&runners) {
+            prop_assert_eq!(check_chain(&chain, &runners), Ok(()));
         }
         let a100s = runners.entries().filter(|e| e.kind.as_deref() == Some("a100"));
         let whole = a100s.filter(|e| &*e.domain == "east").count() == 2;
         let east = runners.entries().filter(|e| &*e.domain == "east").count();
         if whole && east >= 9 {
-            let chains = found(&runners);
+            let chains = chains_of(&runners);
             prop_assert!(chains.iter().any(|c| c.domain.as_deref() == Some("east")));
         }
     }
 
-    /// Chains over any holdings cover each layer once and in order.
+    /// Chains over arbitrary holdings cover each layer once and in order.
     #[test]
-    fn chains_over_any_holdings_are_sound(
+    fn chains_over_arbitrary_holdings_are_valid(
         ranges in proptest::collection::vec((0u32..80, 1u32..40, 0usize..3, 0usize..2), 1..24)
     ) {
         let mut runners = Runners::default();
@@ -394,25 +393,25 @@
             entry.layers = Some((from, (from + count).min(80)));
             runners.put(&entry);
         }
-        for chain in found(&runners) {
-            prop_assert_eq!(check(&chain, &runners), Ok(()));
+        for chain in chains_of(&runners) {
+            prop_assert_eq!(check_chain(&chain, &runners), Ok(()));
         }
     }
 }
 
-/// The check of this file can fail: a gap, an overlap, a runner twice, a part not held.
+/// [`check_chain`] rejects a gap, an overlap, a missing end and a runner that appears twice.
 #[gtest]
-fn the_check_of_chains_rejects_broken_ones() {
+fn the_check_rejects_invalid_chains() {
     let mut runners = Runners::default();
-    domain(&mut runners, "east", &MIXED);
+    add_domain(&mut runners, "east", &MIXED);
     let moves = plan(&runners, SERVICE, &engine(), &BTreeMap::new(), 0);
-    carry_out(&mut runners, &moves);
-    let good = found(&runners).remove(0);
-    expect_that!(check(&good, &runners), ok(anything()));
+    apply_moves(&mut runners, &moves);
+    let good = chains_of(&runners).remove(0);
+    expect_that!(check_chain(&good, &runners), ok(anything()));
     let broken = |f: &dyn Fn(&mut Chain)| {
         let mut chain = good.clone();
         f(&mut chain);
-        check(&chain, &runners)
+        check_chain(&chain, &runners)
     };
     expect_that!(broken(&|c| c.stages[1].layers.0 += 1), err(anything()));
     expect_that!(broken(&|c| c.stages[0].layers.1 += 1), err(anything()));
@@ -428,14 +427,14 @@
     );
 }
 
-/// The caller is refused for ten seconds after an outage of the store. The leases of the runners'
-/// entries lapsed meanwhile, so the list is nearly empty at first; taken for gone, the domain is
-/// laid out anew over the few that are listed, while all others still hold their layers and write
-/// their entries again within two seconds. One that does not is gone.
+/// The leases of the runners' entries expire during an outage of the store, so the list is nearly empty
+/// when it returns. If the missing runners counted as lost, the domain would be laid out anew over the
+/// few that are listed and refuse requests for 10 s, although all others still hold their layers and
+/// write their entries again within 2 s. A runner that does not is lost.
 #[gtest]
-fn entries_that_lapsed_during_an_outage_are_kept_until_runners_had_time_to_write_them() {
+fn entries_that_expired_in_an_outage_are_kept_until_runners_can_rewrite_them() {
     let mut runners = Runners::default();
-    domain(&mut runners, "east", &MIXED);
+    add_domain(&mut runners, "east", &MIXED);
     settle(&mut runners);
     let all: Vec<RunnerEntry> = runners.entries().cloned().collect();
     let (first, lost) = (all[0].clone(), all[1].id.clone());
@@ -457,7 +456,7 @@
     expect_true!(runners.remove(&all[2].id, 12_400));
 }
 
-/// One domain: two holders of the first half, and one of the second.
+/// Returns one domain with two holders of the first layers, and one holder of each further range.
 fn two_heads() -> Runners {
     let mut runners = Runners::default();
     for (id, kind, layers) in [
@@ -473,37 +472,37 @@
     runners
 }
 
-/// A chain that begins at a limited runner serves a few requests a second, whatever room it has.
+/// A chain that begins at a rate-limited runner serves only a few requests per second, whatever its room.
 #[gtest]
-fn a_chain_begins_at_a_limited_runner_only_where_nobody_else_holds_the_first_layers() {
+fn a_chain_begins_at_a_limited_runner_only_if_no_other_holds_the_first_layers() {
     let mut runners = Runners::default();
     for (id, layers) in [("a", (0, 40)), ("b", (0, 40)), ("c", (40, 80))] {
         let mut entry = runner(id, "east", "a100");
         entry.layers = Some(layers);
         runners.put(&entry);
     }
-    let first = found(&runners)[0].head().id.clone();
+    let first = chains_of(&runners)[0].head().id.clone();
     let limit = |runners: &mut Runners, id: &Name| {
         runners.standing_mut(id).expect("a runner").limited = true;
     };
     limit(&mut runners, &first);
-    let second = found(&runners)[0].head().id.clone();
+    let second = chains_of(&runners)[0].head().id.clone();
     expect_that!(second, not(eq(&first)));
     limit(&mut runners, &second);
-    expect_that!(found(&runners).len(), eq(1));
+    expect_that!(chains_of(&runners).len(), eq(1));
 }
 
 fn only_chain(runners: &Runners) -> Chain {
-    let mut all = found(runners);
+    let mut all = chains_of(runners);
     assert_eq!(all.len(), 1);
     all.remove(0)
 }
 
-/// The chain gets another first runner while a hundred streams pass through the old one. The other
-/// runners of the chain still hold their tokens. When the new chain counted as empty, all that
-/// waited was sent there at once, and each of 200 requests was refused for want of memory.
+/// The first runner of a chain is replaced while a hundred streams pass through the old one, whose tokens
+/// the other runners still hold. If the new chain counted as empty, all queued requests would be sent
+/// there at once and refused for lack of memory.
 #[gtest]
-fn a_chain_with_another_first_runner_has_the_room_that_the_old_one_leaves() {
+fn a_chain_with_a_new_first_runner_has_only_the_room_left_by_the_old_one() {
     let mut runners = two_heads();
     let old = only_chain(&runners);
     let mut occupancy = Occupancy::default();
@@ -516,7 +515,7 @@
     let left = new.room_tokens - occupancy.used_tokens(&new);
     let empty = Occupancy::default();
     expect_that!(empty.used_tokens(&new), near(0.0, 1.0));
-    // The tightest of the runners that stayed holds 26 layers.
+    // The remaining runner with the least room runs 26 layers.
     let tightest = &new.stages[1];
     let expected = (tightest.room - 80_000.0 * tightest.count()) / tightest.count();
     expect_that!(left, near(expected, 1.0));
--- a/policy/tests/support/relay.rs
+++ b/policy/tests/support/relay.rs
@@ -1,4 +1,4 @@
-//! Runners and engines for tests of the relay's decisions.
+//! Runners and a model for tests of the relay's decisions.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 use jacinthweir_policy::relay::placement::Move;
 use jacinthweir_policy::relay::runners::{RunnerEntry, Runners};
 
-/// Service of all runners here.
+/// Service of all runners.
 pub const SERVICE: &str = "pool";
 
-/// A model of 80 layers on three kinds of accelerators.
+/// Returns a model of 80 layers on three kinds of accelerators.
 pub fn engine() -> Engine {
     let kind = |memory_mb, pace| Accelerator { memory_mb, pace };
     let kinds = [
@@ -31,7 +31,7 @@
     }
 }
 
-/// A runner without layers.
+/// Returns a runner without layers.
 pub fn runner(id: &str, domain: &str, kind: &str) -> RunnerEntry {
     let number = id
         .bytes()
@@ -49,8 +49,8 @@
     }
 }
 
-/// Empty runners of one domain: so many of each kind.
-pub fn domain(runners: &mut Runners, name: &str, counts: &[(&str, usize)]) {
+/// Adds empty runners of one failure domain, with a count for each kind.
+pub fn add_domain(runners: &mut Runners, name: &str, counts: &[(&str, usize)]) {
     for (kind, count) in counts {
         for i in 0..*count {
             runners.put(&runner(&format!("{name}-{kind}-{i}"), name, kind));
@@ -58,8 +58,8 @@
     }
 }
 
-/// Carries orders out at once.
-pub fn carry_out(runners: &mut Runners, moves: &[Move]) {
+/// Applies moves without delay.
+pub fn apply_moves(runners: &mut Runners, moves: &[Move]) {
     for m in moves {
         let mut entry = runners
             .entry(&m.runner)
@@ -70,7 +70,7 @@
     }
 }
 
-/// Plans and carries out until nothing is left to do; the orders it took.
+/// Plans and applies moves until none are left, and returns all of them.
 pub fn settle(runners: &mut Runners) -> Vec<Move> {
     let engine = engine();
     let mut all = Vec::new();
@@ -85,8 +85,8 @@
         if moves.is_empty() {
             return all;
         }
-        carry_out(runners, &moves);
+        apply_moves(runners, &moves);
         all.extend(moves);
     }
-    panic!("orders never end: {all:?}");
+    panic!("the moves do not terminate: {all:?}");
 }
--- a/policy/tests/support/runners.rs
+++ b/policy/tests/support/runners.rs
@@ -1,4 +1,4 @@
-//! Model runners in memory, as the instances of a fleet observe them.
+//! Simulated model runners that the instances of a simulated fleet observe.
 
 use super::{Fleet, Message, Run, START_MS, name};
 use jacinthweir_policy::layers::LayerRange;
@@ -12,14 +12,14 @@
 const GROUP: &str = "runners";
 const LAYERS: u32 = 8;
 
-/// One runner.
+/// A simulated runner.
 pub struct Runner {
     pub run: Run,
     pub incarnation: u64,
     pub leaving: bool,
-    /// Instances that can't reach it over a broken link.
+    /// Instances that cannot reach it because of a broken link.
     pub hidden_from: Vec<usize>,
-    /// It takes connections and reports nothing: a plain service.
+    /// Whether it is a plain service, which accepts connections but sends no load reports.
     pub plain: bool,
     number: u64,
 }
@@ -28,7 +28,7 @@
     format!("runner-{r:04}").into()
 }
 
-/// The number that a name ends with.
+/// Returns the number that a name ends with.
 fn number_in(name: &str) -> usize {
     let digits = name.rsplit('-').next();
     digits
@@ -37,7 +37,7 @@
 }
 
 impl Fleet {
-    /// Adds runners, spread over the regions, that every instance has read in the list.
+    /// Adds runners, spread over the regions, and lets every instance read the platform's list.
     pub fn add_runners(&mut self, count: usize) {
         let runner = |_| Runner {
             run: Run::Up,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The list as the platform would give it now.
+    /// Returns the current list of the platform.
     pub fn list(&self) -> Vec<ListedInstance> {
         let entry = |(r, runner): (usize, &Runner)| ListedInstance {
             name: runner_name(r),
@@ -77,7 +77,7 @@
         upstreams.listed(self.now, &list);
     }
 
-    /// Instance `i` polls what it is an observer of.
+    /// Lets instance `i` poll the runners that it observes.
     pub fn poll(&mut self, i: usize) {
         let node = &mut self.nodes[i];
         node.upstreams.set_live(node.membership.live());
@@ -117,12 +117,12 @@
         PollOutcome::Report(report(r, runner))
     }
 
-    /// A report as it travels.
+    /// Returns a load report as it is sent.
     pub fn sample_report(&self) -> LoadReport {
         report(0, &self.runners[0])
     }
 
-    /// The upstreams' part of an exchange; messages are delivered with those of the members.
+    /// Exchanges the upstream records of instances `i` and `j`; messages count like those of membership.
     pub fn exchange_upstreams(&mut self, i: usize, j: usize, salt: u32) {
         let now = self.now;
         let domain = self.nodes[i].membership.member(&name(j));
@@ -143,7 +143,7 @@
         }
     }
 
-    /// How many running instances see runner `r` so.
+    /// Returns the number of running instances that see runner `r` with the availability `wanted`.
     pub fn seeing(&self, r: usize, wanted: Availability) -> usize {
         let up = self.nodes.iter().filter(|n| n.run == Run::Up);
         let of = |u: &Upstreams| u.get(&runner_name(r)).map(|x| u.availability(x));
