--- a/policy/tests/relay_rules.rs
+++ b/policy/tests/relay_rules.rs
@@ -1,4 +1,4 @@
-//! The small rules of the relay: configuration, vouching, rooms, repeats.
+//! Relay rules: configuration, vouching, chain selection, attempts and the retry budget.
 
 #[path = "support/relay.rs"]
 #[allow(dead_code, reason = "other tests use the rest")]
@@ -53,7 +53,7 @@
 }
 
 #[gtest]
-fn the_longest_prefix_of_the_host_takes_a_path() {
+fn the_longest_matching_prefix_of_the_host_wins() {
     let intent = intent();
     let name = |host, path| intent.route(host, path).map(|r| r.name.to_string());
     expect_that!(name("host", "/a/b/c"), some(eq("long")));
@@ -64,7 +64,7 @@
 }
 
 #[gtest]
-fn keys_are_asked_for_unless_the_route_is_public() {
+fn keys_are_required_unless_the_route_is_public() {
     let intent = intent();
     let mut route = route("r", "/a/");
     expect_that!(intent.organisation(&route, None), err(eq(UnknownKey)));
@@ -91,8 +91,8 @@
     expect_that!(route.service(0.0).map(|s| &**s), some(eq("b")));
 }
 
-/// The caller with a new key is refused again after it was served: a watch brings an old version
-/// after a newer one, or the store was restored from a copy. The version in force only grows.
+/// A watch delivers an old version after a newer one, or the store is restored from an older copy. If the
+/// old version came into force, a caller with a new key would be refused after it was served.
 #[gtest]
 fn an_older_version_never_replaces_a_newer_one() {
     expect_that!(compare(None, 3), eq(Offered::Taken));
@@ -101,11 +101,10 @@
     expect_that!(compare(Some(7), 3), eq(Offered::Older { in_force: 7 }));
 }
 
-/// The caller's key is taken away while its instance is cut off from the store: the instance
-/// cannot hear of it, and must stop serving keys before the bound is over, counted from when its
-/// last confirmed read was sent.
+/// A key is revoked while an instance is disconnected from the store. The instance cannot learn of it, and
+/// has to stop serving within the revocation bound, counted from when its last confirmed read was sent.
 #[gtest]
-fn an_instance_that_is_cut_off_stops_serving_before_the_bound() {
+fn a_disconnected_instance_stops_serving_within_the_bound() {
     let mut vouch = Vouch::new(5_000);
     expect_false!(vouch.may_serve(0));
     vouch.confirm(1_000);
@@ -117,7 +116,7 @@
 }
 
 #[gtest]
-fn only_an_instance_that_has_just_started_lets_requests_wait() {
+fn only_an_instance_that_has_just_started_queues_requests() {
     let mut vouch = Vouch::new(5_000);
     expect_true!(vouch.is_starting(100));
     expect_false!(vouch.is_starting(4_000));
@@ -125,8 +124,8 @@
     expect_false!(vouch.is_starting(200));
 }
 
-/// A part behind the first runner dies twice under one request. The route allows two runners; the
-/// first ones of both chains live, so a third one must not run it, but the second may again.
+/// A later stage dies twice during one request, on a route that allows two runners. The first runners of
+/// both chains are alive, so a third one must not run the request, but the second may run it again.
 #[gtest]
 fn a_request_runs_on_no_more_living_runners_than_its_route_allows() {
     let [a, b, c] = ["a", "b", "c"].map(Name::from);
@@ -138,24 +137,24 @@
     expect_false!(attempts.allows(&c, 1, 2, nobody));
     expect_true!(attempts.allows(&b, 1, 2, nobody));
     expect_false!(attempts.allows(&b, 2, 2, nobody));
-    // The first one has ended.
+    // The lifetime of the first runner has ended.
     expect_true!(attempts.allows(&c, 1, 2, |id, _| *id == a));
-    // A refusal takes a runner off the count, unless an earlier send may have run there.
+    // A runner that refused no longer counts, unless an earlier send may have run there.
     attempts.not_run(&b, 1, true);
     expect_false!(attempts.allows(&c, 1, 2, nobody));
     attempts.not_run(&b, 1, false);
     expect_true!(attempts.allows(&c, 1, 2, nobody));
-    // However many end, there is an end.
+    // The number of sends is bounded even if all runners end.
     attempts.sent(&b, 1);
     attempts.sent(&c, 1);
     expect_false!(attempts.allows(&c, 1, 2, |_, _| true));
 }
 
-/// A stream's chain breaks. For how long another run may still go on with it is told by its route: on
-/// one with long pauses the caller waits twice as long, and giving up after the usual time cut streams
-/// that were still awaited.
+/// The chain of a stream breaks, and another run may resume the stream until its caller abandons it. That
+/// time depends on the route: with a large gap objective the caller waits twice as long, and a fixed time
+/// would cut streams that are still awaited.
 #[gtest]
-fn callers_patience_follows_from_the_route() {
+fn the_abandon_time_depends_on_the_route() {
     let route = |objective_ms, pause_ms| Route {
         name: "r".into(),
         prefix: "/".into(),
@@ -188,7 +187,7 @@
 }
 
 #[gtest]
-fn the_emptier_chain_is_chosen_and_the_near_one_preferred() {
+fn the_least_loaded_chain_is_selected_with_preference_for_the_own_domain() {
     let rooms = [room(0, 50_000.0), room(1, 30_000.0)];
     expect_that!(choose(&rooms, 1_000.0, FILL), some(eq(1)));
     let near = Room {
@@ -201,11 +200,11 @@
     );
 }
 
-/// The load of a lost domain comes to the two that are left. What does not fit is turned away:
-/// a chain that takes more than it has room for takes requests back in the middle of their
-/// streams, and everybody is late.
+/// The load of a lost domain moves to the two remaining ones. Requests that do not fit are refused: a chain
+/// that is admitted more than it has room for preempts requests in the middle of their streams, and all
+/// become late.
 #[gtest]
-fn a_full_chain_takes_nothing_more() {
+fn a_full_chain_gets_no_requests() {
     let mut used = 0.0;
     let mut taken = 0;
     while let Some(0) = choose(&[room(0, used)], demand(800, 200), FILL) {
@@ -217,7 +216,7 @@
 }
 
 #[gtest]
-fn a_silent_chain_gets_new_work_only_where_no_other_has_room() {
+fn a_silent_chain_gets_requests_only_if_no_other_has_room() {
     let silent = Room {
         silent_ms: 400,
         ..room(0, 0.0)
@@ -232,10 +231,10 @@
     );
 }
 
-/// A runner whose memory is full refuses sixty requests a second, each of which costs a repeat.
-/// Its chain is left alone for a time that doubles, and its room is taken for smaller.
+/// A runner whose memory is full would refuse sixty requests per second, each of which costs a retry. Its
+/// chain gets no requests during an exponential backoff, and its usable room is reduced.
 #[gtest]
-fn a_chain_that_refuses_is_left_alone_for_longer_each_time() {
+fn a_refusing_chain_gets_an_exponential_backoff() {
     let mut refusals = Refusals::default();
     let mut sent = 0;
     for now in 0..10_000 {
@@ -258,10 +257,10 @@
     expect_that!(choose(&[refusing], 1.0, FILL), none());
 }
 
-/// A failure domain dies and every request fails. All instances together must stay below the
-/// bound on further sends, though none knows what the others spend.
+/// A failure domain dies and every request fails. All instances together have to stay within the bound on
+/// retries, although none knows what the others spend.
 #[gtest]
-fn further_sends_of_all_instances_stay_below_the_bound() {
+fn retries_of_all_instances_stay_within_the_bound() {
     let cfg = SpendingConfig {
         ratio: 0.2,
         slack: 196.0,
@@ -291,11 +290,11 @@
     expect_that!(repeats.len(), ge(500));
 }
 
-/// Two of six instances carry all callers when a chain breaks, twice in ten seconds. Their streams
-/// are cut although the bound over all has room, unless they may use the others' parts. Counts of
-/// the others come 300 ms late.
+/// Two of six instances serve all callers when a chain breaks, twice in 10 s. Unless they may borrow from
+/// the parts of the others, their streams are cut although the total bound is not reached. Counts are
+/// exchanged every 300 ms.
 #[gtest]
-fn instances_that_carry_all_callers_may_use_the_others_parts() {
+fn instances_that_serve_all_callers_may_borrow_retries() {
     let cfg = SpendingConfig {
         ratio: 0.2,
         slack: 196.0,
@@ -311,7 +310,7 @@
             two[1].lend(now, &cfg, counts[0], 6);
         }
         for (at, burst) in [(5_000, 0), (9_000, 1)] {
-            // Sixty streams of each broke, and are resumed within 100 ms.
+            // Sixty streams of each instance broke, and are resumed within 100 ms.
             if (at..at + 100).contains(&now) {
                 let wanted = two
                     .iter_mut()
@@ -325,11 +324,11 @@
     expect_that!(taken[0] + taken[1], le(396));
 }
 
-/// Seventy instances each have some streams through a runner that dies, and all send as often once
-/// more as they may before an exchange tells them what the others did. Together they must stay
-/// within the bound; when each was lent a fourth of what all had left, they sent 983 of 962.
+/// Seventy instances have streams through a runner that dies, and all retry as often as they may before the
+/// next exchange. Together they have to stay within the bound; with a loan of a quarter of the remaining
+/// budget for each they sent 983 retries of 962 allowed.
 #[gtest]
-fn seventy_instances_that_break_at_once_stay_within_the_bound() {
+fn seventy_instances_that_retry_at_once_stay_within_the_bound() {
     let cfg = SpendingConfig {
         ratio: 0.2,
         slack: 326.0,
@@ -357,9 +356,9 @@
     expect_that!(sent as f64, ge(bound * 0.7));
 }
 
-/// What an instance was lent of the others' parts is spent once more by those.
+/// What an instance borrowed has to be subtracted from the parts of the others, which would spend it again.
 #[gtest]
-fn what_was_lent_is_not_spent_twice() {
+fn borrowed_retries_are_not_spent_twice() {
     const INSTANCES: usize = 6;
     let cfg = SpendingConfig {
         ratio: 0.2,
@@ -367,19 +366,19 @@
         window_ms: 10_000,
     };
     let mut all = vec![Spending::default(); INSTANCES];
-    let mut told = vec![Counts::default(); INSTANCES];
+    let mut exchanged = vec![Counts::default(); INSTANCES];
     let (mut requests, mut repeats) = (0, 0);
     for now in (0..10_000u64).step_by(10) {
         if now % 300 == 0 {
             for (i, one) in all.iter_mut().enumerate() {
                 let mut others = Counts::default();
-                let told = told.iter().enumerate().filter(|(j, _)| *j != i);
-                told.for_each(|(_, counts)| others += *counts);
+                let exchanged = exchanged.iter().enumerate().filter(|(j, _)| *j != i);
+                exchanged.for_each(|(_, counts)| others += *counts);
                 one.lend(now, &cfg, others, INSTANCES);
             }
-            told = all.iter_mut().map(|s| s.counts(now, &cfg)).collect();
+            exchanged = all.iter_mut().map(|s| s.counts(now, &cfg)).collect();
         }
-        // Two lose their chains from the third second on, the others a second before the end.
+        // Two instances lose their chains from 3 s on, the others 1 s before the end.
         for (i, one) in all.iter_mut().enumerate() {
             if now % 50 == 0 {
                 one.request(now, &cfg);
@@ -396,7 +395,7 @@
 }
 
 #[gtest]
-fn nothing_is_lent_once_most_is_spent() {
+fn nothing_is_lent_once_most_of_the_budget_is_spent() {
     let cfg = SpendingConfig {
         ratio: 0.2,
         slack: 60.0,
@@ -412,12 +411,12 @@
     let taken = (0..100)
         .filter(|_| one.take(0, &cfg, 6, Need::Owed))
         .count();
-    // Its own part of the fixed number, and no more.
+    // Its own part of the slack, and no more.
     expect_that!(taken, eq(8));
 }
 
 #[gtest]
-fn a_new_lifetime_of_a_runner_is_not_held_against_it() {
+fn a_new_lifetime_of_a_runner_clears_its_state() {
     let mut runners = Runners::default();
     let mut entry = runner("a", "east", "a100");
     runners.put(&entry);
@@ -432,7 +431,7 @@
 }
 
 #[gtest]
-fn plain_runners_that_fail_come_last() {
+fn failing_plain_runners_rank_last() {
     let mut runners = Runners::default();
     for id in ["a", "b"] {
         runners.put(&runner(id, "east", "l4"));
@@ -446,14 +445,14 @@
         ranked[0].id.to_string()
     };
     expect_that!(first(0), eq("b"));
-    // Nothing is sent there any more, so time alone brings it back.
+    // No requests are sent there any more, so the failures have to expire with time.
     expect_that!(first(20_000), eq("a"));
 }
 
-/// A runner that leaves is named by another instance while this one's watch is silent. It gets no
-/// new work from then on; a later lifetime of the same name does.
+/// Another instance reports a leaving runner while the watch of this one is silent. The runner gets no new
+/// requests from then on; a report for another lifetime has no effect.
 #[gtest]
-fn a_runner_that_leaves_is_heard_of_from_others() {
+fn a_leaving_runner_is_reported_by_other_instances() {
     let mut runners = Runners::default();
     let entry = runner("a", "d", "a100");
     runners.put(&entry);
@@ -464,10 +463,10 @@
     expect_false!(runners.usable(&known, 0));
 }
 
-/// Full runners refuse many new requests, and a chain breaks a moment later. What the new ones may
-/// not take is there for the streams; those may take all.
+/// Full runners refuse many new requests, and a chain breaks shortly afterwards. Retries that new requests
+/// may not take are left for broken streams, which may take all.
 #[gtest]
-fn requests_that_can_be_refused_leave_some_repeats_to_those_that_cannot() {
+fn refusable_requests_leave_some_retries_to_others() {
     let cfg = SpendingConfig {
         ratio: 0.2,
         slack: 196.0,
@@ -486,7 +485,7 @@
     expect_that!(owed, ge(10));
     expect_that!(refusable, ge(owed));
 
-    // What others have left is for both as well, down to what is kept.
+    // A loan is available to both as well, except for the reserved part.
     other.lend(0, &cfg, Counts::default(), 6);
     let refusable = (0..1_000).filter(|_| other.take(0, &cfg, 6, Need::Refusable));
     expect_that!(refusable.count(), gt(0));
