--- a/policy/tests/relay_limits.rs
+++ b/policy/tests/relay_limits.rs
@@ -1,4 +1,4 @@
-//! What all instances together send to a runner that names a rate.
+//! Total rate that all instances send to a runner with an announced rate limit.
 
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
@@ -10,14 +10,14 @@
 const STEP_MS: u64 = 10;
 const LENGTH_MS: u64 = 20_000;
 
-/// Time after which a named rate must be kept, length of a window in which it is counted, and what is allowed
-/// there beyond one and a half times the rate.
+/// Time after which an announced rate has to be kept, length of the window in which requests are counted, and
+/// number of requests allowed in it beyond 1.5 times the rate.
 const SETTLES_MS: u64 = 3_000;
 const WINDOW_MS: u64 = 4_000;
 const ALLOWED_BEYOND: f64 = 5.0;
 
-/// Time that a word takes from one instance to another, in milliseconds.
-const WORD_MS: (u64, u64) = (10, 1_200);
+/// Minimum and maximum time until an instance receives a report, in milliseconds.
+const REPORT_DELAY_MS: (u64, u64) = (10, 1_200);
 
 fn lifetime() -> Lifetime {
     Lifetime {
@@ -42,30 +42,30 @@
     }
 }
 
-struct Replay {
+struct Simulation {
     rng: ChaCha8Rng,
     names: Vec<Name>,
     limits: Vec<Limits>,
-    /// When each instance hears of the rate.
-    told_ms: Vec<u64>,
-    /// How likely a request comes to each in a step.
+    /// Time at which each instance receives the rate.
+    informed_ms: Vec<u64>,
+    /// Probability of a request at each instance in a step.
     load: Vec<f64>,
     rate: f64,
     sent_ms: Vec<u64>,
 }
 
-impl Replay {
-    fn of(seed: u64) -> Replay {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = [1, 2, 6, 12, 60, 300][rng.random_range(0..6)];
         let names = (0..count).map(|i| format!("front-{i}").into()).collect();
         let rate = [0.0, 0.4, 2.0, 5.6, 20.0, 80.0][rng.random_range(0..6)];
         let busiest: f64 = rng.random_range(0.02..1.0);
-        Replay {
+        Simulation {
             names,
             limits: vec![Limits::default(); count],
-            told_ms: (0..count)
-                .map(|_| rng.random_range(WORD_MS.0..WORD_MS.1))
+            informed_ms: (0..count)
+                .map(|_| rng.random_range(REPORT_DELAY_MS.0..REPORT_DELAY_MS.1))
                 .collect(),
             load: (0..count).map(|_| rng.random_range(0.0..busiest)).collect(),
             rate,
@@ -74,11 +74,11 @@
         }
     }
 
-    /// Sends to the runner whenever it is allowed, from the time at which the runner names its rate.
-    fn play(mut self) -> Replay {
+    /// Sends to the runner whenever allowed, from the announcement of the rate on.
+    fn run(mut self) -> Simulation {
         for now in (0..LENGTH_MS).step_by(STEP_MS as usize) {
             for i in 0..self.names.len() {
-                if now >= self.told_ms[i] && self.limits[i].is_idle() {
+                if now >= self.informed_ms[i] && self.limits[i].is_idle() {
                     self.limits[i].hear(&statement(Some(self.rate), now), now);
                 }
                 if self.rng.random_bool(self.load[i]) {
@@ -93,7 +93,7 @@
         let fleet = fleet(&self.names[i], &self.names);
         if self.limits[i].allows(&lifetime(), fleet, now) {
             self.limits[i].sent(&lifetime(), fleet, now);
-            // Its answer names the rate again.
+            // The answer announces the rate again.
             self.limits[i].said(&lifetime(), Some(self.rate), now);
             self.sent_ms.push(now);
         }
@@ -113,23 +113,23 @@
     }
 }
 
-/// Each instance keeps to a rate that is meant for all of them.
+/// An announced rate is meant for all instances together, not for each.
 #[gtest]
-fn all_instances_together_keep_to_a_named_rate() {
+fn all_instances_together_keep_to_an_announced_rate() {
     for seed in 0..60 {
-        let ended = Replay::of(seed).play();
+        let ended = Simulation::new(seed).run();
         let most = ended.most_in_a_window() as f64;
         expect_that!(most, le(ended.allowed()), "seed {seed}");
     }
 }
 
-/// The check above can fail: where each takes the whole rate for itself, it does.
+/// The check above fails if each instance applies the total rate to its own requests.
 #[gtest]
-fn instances_that_take_the_whole_rate_each_exceed_it() {
-    let mut alone = Replay::of(0);
+fn instances_that_each_apply_the_total_rate_exceed_it() {
+    let mut alone = Simulation::new(0);
     alone.names = vec!["front-0".into(); 12];
     alone.limits = vec![Limits::default(); 12];
-    alone.told_ms = vec![0; 12];
+    alone.informed_ms = vec![0; 12];
     alone.load = vec![0.5; 12];
     alone.rate = 5.6;
     for now in (0..LENGTH_MS).step_by(STEP_MS as usize) {
@@ -146,24 +146,24 @@
     expect_that!(alone.most_in_a_window() as f64, gt(alone.allowed()));
 }
 
-/// Requests wait at all instances, and the runner idles.
+/// The runner must not idle while requests are queued at all instances.
 #[gtest]
-fn a_named_rate_is_used_where_requests_wait_everywhere() {
+fn an_announced_rate_is_used_up_if_requests_wait_everywhere() {
     for count in [1, 6, 60, 300] {
-        let mut busy = Replay::of(1);
+        let mut busy = Simulation::new(1);
         busy.names = (0..count).map(|i| format!("front-{i}").into()).collect();
         busy.limits = vec![Limits::default(); count];
-        busy.told_ms = vec![0; count];
+        busy.informed_ms = vec![0; count];
         busy.load = vec![1.0; count];
         busy.rate = 5.6;
-        let ended = busy.play();
+        let ended = busy.run();
         let wanted = 0.9 * 5.6 * LENGTH_MS as f64 / 1e3;
         expect_that!(ended.sent_ms.len() as f64, ge(wanted), "{count} instances");
     }
 }
 
 #[gtest]
-fn the_latest_statement_holds_whoever_heard_it() {
+fn the_latest_report_applies_whichever_instance_received_it() {
     let own: Name = "one".into();
     let live = [own.clone()];
     let mut limits = Limits::default();
@@ -173,14 +173,14 @@
 
     expect_true!(limits.hear(&statement(None, 100), 1_200));
     expect_true!(limits.allows(&lifetime(), fleet(&own, &live), 1_210));
-    // Said before, told after.
+    // Announced earlier, received later.
     expect_false!(limits.hear(&statement(Some(2.0), 150), 1_220));
     expect_true!(limits.allows(&lifetime(), fleet(&own, &live), 1_230));
 }
 
-/// A runner that names nothing sensible, or nothing for long, is sent to as before.
+/// Invalid and expired rates do not limit a runner.
 #[gtest]
-fn what_is_no_rate_or_is_old_limits_nothing() {
+fn invalid_and_expired_rates_limit_nothing() {
     let own: Name = "one".into();
     let live = [own.clone()];
     let mut limits = Limits::default();
--- a/policy/tests/relay_loads.rs
+++ b/policy/tests/relay_loads.rs
@@ -1,4 +1,4 @@
-//! What goes round of the loads of a fleet, and what each instance makes of it.
+//! Gossip of loads within and between failure domains, and the totals that each instance computes.
 
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
@@ -8,7 +8,7 @@
 const SERVICE: &str = "pool";
 const DOMAINS: usize = 5;
 
-/// First runners that a busy instance has requests at.
+/// Number of first runners at which an instance has requests.
 const HEADS: u32 = 6;
 
 fn name(domain: usize, i: usize) -> Name {
@@ -23,7 +23,7 @@
     format!("i-{i:08x}").into()
 }
 
-/// A load of `tokens` tokens at each of [`HEADS`] first runners.
+/// Returns a load of `tokens` tokens at each of [`HEADS`] first runners.
 fn load(written_ms: u64, tokens: u32) -> Load {
     let used = (0..HEADS).map(|i| HeadUse {
         service: SERVICE.into(),
@@ -47,8 +47,8 @@
     }
 }
 
-/// Instances of one domain that have exchanged with each other.
-fn settled(d: usize, count: usize, now: Millis) -> Vec<Loads> {
+/// Returns `count` instances of one domain that have exchanged their loads.
+fn exchanged(d: usize, count: usize, now: Millis) -> Vec<Loads> {
     let new = |i| {
         let mut loads = Loads::new(name(d, i), domain(d));
         loads.set_own(load(now, 100), now);
@@ -57,49 +57,55 @@
     let mut all: Vec<Loads> = (0..count).map(new).collect();
     for i in 0..count {
         for j in 0..count {
-            let told = all[i].unasked(true, count - 1, now);
-            all[j].take(&domain(d), told, now);
+            let update = all[i].unasked(true, count - 1, now);
+            all[j].take(&domain(d), update, now);
         }
     }
     all
 }
 
-fn bytes(told: &Told) -> usize {
-    rmp_serde::to_vec(told).expect("a message").len()
+fn bytes(update: &Told) -> usize {
+    rmp_serde::to_vec(update).expect("a message").len()
 }
 
-/// Asked by `asker`, `teller` of domain `d` tells what it lacks.
-fn exchange(asker: &mut Loads, teller: &Loads, d: usize, neighbours: usize, now: Millis) -> Told {
-    let told = teller.lacking(&asker.known(false, now), false, neighbours, now);
-    asker.take(&domain(d), told.clone(), now);
-    told
+/// Sends what `receiver` lacks from `sender` of domain `d`, and applies it.
+fn exchange(
+    receiver: &mut Loads,
+    sender: &Loads,
+    d: usize,
+    neighbours: usize,
+    now: Millis,
+) -> Told {
+    let update = sender.lacking(&receiver.known(false, now), false, neighbours, now);
+    receiver.take(&domain(d), update.clone(), now);
+    update
 }
 
-/// What goes between domains grows with the square of the fleet.
+/// Without sums, the traffic between domains would grow with the square of the fleet.
 #[gtest]
-fn a_tenth_of_the_bytes_of_all_loads_goes_between_domains() {
+fn sums_take_a_tenth_of_the_bytes_of_all_loads() {
     let count = 60;
-    let domains: Vec<Vec<Loads>> = (0..DOMAINS).map(|d| settled(d, count, 1_000)).collect();
-    let mut teller = domains[1][0].clone();
+    let domains: Vec<Vec<Loads>> = (0..DOMAINS).map(|d| exchanged(d, count, 1_000)).collect();
+    let mut sender = domains[1][0].clone();
     for (d, instances) in domains.iter().enumerate().skip(2) {
-        exchange(&mut teller, &instances[0], d, count - 1, 1_000);
+        exchange(&mut sender, &instances[0], d, count - 1, 1_000);
     }
-    let mut asker = domains[0][0].clone();
-    let told = exchange(&mut asker, &teller, 1, count - 1, 1_000);
-    expect_that!(told.members.len(), eq(0));
-    expect_that!(told.domains.len(), eq(DOMAINS - 1));
+    let mut receiver = domains[0][0].clone();
+    let update = exchange(&mut receiver, &sender, 1, count - 1, 1_000);
+    expect_that!(update.members.len(), eq(0));
+    expect_that!(update.domains.len(), eq(DOMAINS - 1));
     let one = Told {
         members: domains[0][1].unasked(true, count - 1, 1_000).members,
         domains: Vec::new(),
     };
-    expect_that!(bytes(&told) * 10, le(bytes(&one) * DOMAINS * count));
+    expect_that!(bytes(&update) * 10, le(bytes(&one) * DOMAINS * count));
 }
 
-/// A neighbour that is counted in a sum as well makes half empty chains look full.
+/// If a neighbour were also counted in a sum, half-empty chains would look full.
 #[gtest]
 fn each_load_counts_once() {
     let (count, now) = (4, 1_000);
-    let domains: Vec<Vec<Loads>> = (0..DOMAINS).map(|d| settled(d, count, now)).collect();
+    let domains: Vec<Vec<Loads>> = (0..DOMAINS).map(|d| exchanged(d, count, now)).collect();
     let mut loads = domains[0][0].clone();
     for (d, instances) in domains.iter().enumerate() {
         exchange(&mut loads, &instances[1], d, count - 1, now);
@@ -115,18 +121,18 @@
     expect_that!(loads.used(SERVICE, "elsewhere"), approx_eq(0.0));
 }
 
-/// A sum that came on a long way takes the place of a younger one.
+/// A sum that was relayed slowly must not replace a younger one.
 #[gtest]
-fn the_younger_sum_counts_whichever_comes_last() {
-    let old = settled(1, 4, 1_000);
+fn the_younger_sum_counts_in_any_order_of_arrival() {
+    let old = exchanged(1, 4, 1_000);
     let mut between = Loads::new(name(2, 0), domain(2));
     exchange(&mut between, &old[0], 1, 3, 1_000);
     let mut young = old.clone();
     for i in 0..4 {
         young[i].set_own(load(2_400, 300), 2_400);
-        let told = young[i].unasked(true, 3, 2_400);
+        let update = young[i].unasked(true, 3, 2_400);
         for other in &mut young {
-            other.take(&domain(1), told.clone(), 2_400);
+            other.take(&domain(1), update.clone(), 2_400);
         }
     }
     let mut loads = Loads::new(name(0, 0), domain(0));
@@ -142,44 +148,44 @@
             .count(),
         eq(0)
     );
-    // Without anything new the sum grows old and counts no more.
+    // Without updates the sum expires.
     loads.count(2_400 + 6_100);
     expect_that!(loads.used(SERVICE, &head(0)), approx_eq(0.0));
 }
 
-/// The sum of an instance that has just started makes full chains look empty to other domains.
+/// A sum by an instance that has just started would make full chains look empty to other domains.
 #[gtest]
-fn who_has_heard_few_of_its_domain_makes_no_sum() {
+fn an_instance_with_few_loads_of_its_domain_sends_no_sum() {
     let mut started = Loads::new(name(0, 0), domain(0));
     started.set_own(load(1_000, 100), 1_000);
     expect_that!(started.unasked(false, 59, 1_000).domains.len(), eq(0));
-    let whole = settled(0, 60, 1_000);
+    let whole = exchanged(0, 60, 1_000);
     expect_that!(whole[0].unasked(false, 59, 1_000).domains.len(), eq(1));
-    // Those that it heard long ago are no better.
+    // Loads that were received long ago do not count.
     expect_that!(whole[0].unasked(false, 59, 4_100).domains.len(), eq(0));
 }
 
-/// Loads that a neighbour has go to it again.
+/// A neighbour must not be sent loads that it already has.
 #[gtest]
-fn a_neighbour_is_told_what_it_lacks() {
-    let mut all = settled(0, 60, 1_000);
+fn a_neighbour_is_sent_only_what_it_lacks() {
+    let mut all = exchanged(0, 60, 1_000);
     all[7].set_own(load(1_200, 500), 1_200);
-    let told = all[7].unasked(true, 59, 1_200);
-    all[1].take(&domain(0), told, 1_200);
-    let told = all[1].lacking(&all[2].known(true, 1_300), true, 59, 1_300);
-    let told: Vec<&str> = told.members.iter().map(|m| &*m.name).collect();
+    let update = all[7].unasked(true, 59, 1_200);
+    all[1].take(&domain(0), update, 1_200);
+    let update = all[1].lacking(&all[2].known(true, 1_300), true, 59, 1_300);
+    let update: Vec<&str> = update.members.iter().map(|m| &*m.name).collect();
     expect_that!(
-        told,
+        update,
         unordered_elements_are![eq(&"front-0-01"), eq(&"front-0-07")]
     );
-    // Who knows nothing is told all.
-    let told = all[1].lacking(&Known::default(), true, 59, 1_300);
-    expect_that!(told.members.len(), eq(60));
+    // An empty digest gets all loads.
+    let update = all[1].lacking(&Known::default(), true, 59, 1_300);
+    expect_that!(update.members.len(), eq(60));
 }
 
-/// An idle instance is taken for gone, or sends the same load again.
+/// An idle instance has to refresh its load before it expires, but not at each round.
 #[gtest]
-fn an_unchanged_load_is_written_anew_before_it_is_too_old() {
+fn an_unchanged_load_is_refreshed_before_it_expires() {
     let mut loads = Loads::new(name(0, 0), domain(0));
     let written = |l: &Loads, now| l.unasked(true, 0, now).members[0].load.written_ms;
     loads.set_own(load(1_000, 100), 1_000);
@@ -191,9 +197,9 @@
     expect_that!(written(&loads, 2_100), eq(2_100));
 }
 
-/// An instance that starts anew with its time of day set back is never heard again.
+/// Loads of an instance that restarts with its clock set back must not be ignored for good.
 #[gtest]
-fn one_whose_clock_was_set_back_is_heard_again() {
+fn an_instance_whose_clock_was_set_back_is_received_again() {
     let mut loads = Loads::new(name(0, 0), domain(0));
     let mut other = Loads::new(name(0, 1), domain(0));
     other.set_own(load(4_000_000, 100), 1_000);
@@ -206,17 +212,17 @@
     expect_that!(loads.used(SERVICE, &head(0)), approx_eq(700.0));
 }
 
-/// Callers are sent to instances of another domain that the store turns away.
+/// Without these flags, callers would be referred to instances of other domains that refuse them.
 #[gtest]
-fn who_refuses_and_who_has_no_store_is_known_in_other_domains() {
+fn refusing_instances_and_those_without_store_are_known_in_other_domains() {
     let now = 1_000;
-    let mut all = settled(1, 6, now);
-    let mut turned_away = load(1_100, 0);
-    turned_away.hears_store = false;
-    turned_away.serves = false;
-    all[4].set_own(turned_away, 1_100);
-    let told = all[4].unasked(true, 5, 1_100);
-    all[0].take(&domain(1), told, 1_100);
+    let mut all = exchanged(1, 6, now);
+    let mut refusing = load(1_100, 0);
+    refusing.hears_store = false;
+    refusing.serves = false;
+    all[4].set_own(refusing, 1_100);
+    let update = all[4].unasked(true, 5, 1_100);
+    all[0].take(&domain(1), update, 1_100);
     let mut loads = Loads::new(name(0, 0), domain(0));
     expect_false!(loads.hears_store(&name(1, 0), &domain(1), 1_100));
     exchange(&mut loads, &all[0], 1, 5, 1_100);
@@ -224,16 +230,16 @@
     expect_false!(loads.hears_store(&name(1, 4), &domain(1), 1_100));
     expect_true!(loads.refuses(&name(1, 4), &domain(1), 1_100));
     expect_false!(loads.refuses(&name(1, 0), &domain(1), 1_100));
-    // Its neighbours know it by itself.
+    // Neighbours know it from the single loads.
     expect_true!(all[0].refuses(&name(1, 4), &domain(1), 1_100));
     expect_true!(all[0].hears_store(&name(1, 1), &domain(1), 1_100));
 }
 
-/// Loads of another domain are counted beside its sum.
+/// Single loads of another domain would be counted in addition to its sum.
 #[gtest]
-fn loads_of_another_domain_are_not_taken_one_by_one() {
+fn single_loads_of_another_domain_are_ignored() {
     let mut loads = Loads::new(name(0, 0), domain(0));
-    let other = &settled(1, 2, 1_000)[0];
+    let other = &exchanged(1, 2, 1_000)[0];
     loads.take(&domain(1), other.unasked(true, 1, 1_000), 1_000);
     expect_that!(loads.used(SERVICE, &head(0)), approx_eq(0.0));
 }
