--- a/plugins/relay/src/admit.rs
+++ b/plugins/relay/src/admit.rs
@@ -68,7 +68,7 @@
     loop {
         let notified = node.room.notified();
         if place.is_first()
-            && let Some(live) = node.choose_chain(rq, rooms::FILL, &may_take)
+            && let Some(live) = node.choose_chain(rq, rooms::MAX_FILL, &may_take)
         {
             return Ok(live);
         }
@@ -130,7 +130,7 @@
             .sum();
         let now = self.node.now();
         let left = until.saturating_sub(now);
-        ahead > self.node.flow.borrow().expected(now, left)
+        ahead > self.node.flow.borrow().expected_release(now, left)
     }
 }
 
--- a/plugins/relay/src/live.rs
+++ b/plugins/relay/src/live.rs
@@ -7,7 +7,7 @@
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::chain::{self, Chain, Stage};
 use jacinthweir_policy::relay::intent::Engine;
-use jacinthweir_policy::relay::rooms::{self, Occupancy, Refusals, Room};
+use jacinthweir_policy::relay::rooms::{self, ChainCandidate, Occupancy, RefusalBackoff};
 use jacinthweir_policy::relay::runners::Runners;
 use jacinthweir_policy::relay::silence::{Gaps, Silence};
 use tokio_util::sync::CancellationToken;
@@ -24,7 +24,7 @@
     pub(crate) chain: Chain,
     pub(crate) silence: RefCell<Silence>,
     pub(crate) gaps: RefCell<Gaps>,
-    pub(crate) refusals: RefCell<Refusals>,
+    pub(crate) refusals: RefCell<RefusalBackoff>,
     /// Tokens in an event: its declared gap is that many steps.
     event_tokens: f64,
     /// Time of a token step with its parts as slow as they are now, in milliseconds.
@@ -251,18 +251,18 @@
                 continue;
             }
             let domain = l.chain.domain.as_ref();
-            rooms.push(Room {
+            rooms.push(ChainCandidate {
                 chain: i,
                 near: domain == Some(&self.settings.failure_domain),
-                room_tokens: l.chain.room_tokens * l.refusals.borrow().scale(),
+                room_tokens: l.chain.room_tokens * l.refusals.borrow().room_scale(),
                 used_tokens: occupancy.used_tokens(&l.chain),
                 silent_ms: l.silence.borrow().silent_ms(now),
-                refusing: l.refusals.borrow().refusing(now),
-                pause_share: l.gaps.borrow().expected_ms(now) / rq.pause_ms.max(1) as f64,
+                backing_off: l.refusals.borrow().is_backing_off(now),
+                gap_share: l.gaps.borrow().expected_ms(now) / rq.pause_ms.max(1) as f64,
             });
         }
         let deciders = self.instances();
-        let chosen = rooms::choose_among(&rooms, tokens, fill, deciders, || self.draw());
+        let chosen = rooms::select_sampled(&rooms, tokens, fill, deciders, || self.draw());
         chosen.map(|i| Rc::clone(&live[i]))
     }
 }
@@ -349,7 +349,10 @@
     fn drop(&mut self) {
         self.has_read();
         let now = self.node.now();
-        self.node.flow.borrow_mut().released(now, self.tokens);
+        self.node
+            .flow
+            .borrow_mut()
+            .record_released(now, self.tokens);
         self.live.used.set(self.live.used.get() - self.tokens);
         self.live.silence.borrow_mut().ended();
         self.node.room.notify_waiters();
--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -19,7 +19,7 @@
 use jacinthweir_policy::relay::loads::Loads;
 use jacinthweir_policy::relay::quarantine::Quarantine;
 use jacinthweir_policy::relay::revision::Revision;
-use jacinthweir_policy::relay::rooms::{Flow, Shortage};
+use jacinthweir_policy::relay::rooms::{ReleaseRate, Shortage};
 use jacinthweir_policy::relay::runners::Runners;
 use jacinthweir_policy::relay::spending::{Counts, Spending, SpendingConfig};
 use jacinthweir_policy::relay::vouch::Vouch;
@@ -113,7 +113,7 @@
     /// Tokens of the requests that wait for room, in the order in which they get it.
     pub(crate) queue: RefCell<BTreeMap<(u32, u64), f64>>,
     /// How fast room comes free.
-    pub(crate) flow: RefCell<Flow>,
+    pub(crate) flow: RefCell<ReleaseRate>,
     pub(crate) shortage: RefCell<Shortage>,
     /// Room came free, or chains changed.
     pub(crate) room: Notify,
--- a/plugins/relay/src/stream.rs
+++ b/plugins/relay/src/stream.rs
@@ -80,7 +80,10 @@
 }
 
 fn refuse(node: &Node, rq: &Proxied, journal: Journal, cause: Cause) -> Response<RelayBody> {
-    let retry_after_ms = node.shortage.borrow_mut().refused(node.now(), node.draw());
+    let retry_after_ms = node
+        .shortage
+        .borrow_mut()
+        .record_refused(node.now(), node.draw());
     rq.not_answered(node, journal, cause, retry_after_ms)
 }
 
@@ -408,7 +411,7 @@
     fn next_chain(&self) -> Option<Rc<LiveChain>> {
         let may_take = |live: &LiveChain| self.tried.may_take(&self.node, &self.rq, live);
         self.node
-            .choose_chain(&self.rq, rooms::FILL_RESUMED, may_take)
+            .choose_chain(&self.rq, rooms::MAX_FILL_RESUMED, may_take)
     }
 
     fn resumed(&mut self, passage: Passage, res: Response<AnswerBody>, cause: &str) {
--- a/plugins/relay/src/tried.rs
+++ b/plugins/relay/src/tried.rs
@@ -116,14 +116,14 @@
     };
     match sent {
         Ok(Sent::Answer(res)) => {
-            live.refusals.borrow_mut().taken(node.now());
+            live.refusals.borrow_mut().record_accepted(node.now());
             Opened::Stream(passage, res)
         }
         Ok(Sent::NotRun { status, at_fault }) => {
             let at_fault_shown = at_fault.map_or_else(String::new, |a| a.to_string());
             let cause = format!("{status} at {at_fault_shown}");
             log_attempt(rq, live, "not run", &cause);
-            live.refusals.borrow_mut().refused(node.now());
+            live.refusals.borrow_mut().record_refused(node.now());
             if let Some(address) = at_fault.filter(|_| status == StatusCode::MISDIRECTED_REQUEST) {
                 misreported(node, address);
             }
--- a/policy/examples/relay_cost.rs
+++ b/policy/examples/relay_cost.rs
@@ -12,7 +12,7 @@
 
 use jacinthweir_policy::relay::chain::chains;
 use jacinthweir_policy::relay::placement::plan;
-use jacinthweir_policy::relay::rooms::{FILL, Room, choose};
+use jacinthweir_policy::relay::rooms::{ChainCandidate, MAX_FILL, select};
 use jacinthweir_policy::relay::runners::Runners;
 use support::{SERVICE, apply_moves, engine, runner};
 
@@ -60,21 +60,21 @@
         runners.remove(&"runner-0".into(), 0);
         let (_, repair) = timed(|| plan(&runners, SERVICE, &engine, &none, 0));
         let (all_chains, chain_time) = timed(|| chains(&runners, SERVICE, &engine, 0));
-        let rooms: Vec<Room> = (0..all_chains.len())
-            .map(|chain| Room {
+        let candidates: Vec<ChainCandidate> = (0..all_chains.len())
+            .map(|chain| ChainCandidate {
                 chain,
                 near: chain == 0,
                 room_tokens: 100_000.0,
                 used_tokens: 1_000.0 * chain as f64,
                 silent_ms: 0,
-                refusing: false,
-                pause_share: 0.0,
+                backing_off: false,
+                gap_share: 0.0,
             })
             .collect();
         let selections = 10_000;
         let (_, selection_time) = timed(|| {
             for i in 0..selections {
-                std::hint::black_box(choose(&rooms, f64::from(i % 1_000), FILL));
+                std::hint::black_box(select(&candidates, f64::from(i % 1_000), MAX_FILL));
             }
         });
         println!(
--- a/policy/src/relay/rooms.rs
+++ b/policy/src/relay/rooms.rs
@@ -16,12 +16,12 @@
 
 /// Share of a chain's room that new requests may fill by their estimates. Beyond it the chain
 /// preempts requests of its batch.
-pub const FILL: f64 = 1.0;
+pub const MAX_FILL: f64 = 1.0;
 
 /// Fill limit for requests that resume after their chain broke. It is higher than that of new
 /// requests: part of their work is done, and new requests would otherwise take the room that is
 /// released before they retry.
-pub const FILL_RESUMED: f64 = 1.1;
+pub const MAX_FILL_RESUMED: f64 = 1.1;
 
 /// Penalty of a chain in another failure domain, as a share of its room: it is preferred only if it
 /// is emptier by more than this. Requests and events are small, but traffic between failure domains
@@ -69,7 +69,7 @@
 
 /// The state of a chain that selection depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Room {
+pub struct ChainCandidate {
     /// Index of the chain.
     pub chain: usize,
     /// Whether it is in the failure domain of this instance.
@@ -81,9 +81,9 @@
     /// Time without a byte while requests are waiting, in milliseconds.
     pub silent_ms: Millis,
     /// Whether it is backing off after a refusal.
-    pub refusing: bool,
+    pub backing_off: bool,
     /// Inter-token gap of its streams, as a share of the largest gap that is in time.
-    pub pause_share: f64,
+    pub gap_share: f64,
 }
 
 /// Initial and maximum backoff of a chain after a refusal, in milliseconds; it doubles with each
@@ -101,15 +101,15 @@
 
 /// Exponential backoff of a chain that refuses requests, and the scale of its usable room.
 #[derive(Clone, Copy, Debug)]
-pub struct Refusals {
+pub struct RefusalBackoff {
     count: u32,
     until_ms: Millis,
     scale: f64,
 }
 
-impl Default for Refusals {
+impl Default for RefusalBackoff {
     fn default() -> Self {
-        Refusals {
+        RefusalBackoff {
             count: 0,
             until_ms: 0,
             scale: 1.0,
@@ -117,10 +117,10 @@
     }
 }
 
-impl Refusals {
+impl RefusalBackoff {
     /// Records a refusal at `now`. Refusals during the backoff, of requests that were sent before it
     /// began, count as one.
-    pub fn refused(&mut self, now: Millis) {
+    pub fn record_refused(&mut self, now: Millis) {
         if now < self.until_ms {
             return;
         }
@@ -131,7 +131,7 @@
     }
 
     /// Records an accepted request at `now`.
-    pub fn taken(&mut self, now: Millis) {
+    pub fn record_accepted(&mut self, now: Millis) {
         if now >= self.until_ms {
             self.count = 0;
         }
@@ -140,13 +140,13 @@
 
     /// Returns the share of the chain's room that estimates may fill.
     #[must_use]
-    pub fn scale(&self) -> f64 {
+    pub fn room_scale(&self) -> f64 {
         self.scale
     }
 
     /// Returns whether the chain gets no requests at `now`.
     #[must_use]
-    pub fn refusing(&self, now: Millis) -> bool {
+    pub fn is_backing_off(&self, now: Millis) -> bool {
         now < self.until_ms
     }
 }
@@ -155,10 +155,10 @@
 /// milliseconds.
 const SUSPECT_AFTER_MS: Millis = 200;
 
-impl Room {
+impl ChainCandidate {
     /// Returns whether a request of `tokens` tokens fits within the share `fill` of the room.
     fn fits(&self, tokens: f64, fill: f64) -> bool {
-        !self.refusing && self.used_tokens + tokens <= self.room_tokens * fill
+        !self.backing_off && self.used_tokens + tokens <= self.room_tokens * fill
     }
 
     /// Returns the used share of the room with `tokens` more tokens.
@@ -177,7 +177,7 @@
     /// exceeds the gap objective on nearly all of its streams while it still has room. So its share is
     /// reduced before its gaps reach the objective.
     fn timeliness(&self) -> f64 {
-        let left = (LATE_SHARE - self.pause_share) / (LATE_SHARE - TIMELY_SHARE);
+        let left = (LATE_SHARE - self.gap_share) / (LATE_SHARE - TIMELY_SHARE);
         left.clamp(0.0, 1.0)
     }
 }
@@ -189,17 +189,17 @@
 
 /// Returns the least loaded chain with room for a request of `tokens` tokens within the share `fill`.
 #[must_use]
-pub fn choose(rooms: &[Room], tokens: f64, fill: f64) -> Option<usize> {
-    let rank = |r: &Room| {
-        let remote = if r.near { 0.0 } else { REMOTE_PENALTY };
-        let suspected = if r.is_suspected() { 10.0 } else { 0.0 };
-        r.fill_with(tokens) + remote + suspected
+pub fn select(candidates: &[ChainCandidate], tokens: f64, fill: f64) -> Option<usize> {
+    let rank = |c: &ChainCandidate| {
+        let remote = if c.near { 0.0 } else { REMOTE_PENALTY };
+        let suspected = if c.is_suspected() { 10.0 } else { 0.0 };
+        c.fill_with(tokens) + remote + suspected
     };
-    let best = rooms
+    let best = candidates
         .iter()
-        .filter(|r| r.fits(tokens, fill))
+        .filter(|c| c.fits(tokens, fill))
         .min_by(|a, b| rank(a).total_cmp(&rank(b)));
-    best.map(|r| r.chain)
+    best.map(|c| c.chain)
 }
 
 /// Number of instances up to which each considers all chains; in a fleet of this size loads are known
@@ -213,7 +213,7 @@
 /// Lower bound of the weight factors for free room and timeliness, as long as a chain has room.
 const MIN_WEIGHT: f64 = 0.05;
 
-/// Returns a chain as [`choose`] does, from a random sample that shrinks with the number of instances
+/// Returns a chain as [`select`] does, from a random sample that shrinks with the number of instances
 /// that decide independently (`deciders`); `draw` gives random numbers from 0 to 1.
 ///
 /// Load pattern: hundreds of instances know each other's load with a delay of a second. If each takes
@@ -221,36 +221,36 @@
 /// requests that it has room for, which queue for seconds while other chains are half empty. The better
 /// of two random chains is still the same one too often. So the more instances decide, the fewer chains
 /// each considers, down to one, drawn with a probability that grows with its free room.
-pub fn choose_among(
-    rooms: &[Room],
+pub fn select_sampled(
+    candidates: &[ChainCandidate],
     tokens: f64,
     fill: f64,
     deciders: usize,
     mut draw: impl FnMut() -> f64,
 ) -> Option<usize> {
     if deciders <= FULL_SCAN_INSTANCES {
-        return choose(rooms, tokens, fill);
+        return select(candidates, tokens, fill);
     }
-    let fitting = rooms.iter().filter(|r| r.fits(tokens, fill));
+    let fitting = candidates.iter().filter(|c| c.fits(tokens, fill));
     let mut drawn: Vec<(f64, Room)> = fitting
-        .map(|r| (-(1.0 - draw()).ln() / draw_weight(r, tokens), *r))
+        .map(|c| (-(1.0 - draw()).ln() / draw_weight(c, tokens), *c))
         .collect();
     drawn.sort_by(|a, b| a.0.total_cmp(&b.0));
     let sample = drawn.len() * FULL_SCAN_INSTANCES / deciders;
     drawn.truncate(sample.max(1));
-    let drawn: Vec<Room> = drawn.into_iter().map(|(_, room)| room).collect();
-    choose(&drawn, tokens, fill)
+    let drawn: Vec<ChainCandidate> = drawn.into_iter().map(|(_, candidate)| candidate).collect();
+    select(&drawn, tokens, fill)
 }
 
-fn draw_weight(room: &Room, tokens: f64) -> f64 {
-    let free = (1.0 - room.fill_with(tokens)).max(MIN_WEIGHT);
-    let near = if room.near { NEAR_WEIGHT } else { 1.0 };
-    let suspected = if room.is_suspected() {
+fn draw_weight(candidate: &ChainCandidate, tokens: f64) -> f64 {
+    let free = (1.0 - candidate.fill_with(tokens)).max(MIN_WEIGHT);
+    let near = if candidate.near { NEAR_WEIGHT } else { 1.0 };
+    let suspected = if candidate.is_suspected() {
         SUSPECT_WEIGHT
     } else {
         1.0
     };
-    let timely = room.timeliness().max(MIN_WEIGHT);
+    let timely = candidate.timeliness().max(MIN_WEIGHT);
     free * near * suspected * timely
 }
 
@@ -263,14 +263,14 @@
 /// behind more tokens than are released within its maximum waiting time would wait in vain and be
 /// refused late; with the expected release it is refused at once.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Flow {
+pub struct ReleaseRate {
     tokens: f64,
     at_ms: Millis,
 }
 
-impl Flow {
+impl ReleaseRate {
     /// Records that a request of `tokens` tokens ended at `now`.
-    pub fn released(&mut self, now: Millis, tokens: f64) {
+    pub fn record_released(&mut self, now: Millis, tokens: f64) {
         self.tokens = self.recent(now) + tokens;
         self.at_ms = now;
     }
@@ -282,7 +282,7 @@
 
     /// Returns the number of tokens that are expected to be released within `ms` milliseconds.
     #[must_use]
-    pub fn expected(&self, now: Millis, ms: Millis) -> f64 {
+    pub fn expected_release(&self, now: Millis, ms: Millis) -> f64 {
         self.recent(now) * ms as f64 / RELEASE_AVERAGE_MS
     }
 }
@@ -310,7 +310,7 @@
     /// Records that a request is refused for lack of room at `now`, and returns the retry delay for its
     /// caller, in milliseconds. `draw` is a random number from 0 to 1 for the jitter, so that callers
     /// that are refused together do not retry together.
-    pub fn refused(&mut self, now: Millis, draw: f64) -> Millis {
+    pub fn record_refused(&mut self, now: Millis, draw: f64) -> Millis {
         let continues = self.last_ms.is_some_and(|at| now < at + SHORTAGE_END_MS);
         if !continues {
             self.since_ms = now;
--- a/policy/tests/relay_load.rs
+++ b/policy/tests/relay_load.rs
@@ -3,7 +3,9 @@
 use std::collections::VecDeque;
 
 use googletest::prelude::*;
-use jacinthweir_policy::relay::rooms::{FILL, Flow, Room, Shortage, choose, choose_among};
+use jacinthweir_policy::relay::rooms::{
+    ChainCandidate, MAX_FILL, ReleaseRate, Shortage, select, select_sampled,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -26,14 +28,14 @@
 /// Simulates one request every `every_ms` for 20 s. With `foresee`, a request that would wait in vain is
 /// refused at once.
 fn simulate(every_ms: u64, foresee: bool) -> Outcome {
-    let mut flow = Flow::default();
+    let mut flow = ReleaseRate::default();
     let mut running: VecDeque<u64> = VecDeque::new();
     let mut queue: VecDeque<u64> = VecDeque::new();
     let mut outcome = Outcome::default();
     for now in 0..20_000 {
         while running.front().is_some_and(|ends| *ends <= now) {
             running.pop_front();
-            flow.released(now, TOKENS);
+            flow.record_released(now, TOKENS);
         }
         while queue.front().is_some_and(|came| now >= came + WAITS_MS) {
             queue.pop_front();
@@ -42,7 +44,7 @@
         }
         if now % every_ms == 0 {
             let ahead = queue.len() as f64 * TOKENS;
-            if foresee && ahead > flow.expected(now, WAITS_MS) {
+            if foresee && ahead > flow.expected_release(now, WAITS_MS) {
                 outcome.refused += 1;
             } else {
                 queue.push_back(now);
@@ -83,18 +85,18 @@
 #[gtest]
 fn retry_delays_grow_with_a_shortage() {
     let mut shortage = Shortage::default();
-    let first = shortage.refused(10_000, 0.0);
+    let first = shortage.record_refused(10_000, 0.0);
     let mut last = first;
     for now in (10_000..16_000).step_by(100) {
-        let delay = shortage.refused(now, 0.0);
+        let delay = shortage.record_refused(now, 0.0);
         expect_that!(delay, ge(last));
         last = delay;
     }
     expect_that!(last, ge(2 * first));
-    expect_that!(shortage.refused(16_000, 0.9), gt(last));
+    expect_that!(shortage.record_refused(16_000, 0.9), gt(last));
     // A third of the time that a caller has in total.
     expect_that!(last, le(6_600));
-    expect_that!(shortage.refused(30_000, 0.0), eq(first));
+    expect_that!(shortage.record_refused(30_000, 0.0), eq(first));
 }
 
 /// Chains of each remaining domain, number of remaining domains, and number of domains with callers.
@@ -108,7 +110,7 @@
 
 /// Returns the maximum fill of any chain, as a share of its room, if each instance selects by the load that
 /// it received last; 400 requests per second arrive, three fifths of the capacity.
-fn fullest(mut choice: impl FnMut(&[Room]) -> Option<usize>) -> f64 {
+fn fullest(mut choice: impl FnMut(&[ChainCandidate]) -> Option<usize>) -> f64 {
     let chains = CHAINS * DOMAINS_LEFT;
     let mut used = vec![0.0; chains];
     let mut known = vec![used.clone(); INSTANCES];
@@ -128,17 +130,17 @@
         while came < now * 400 / 1_000 {
             came += 1;
             let instance = came as usize * 7 % INSTANCES;
-            let room = |chain: usize| Room {
+            let room = |chain: usize| ChainCandidate {
                 chain,
                 near: chain / CHAINS == instance % DOMAINS,
                 room_tokens: ROOM,
                 used_tokens: known[instance][chain],
                 silent_ms: 0,
-                refusing: false,
-                pause_share: 0.0,
+                backing_off: false,
+                gap_share: 0.0,
             };
-            let rooms: Vec<Room> = (0..chains).map(room).collect();
-            if let Some(chain) = choice(&rooms) {
+            let candidates: Vec<ChainCandidate> = (0..chains).map(room).collect();
+            if let Some(chain) = choice(&candidates) {
                 used[chain] += TOKENS;
                 known[instance][chain] += TOKENS;
                 running.push_back((now + RUNS_MS, chain));
@@ -155,8 +157,9 @@
 #[gtest]
 fn many_instances_do_not_all_select_the_least_loaded_chain() {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let least_loaded = fullest(|rooms| choose(rooms, TOKENS, FILL));
-    let sampled = fullest(|rooms| choose_among(rooms, TOKENS, FILL, 300, || rng.random()));
+    let least_loaded = fullest(|candidates| select(candidates, TOKENS, MAX_FILL));
+    let sampled =
+        fullest(|candidates| select_sampled(candidates, TOKENS, MAX_FILL, 300, || rng.random()));
     expect_that!(least_loaded, ge(1.5));
     expect_that!(sampled, le(1.0));
 }
@@ -166,18 +169,18 @@
 fn few_instances_select_the_least_loaded_chain() {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     for used in 1..20 {
-        let room = |chain: usize| Room {
+        let room = |chain: usize| ChainCandidate {
             chain,
             near: chain == 0,
             room_tokens: ROOM,
             used_tokens: 4_000.0 * ((chain * used) % 7) as f64,
             silent_ms: 0,
-            refusing: false,
-            pause_share: 0.0,
+            backing_off: false,
+            gap_share: 0.0,
         };
-        let rooms: Vec<Room> = (0..8).map(room).collect();
-        let sampled = choose_among(&rooms, TOKENS, FILL, 6, || rng.random());
-        expect_that!(sampled, eq(choose(&rooms, TOKENS, FILL)));
+        let candidates: Vec<ChainCandidate> = (0..8).map(room).collect();
+        let sampled = select_sampled(&candidates, TOKENS, MAX_FILL, 6, || rng.random());
+        expect_that!(sampled, eq(select(&candidates, TOKENS, MAX_FILL)));
     }
 }
 
@@ -214,17 +217,17 @@
             continue;
         }
         came += 1;
-        let room = |chain: usize| Room {
+        let room = |chain: usize| ChainCandidate {
             chain,
             near: chain / CHAINS == came as usize % DOMAINS,
             room_tokens: ROOM,
             used_tokens: streams[chain] as f64 * TOKENS,
             silent_ms: 0,
-            refusing: false,
-            pause_share: known_gaps[chain] / LATE_MS,
+            backing_off: false,
+            gap_share: known_gaps[chain] / LATE_MS,
         };
-        let rooms: Vec<Room> = (0..chains).map(room).collect();
-        if let Some(chain) = choose_among(&rooms, TOKENS, FILL, 300, || rng.random()) {
+        let candidates: Vec<ChainCandidate> = (0..chains).map(room).collect();
+        if let Some(chain) = select_sampled(&candidates, TOKENS, MAX_FILL, 300, || rng.random()) {
             streams[chain] += 1;
             let gap = gap_ms(chain, streams[chain]);
             late += u32::from(gap > LATE_MS);
--- a/policy/tests/relay_rules.rs
+++ b/policy/tests/relay_rules.rs
@@ -11,7 +11,7 @@
 use jacinthweir_policy::relay::intent::{
     CallClass, Intent, Offered, Organisation, Route, UnknownKey, compare,
 };
-use jacinthweir_policy::relay::rooms::{FILL, Refusals, Room, choose, demand};
+use jacinthweir_policy::relay::rooms::{ChainCandidate, MAX_FILL, RefusalBackoff, demand, select};
 use jacinthweir_policy::relay::runners::Runners;
 use jacinthweir_policy::relay::spending::{Counts, Spending, SpendingConfig};
 use jacinthweir_policy::relay::vouch::Vouch;
@@ -174,28 +174,28 @@
     expect_that!(route(600, None).patience_ms(), eq(4_800));
 }
 
-fn room(chain: usize, used_tokens: f64) -> Room {
-    Room {
+fn room(chain: usize, used_tokens: f64) -> ChainCandidate {
+    ChainCandidate {
         chain,
         near: false,
         room_tokens: 100_000.0,
         used_tokens,
         silent_ms: 0,
-        refusing: false,
-        pause_share: 0.0,
+        backing_off: false,
+        gap_share: 0.0,
     }
 }
 
 #[gtest]
 fn the_least_loaded_chain_is_selected_with_preference_for_the_own_domain() {
-    let rooms = [room(0, 50_000.0), room(1, 30_000.0)];
-    expect_that!(choose(&rooms, 1_000.0, FILL), some(eq(1)));
-    let near = Room {
+    let candidates = [room(0, 50_000.0), room(1, 30_000.0)];
+    expect_that!(select(&candidates, 1_000.0, MAX_FILL), some(eq(1)));
+    let near = ChainCandidate {
         near: true,
         ..room(0, 40_000.0)
     };
     expect_that!(
-        choose(&[near, room(1, 30_000.0)], 1_000.0, FILL),
+        select(&[near, room(1, 30_000.0)], 1_000.0, MAX_FILL),
         some(eq(0))
     );
 }
@@ -207,26 +207,26 @@
 fn a_full_chain_gets_no_requests() {
     let mut used = 0.0;
     let mut taken = 0;
-    while let Some(0) = choose(&[room(0, used)], demand(800, 200), FILL) {
+    while let Some(0) = select(&[room(0, used)], demand(800, 200), MAX_FILL) {
         used += demand(800, 200);
         taken += 1;
     }
-    expect_that!(used, le(100_000.0 * FILL));
+    expect_that!(used, le(100_000.0 * MAX_FILL));
     expect_that!(taken, ge(100));
 }
 
 #[gtest]
 fn a_silent_chain_gets_requests_only_if_no_other_has_room() {
-    let silent = Room {
+    let silent = ChainCandidate {
         silent_ms: 400,
         ..room(0, 0.0)
     };
     expect_that!(
-        choose(&[silent, room(1, 90_000.0)], 1_000.0, FILL),
+        select(&[silent, room(1, 90_000.0)], 1_000.0, MAX_FILL),
         some(eq(1))
     );
     expect_that!(
-        choose(&[silent, room(1, 100_000.0)], 1_000.0, FILL),
+        select(&[silent, room(1, 100_000.0)], 1_000.0, MAX_FILL),
         some(eq(0))
     );
 }
@@ -235,26 +235,26 @@
 /// chain gets no requests during an exponential backoff, and its usable room is reduced.
 #[gtest]
 fn a_refusing_chain_gets_an_exponential_backoff() {
-    let mut refusals = Refusals::default();
+    let mut refusals = RefusalBackoff::default();
     let mut sent = 0;
     for now in 0..10_000 {
-        if !refusals.refusing(now) {
-            refusals.refused(now);
+        if !refusals.is_backing_off(now) {
+            refusals.record_refused(now);
             sent += 1;
         }
     }
     expect_that!(sent, le(12));
-    expect_that!(refusals.scale(), lt(1.0));
+    expect_that!(refusals.room_scale(), lt(1.0));
     for now in 20_000..21_000 {
-        refusals.taken(now);
+        refusals.record_accepted(now);
     }
-    expect_that!(refusals.scale(), eq(1.0));
-    let refusing = Room {
-        refusing: true,
-        pause_share: 0.0,
+    expect_that!(refusals.room_scale(), eq(1.0));
+    let refusing = ChainCandidate {
+        backing_off: true,
+        gap_share: 0.0,
         ..room(0, 0.0)
     };
-    expect_that!(choose(&[refusing], 1.0, FILL), none());
+    expect_that!(select(&[refusing], 1.0, MAX_FILL), none());
 }
 
 /// A failure domain dies and every request fails. All instances together have to stay within the bound on
