--- a/plugins/relay/src/admit.rs
+++ b/plugins/relay/src/admit.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::relay::rooms;
+use jacinthweir_policy::relay::chain_selection;
 use tokio::time::timeout;
 
 use crate::answer::{Cause, Journal};
@@ -38,7 +38,7 @@
 /// Tokens that a request takes.
 pub(crate) fn tokens(rq: &Proxied) -> f64 {
     let (prompt, answer) = declared(rq);
-    rooms::demand(prompt, answer)
+    chain_selection::demand(prompt, answer)
 }
 
 /// Until when a request waits for room.
@@ -68,7 +68,7 @@
     loop {
         let notified = node.room.notified();
         if place.is_first()
-            && let Some(live) = node.choose_chain(rq, rooms::MAX_FILL, &may_take)
+            && let Some(live) = node.choose_chain(rq, chain_selection::MAX_FILL, &may_take)
         {
             return Ok(live);
         }
--- a/plugins/relay/src/live.rs
+++ b/plugins/relay/src/live.rs
@@ -6,8 +6,8 @@
 
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::chain::{self, Chain, Stage};
+use jacinthweir_policy::relay::chain_selection::{self, ChainCandidate, Occupancy, RefusalBackoff};
 use jacinthweir_policy::relay::intent::Engine;
-use jacinthweir_policy::relay::rooms::{self, ChainCandidate, Occupancy, RefusalBackoff};
 use jacinthweir_policy::relay::runners::Runners;
 use jacinthweir_policy::relay::silence::{Gaps, Silence};
 use tokio_util::sync::CancellationToken;
@@ -262,7 +262,8 @@
             });
         }
         let deciders = self.instances();
-        let chosen = rooms::select_sampled(&rooms, tokens, fill, deciders, || self.draw());
+        let chosen =
+            chain_selection::select_sampled(&rooms, tokens, fill, deciders, || self.draw());
         chosen.map(|i| Rc::clone(&live[i]))
     }
 }
--- a/plugins/relay/src/stream.rs
+++ b/plugins/relay/src/stream.rs
@@ -14,7 +14,7 @@
 use jacinthweir_platform::{header, runner};
 use jacinthweir_policy::need::Need;
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::relay::rooms;
+use jacinthweir_policy::relay::chain_selection;
 use tokio::time::{sleep, timeout};
 
 use crate::admit::{self, Place};
@@ -411,7 +411,7 @@
     fn next_chain(&self) -> Option<Rc<LiveChain>> {
         let may_take = |live: &LiveChain| self.tried.may_take(&self.node, &self.rq, live);
         self.node
-            .choose_chain(&self.rq, rooms::MAX_FILL_RESUMED, may_take)
+            .choose_chain(&self.rq, chain_selection::MAX_FILL_RESUMED, may_take)
     }
 
     fn resumed(&mut self, passage: Passage, res: Response<AnswerBody>, cause: &str) {
--- a/policy/examples/relay_cost.rs
+++ b/policy/examples/relay_cost.rs
@@ -11,8 +11,8 @@
 use std::time::Instant;
 
 use jacinthweir_policy::relay::chain::chains;
+use jacinthweir_policy::relay::chain_selection::{ChainCandidate, MAX_FILL, select};
 use jacinthweir_policy::relay::placement::plan;
-use jacinthweir_policy::relay::rooms::{ChainCandidate, MAX_FILL, select};
 use jacinthweir_policy::relay::runners::Runners;
 use support::{SERVICE, apply_moves, engine, runner};
 
--- a/policy/src/relay.rs
+++ b/policy/src/relay.rs
@@ -14,7 +14,7 @@
 //! | [`lease`] | which instance gives orders |
 //! | [`silence`] | when a chain has fallen silent |
 //! | [`words`] | whether a runner is dead that others found dead, and who asks it |
-//! | [`rooms`] | which chain a request is sent to, or whether it waits or is refused |
+//! | [`chain_selection`] | which chain a request is sent to, or whether it waits or is refused |
 //! | [`limits`] | which share of a runner's announced rate limit an instance may use |
 //! | [`loads`] | what all instances have in flight, and which of it is gossiped |
 //! | [`attempts`] | on which runners, and how often, one request may be tried |
@@ -26,6 +26,7 @@
 
 pub mod attempts;
 pub mod chain;
+pub mod chain_selection;
 pub mod fingerprint;
 pub mod following;
 pub mod intent;
@@ -37,7 +38,6 @@
 pub mod quarantine;
 mod ranks;
 pub mod revision;
-pub mod rooms;
 pub mod runners;
 pub mod silence;
 pub mod spending;
--- a/policy/tests/relay_load.rs
+++ b/policy/tests/relay_load.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use googletest::prelude::*;
-use jacinthweir_policy::relay::rooms::{
+use jacinthweir_policy::relay::chain_selection::{
     ChainCandidate, MAX_FILL, ReleaseRate, Shortage, select, select_sampled,
 };
 use rand::{RngExt, SeedableRng};
--- a/policy/tests/relay_rules.rs
+++ b/policy/tests/relay_rules.rs
@@ -8,10 +8,12 @@
 use jacinthweir_policy::need::Need;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::attempts::Attempts;
+use jacinthweir_policy::relay::chain_selection::{
+    ChainCandidate, MAX_FILL, RefusalBackoff, demand, select,
+};
 use jacinthweir_policy::relay::intent::{
     CallClass, Intent, Offered, Organisation, Route, UnknownKey, compare,
 };
-use jacinthweir_policy::relay::rooms::{ChainCandidate, MAX_FILL, RefusalBackoff, demand, select};
 use jacinthweir_policy::relay::runners::Runners;
 use jacinthweir_policy::relay::spending::{Counts, Spending, SpendingConfig};
 use jacinthweir_policy::relay::vouch::Vouch;
