--- a/plugins/relay/src/live.rs
+++ b/plugins/relay/src/live.rs
@@ -242,7 +242,7 @@
         for ((of, head), (stages, _)) in chains.paths.iter().filter(|((s, _), _)| s == service) {
             let own = chains.used.get(&(of.clone(), head.clone()));
             let own = own.map_or(0.0, |used| used.get());
-            occupancy.add(stages, own + loads.used(service, head));
+            occupancy.add(stages, own + loads.used_tokens(service, head));
         }
         let mut rooms = Vec::with_capacity(live.len());
         for (i, l) in live.iter().enumerate() {
--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -17,7 +17,7 @@
 use jacinthweir_policy::relay::intent::{self, Intent, Offered};
 use jacinthweir_policy::relay::lease::Lease;
 use jacinthweir_policy::relay::limits::Limits;
-use jacinthweir_policy::relay::loads::Loads;
+use jacinthweir_policy::relay::loads::LoadTable;
 use jacinthweir_policy::relay::quarantine::Quarantine;
 use jacinthweir_policy::relay::revision::Revision;
 use jacinthweir_policy::relay::runners::Runners;
@@ -106,7 +106,7 @@
     pub(crate) listed: Cell<bool>,
     pub(crate) chains: RefCell<Chains>,
     pub(crate) membership: RefCell<Membership>,
-    pub(crate) loads: RefCell<Loads>,
+    pub(crate) loads: RefCell<LoadTable>,
     pub(crate) lease: RefCell<Lease>,
     pub(crate) loading: RefCell<Loading>,
     pub(crate) spending: RefCell<BTreeMap<Name, Spending>>,
@@ -178,7 +178,7 @@
             listed: Cell::new(false),
             chains: RefCell::default(),
             membership: RefCell::new(membership),
-            loads: RefCell::new(Loads::new(
+            loads: RefCell::new(LoadTable::new(
                 settings.name.clone(),
                 settings.failure_domain.clone(),
             )),
@@ -365,7 +365,7 @@
         let instances = self.most_instances();
         let loads = self.loads.borrow();
         for (service, spending) in self.spending.borrow_mut().iter_mut() {
-            spending.lend(now, &cfg, loads.spent(service), instances);
+            spending.lend(now, &cfg, loads.retry_counts(service), instances);
         }
     }
 
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -21,7 +21,7 @@
 use jacinthweir_policy::relay::following::{Confirming, Step, Watchers};
 use jacinthweir_policy::relay::lease::Bid;
 use jacinthweir_policy::relay::limits::Statement;
-use jacinthweir_policy::relay::loads::{HeadUse, Known, Load, ServiceCounts, Told};
+use jacinthweir_policy::relay::loads::{HeadUse, Load, LoadDigest, LoadUpdate, ServiceCounts};
 use jacinthweir_policy::relay::quarantine::Case;
 use jacinthweir_policy::relay::words::Word;
 use serde::{Deserialize, Serialize};
@@ -105,8 +105,8 @@
         from: Name,
         members: MemberDigest,
         view: View,
-        known: Known,
-        told: Told,
+        known: LoadDigest,
+        told: LoadUpdate,
     },
     Push {
         from: Name,
@@ -128,7 +128,7 @@
         from: Name,
         members: MemberDelta,
         view: View,
-        told: Told,
+        told: LoadUpdate,
     },
     Done,
     Record(MemberRecord),
@@ -155,7 +155,7 @@
         }
         let in_flight = u32::try_from(node.active.get()).unwrap_or(u32::MAX);
         node.membership.borrow_mut().set_in_flight(in_flight);
-        node.loads.borrow_mut().count(node.now());
+        node.loads.borrow_mut().refresh_totals(node.now());
         let now = node.clocks();
         let actions = node.with_rng(|rng| node.membership.borrow_mut().tick(now, rng));
         carry_out(node, actions);
@@ -274,9 +274,9 @@
             from: node.settings.name.clone(),
             members: digest,
             view: View::of(node),
-            known: loads.known(near, asked_ms),
+            known: loads.digest(near, asked_ms),
             // All else comes with the answer; both ways it would be most of an exchange's bytes.
-            told: loads.unasked(near, neighbours(node).len(), asked_ms),
+            told: loads.push_update(near, neighbours(node).len(), asked_ms),
         }
     };
     let reply = post(peer.address, &message, ANSWER).await;
@@ -357,7 +357,7 @@
                 from: node.settings.name.clone(),
                 members,
                 view: View::of(node),
-                told: loads.lacking(&known, near, neighbours(node).len(), node.now()),
+                told: loads.update_for(&known, near, neighbours(node).len(), node.now()),
             }
         }
         Message::Push { from, members } => {
@@ -438,8 +438,10 @@
 }
 
 /// Takes in what another instance says of itself and tells of others.
-fn take(node: &Rc<Node>, view: &View, told: Told) {
-    node.loads.borrow_mut().take(&view.domain, told, node.now());
+fn take(node: &Rc<Node>, view: &View, told: LoadUpdate) {
+    node.loads
+        .borrow_mut()
+        .apply(&view.domain, told, node.now());
     node.lend();
     view.take(node);
 }
--- a/policy/src/relay/loads.rs
+++ b/policy/src/relay/loads.rs
@@ -108,7 +108,7 @@
 
 /// The version of an instance's load that the sender has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KnownLoad {
+pub struct LoadVersion {
     /// Instance.
     pub name: Name,
     /// Time of writing by the clock of that instance, in milliseconds.
@@ -117,7 +117,7 @@
 
 /// The age of a domain's sum that the sender has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KnownDomain {
+pub struct SumAge {
     /// Failure domain.
     pub domain: Name,
     /// Age of the sum, in milliseconds.
@@ -126,16 +126,16 @@
 
 /// Anti-entropy digest: the versions of loads and sums that an instance has.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct LoadDigest {
     /// Loads within its own domain.
-    pub members: Vec<KnownLoad>,
+    pub members: Vec<LoadVersion>,
     /// Sums of other domains.
-    pub domains: Vec<KnownDomain>,
+    pub domains: Vec<SumAge>,
 }
 
 /// Loads and sums that one instance sends to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct LoadUpdate {
     /// Loads within the failure domain of sender and receiver, if it is the same.
     pub members: Vec<MemberLoad>,
     /// Sums of domains.
@@ -158,7 +158,7 @@
 
 /// All loads known to one instance.
 #[derive(Clone, Debug)]
-pub struct Loads {
+pub struct LoadTable {
     name: Name,
     domain: Name,
     own: Load,
@@ -209,11 +209,11 @@
     }
 }
 
-impl Loads {
+impl LoadTable {
     /// Returns an empty table for instance `name` in `domain`.
     #[must_use]
-    pub fn new(name: Name, domain: Name) -> Loads {
-        Loads {
+    pub fn new(name: Name, domain: Name) -> LoadTable {
+        LoadTable {
             name,
             domain,
             own: Load::default(),
@@ -239,19 +239,19 @@
 
     /// Returns the digest at `now` for an instance of the same domain (`near`) or of another.
     #[must_use]
-    pub fn known(&self, near: bool, now: Millis) -> Known {
+    pub fn digest(&self, near: bool, now: Millis) -> LoadDigest {
         let own = std::iter::once((&self.name, &self.own));
         let members = own.chain(self.fresh_members(now)).filter(|_| near);
         let domains = self.fresh_domains(now);
-        Known {
+        LoadDigest {
             members: members
-                .map(|(name, load)| KnownLoad {
+                .map(|(name, load)| LoadVersion {
                     name: name.clone(),
                     written_ms: load.written_ms,
                 })
                 .collect(),
             domains: domains
-                .map(|(domain, received)| KnownDomain {
+                .map(|(domain, received)| SumAge {
                     domain: domain.clone(),
                     age_ms: now.saturating_sub(received.as_of_ms),
                 })
@@ -262,13 +262,13 @@
     /// Returns what this instance pushes without having a digest: its own load within its domain,
     /// the domain's sum to another. `neighbours` is the number of other live instances of its domain.
     #[must_use]
-    pub fn unasked(&self, near: bool, neighbours: usize, now: Millis) -> Told {
+    pub fn push_update(&self, near: bool, neighbours: usize, now: Millis) -> LoadUpdate {
         match near {
-            true => Told {
+            true => LoadUpdate {
                 members: vec![self.own_load()],
                 domains: Vec::new(),
             },
-            false => Told {
+            false => LoadUpdate {
                 members: Vec::new(),
                 domains: self.sum(neighbours, now).into_iter().collect(),
             },
@@ -277,13 +277,19 @@
 
     /// Returns what an instance with the digest `known` lacks.
     #[must_use]
-    pub fn lacking(&self, known: &Known, near: bool, neighbours: usize, now: Millis) -> Told {
-        let mut told = self.unasked(near, neighbours, now);
+    pub fn update_for(
+        &self,
+        known: &LoadDigest,
+        near: bool,
+        neighbours: usize,
+        now: Millis,
+    ) -> LoadUpdate {
+        let mut update = self.push_update(near, neighbours, now);
         if near {
-            told.members.extend(self.newer_members(known, now));
+            update.members.extend(self.newer_members(known, now));
         }
-        told.domains.extend(self.younger_domains(known, now));
-        told
+        update.domains.extend(self.younger_domains(known, now));
+        update
     }
 
     fn own_load(&self) -> MemberLoad {
@@ -293,7 +299,7 @@
         }
     }
 
-    fn newer_members(&self, known: &Known, now: Millis) -> Vec<MemberLoad> {
+    fn newer_members(&self, known: &LoadDigest, now: Millis) -> Vec<MemberLoad> {
         let theirs = known.members.iter();
         let theirs: BTreeMap<&Name, u64> = theirs.map(|k| (&k.name, k.written_ms)).collect();
         let newer = self
@@ -307,7 +313,7 @@
             .collect()
     }
 
-    fn younger_domains(&self, known: &Known, now: Millis) -> Vec<DomainLoad> {
+    fn younger_domains(&self, known: &LoadDigest, now: Millis) -> Vec<DomainLoad> {
         let theirs = known.domains.iter();
         let theirs: BTreeMap<&Name, Millis> = theirs.map(|k| (&k.domain, k.age_ms)).collect();
         let mut younger = Vec::new();
@@ -324,16 +330,16 @@
     }
 
     /// Applies an update from an instance of `domain`.
-    pub fn take(&mut self, domain: &str, told: Told, now: Millis) {
+    pub fn apply(&mut self, domain: &str, update: LoadUpdate, now: Millis) {
         if *domain == *self.domain {
-            for m in told.members {
+            for m in update.members {
                 self.apply_member(m, now);
             }
         }
-        for sum in told.domains {
+        for sum in update.domains {
             self.apply_domain(sum, now);
         }
-        self.count(now);
+        self.refresh_totals(now);
     }
 
     fn apply_member(&mut self, m: MemberLoad, now: Millis) {
@@ -369,7 +375,7 @@
     }
 
     /// Drops what is too old at `now` and computes the totals from the rest.
-    pub fn count(&mut self, now: Millis) {
+    pub fn refresh_totals(&mut self, now: Millis) {
         self.members.retain(|_, r| r.is_fresh(now, MAX_LOAD_AGE_MS));
         self.domains.retain(|_, r| r.is_fresh(now, MAX_SUM_AGE_MS));
         let mut totals = Totals::default();
@@ -430,7 +436,7 @@
     /// Returns the tokens that other instances have in flight through chains of `service` that begin
     /// at `head`, by the last computed totals.
     #[must_use]
-    pub fn used(&self, service: &str, head: &str) -> f64 {
+    pub fn used_tokens(&self, service: &str, head: &str) -> f64 {
         let of_service = self.totals.used.get(service);
         let used = of_service.and_then(|heads| heads.get(head));
         used.copied().unwrap_or(0.0)
@@ -438,7 +444,7 @@
 
     /// Returns the requests and retries of other instances for a service, by the last computed totals.
     #[must_use]
-    pub fn spent(&self, service: &str) -> Counts {
+    pub fn retry_counts(&self, service: &str) -> Counts {
         self.totals.spent.get(service).copied().unwrap_or_default()
     }
 
--- a/policy/tests/relay_loads.rs
+++ b/policy/tests/relay_loads.rs
@@ -2,7 +2,9 @@
 
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::relay::loads::{HeadUse, Known, Load, Loads, ServiceCounts, Told};
+use jacinthweir_policy::relay::loads::{
+    HeadUse, Load, LoadDigest, LoadTable, LoadUpdate, ServiceCounts,
+};
 use jacinthweir_policy::relay::spending::Counts;
 
 const SERVICE: &str = "pool";
@@ -48,36 +50,36 @@
 }
 
 /// Returns `count` instances of one domain that have exchanged their loads.
-fn exchanged(d: usize, count: usize, now: Millis) -> Vec<Loads> {
+fn exchanged(d: usize, count: usize, now: Millis) -> Vec<LoadTable> {
     let new = |i| {
-        let mut loads = Loads::new(name(d, i), domain(d));
+        let mut loads = LoadTable::new(name(d, i), domain(d));
         loads.set_own(load(now, 100), now);
         loads
     };
-    let mut all: Vec<Loads> = (0..count).map(new).collect();
+    let mut all: Vec<LoadTable> = (0..count).map(new).collect();
     for i in 0..count {
         for j in 0..count {
-            let update = all[i].unasked(true, count - 1, now);
-            all[j].take(&domain(d), update, now);
+            let update = all[i].push_update(true, count - 1, now);
+            all[j].apply(&domain(d), update, now);
         }
     }
     all
 }
 
-fn bytes(update: &Told) -> usize {
+fn bytes(update: &LoadUpdate) -> usize {
     rmp_serde::to_vec(update).expect("a message").len()
 }
 
 /// Sends what `receiver` lacks from `sender` of domain `d`, and applies it.
 fn exchange(
-    receiver: &mut Loads,
-    sender: &Loads,
+    receiver: &mut LoadTable,
+    sender: &LoadTable,
     d: usize,
     neighbours: usize,
     now: Millis,
-) -> Told {
-    let update = sender.lacking(&receiver.known(false, now), false, neighbours, now);
-    receiver.take(&domain(d), update.clone(), now);
+) -> LoadUpdate {
+    let update = sender.update_for(&receiver.digest(false, now), false, neighbours, now);
+    receiver.apply(&domain(d), update.clone(), now);
     update
 }
 
@@ -85,7 +87,7 @@
 #[gtest]
 fn sums_take_a_tenth_of_the_bytes_of_all_loads() {
     let count = 60;
-    let domains: Vec<Vec<Loads>> = (0..DOMAINS).map(|d| exchanged(d, count, 1_000)).collect();
+    let domains: Vec<Vec<LoadTable>> = (0..DOMAINS).map(|d| exchanged(d, count, 1_000)).collect();
     let mut sender = domains[1][0].clone();
     for (d, instances) in domains.iter().enumerate().skip(2) {
         exchange(&mut sender, &instances[0], d, count - 1, 1_000);
@@ -94,8 +96,8 @@
     let update = exchange(&mut receiver, &sender, 1, count - 1, 1_000);
     expect_that!(update.members.len(), eq(0));
     expect_that!(update.domains.len(), eq(DOMAINS - 1));
-    let one = Told {
-        members: domains[0][1].unasked(true, count - 1, 1_000).members,
+    let one = LoadUpdate {
+        members: domains[0][1].push_update(true, count - 1, 1_000).members,
         domains: Vec::new(),
     };
     expect_that!(bytes(&update) * 10, le(bytes(&one) * DOMAINS * count));
@@ -105,7 +107,7 @@
 #[gtest]
 fn each_load_counts_once() {
     let (count, now) = (4, 1_000);
-    let domains: Vec<Vec<Loads>> = (0..DOMAINS).map(|d| exchanged(d, count, now)).collect();
+    let domains: Vec<Vec<LoadTable>> = (0..DOMAINS).map(|d| exchanged(d, count, now)).collect();
     let mut loads = domains[0][0].clone();
     for (d, instances) in domains.iter().enumerate() {
         exchange(&mut loads, &instances[1], d, count - 1, now);
@@ -113,33 +115,33 @@
     }
     let others = (DOMAINS * count - 1) as u32;
     expect_that!(
-        loads.used(SERVICE, &head(0)),
+        loads.used_tokens(SERVICE, &head(0)),
         approx_eq(f64::from(100 * others))
     );
-    expect_that!(loads.spent(SERVICE).requests, eq(10 * others));
-    expect_that!(loads.spent(SERVICE).repeats, eq(others));
-    expect_that!(loads.used(SERVICE, "elsewhere"), approx_eq(0.0));
+    expect_that!(loads.retry_counts(SERVICE).requests, eq(10 * others));
+    expect_that!(loads.retry_counts(SERVICE).repeats, eq(others));
+    expect_that!(loads.used_tokens(SERVICE, "elsewhere"), approx_eq(0.0));
 }
 
 /// A sum that was relayed slowly must not replace a younger one.
 #[gtest]
 fn the_younger_sum_counts_in_any_order_of_arrival() {
     let old = exchanged(1, 4, 1_000);
-    let mut between = Loads::new(name(2, 0), domain(2));
+    let mut between = LoadTable::new(name(2, 0), domain(2));
     exchange(&mut between, &old[0], 1, 3, 1_000);
     let mut young = old.clone();
     for i in 0..4 {
         young[i].set_own(load(2_400, 300), 2_400);
-        let update = young[i].unasked(true, 3, 2_400);
+        let update = young[i].push_update(true, 3, 2_400);
         for other in &mut young {
-            other.take(&domain(1), update.clone(), 2_400);
+            other.apply(&domain(1), update.clone(), 2_400);
         }
     }
-    let mut loads = Loads::new(name(0, 0), domain(0));
+    let mut loads = LoadTable::new(name(0, 0), domain(0));
     exchange(&mut loads, &young[0], 1, 3, 2_400);
     exchange(&mut loads, &between, 2, 0, 2_500);
-    expect_that!(loads.used(SERVICE, &head(0)), approx_eq(1_200.0));
-    let again = between.lacking(&loads.known(false, 2_500), false, 0, 2_500);
+    expect_that!(loads.used_tokens(SERVICE, &head(0)), approx_eq(1_200.0));
+    let again = between.update_for(&loads.digest(false, 2_500), false, 0, 2_500);
     expect_that!(
         again
             .domains
@@ -149,20 +151,20 @@
         eq(0)
     );
     // Without updates the sum expires.
-    loads.count(2_400 + 6_100);
-    expect_that!(loads.used(SERVICE, &head(0)), approx_eq(0.0));
+    loads.refresh_totals(2_400 + 6_100);
+    expect_that!(loads.used_tokens(SERVICE, &head(0)), approx_eq(0.0));
 }
 
 /// A sum by an instance that has just started would make full chains look empty to other domains.
 #[gtest]
 fn an_instance_with_few_loads_of_its_domain_sends_no_sum() {
-    let mut started = Loads::new(name(0, 0), domain(0));
+    let mut started = LoadTable::new(name(0, 0), domain(0));
     started.set_own(load(1_000, 100), 1_000);
-    expect_that!(started.unasked(false, 59, 1_000).domains.len(), eq(0));
+    expect_that!(started.push_update(false, 59, 1_000).domains.len(), eq(0));
     let whole = exchanged(0, 60, 1_000);
-    expect_that!(whole[0].unasked(false, 59, 1_000).domains.len(), eq(1));
+    expect_that!(whole[0].push_update(false, 59, 1_000).domains.len(), eq(1));
     // Loads that were received long ago do not count.
-    expect_that!(whole[0].unasked(false, 59, 4_100).domains.len(), eq(0));
+    expect_that!(whole[0].push_update(false, 59, 4_100).domains.len(), eq(0));
 }
 
 /// A neighbour must not be sent loads that it already has.
@@ -170,24 +172,24 @@
 fn a_neighbour_is_sent_only_what_it_lacks() {
     let mut all = exchanged(0, 60, 1_000);
     all[7].set_own(load(1_200, 500), 1_200);
-    let update = all[7].unasked(true, 59, 1_200);
-    all[1].take(&domain(0), update, 1_200);
-    let update = all[1].lacking(&all[2].known(true, 1_300), true, 59, 1_300);
+    let update = all[7].push_update(true, 59, 1_200);
+    all[1].apply(&domain(0), update, 1_200);
+    let update = all[1].update_for(&all[2].digest(true, 1_300), true, 59, 1_300);
     let update: Vec<&str> = update.members.iter().map(|m| &*m.name).collect();
     expect_that!(
         update,
         unordered_elements_are![eq(&"front-0-01"), eq(&"front-0-07")]
     );
     // An empty digest gets all loads.
-    let update = all[1].lacking(&Known::default(), true, 59, 1_300);
+    let update = all[1].update_for(&LoadDigest::default(), true, 59, 1_300);
     expect_that!(update.members.len(), eq(60));
 }
 
 /// An idle instance has to refresh its load before it expires, but not at each round.
 #[gtest]
 fn an_unchanged_load_is_refreshed_before_it_expires() {
-    let mut loads = Loads::new(name(0, 0), domain(0));
-    let written = |l: &Loads, now| l.unasked(true, 0, now).members[0].load.written_ms;
+    let mut loads = LoadTable::new(name(0, 0), domain(0));
+    let written = |l: &LoadTable, now| l.push_update(true, 0, now).members[0].load.written_ms;
     loads.set_own(load(1_000, 100), 1_000);
     loads.set_own(load(1_300, 100), 1_300);
     expect_that!(written(&loads, 1_300), eq(1_000));
@@ -200,16 +202,16 @@
 /// Loads of an instance that restarts with its clock set back must not be ignored for good.
 #[gtest]
 fn an_instance_whose_clock_was_set_back_is_received_again() {
-    let mut loads = Loads::new(name(0, 0), domain(0));
-    let mut other = Loads::new(name(0, 1), domain(0));
+    let mut loads = LoadTable::new(name(0, 0), domain(0));
+    let mut other = LoadTable::new(name(0, 1), domain(0));
     other.set_own(load(4_000_000, 100), 1_000);
-    loads.take(&domain(0), other.unasked(true, 1, 1_000), 1_000);
-    let mut back = Loads::new(name(0, 1), domain(0));
+    loads.apply(&domain(0), other.push_update(true, 1, 1_000), 1_000);
+    let mut back = LoadTable::new(name(0, 1), domain(0));
     back.set_own(load(400_000, 700), 1_500);
-    loads.take(&domain(0), back.unasked(true, 1, 1_500), 1_500);
-    expect_that!(loads.used(SERVICE, &head(0)), approx_eq(100.0));
-    loads.take(&domain(0), back.unasked(true, 1, 4_100), 4_100);
-    expect_that!(loads.used(SERVICE, &head(0)), approx_eq(700.0));
+    loads.apply(&domain(0), back.push_update(true, 1, 1_500), 1_500);
+    expect_that!(loads.used_tokens(SERVICE, &head(0)), approx_eq(100.0));
+    loads.apply(&domain(0), back.push_update(true, 1, 4_100), 4_100);
+    expect_that!(loads.used_tokens(SERVICE, &head(0)), approx_eq(700.0));
 }
 
 /// Without these flags, callers would be referred to instances of other domains that refuse them.
@@ -221,9 +223,9 @@
     refusing.hears_store = false;
     refusing.serves = false;
     all[4].set_own(refusing, 1_100);
-    let update = all[4].unasked(true, 5, 1_100);
-    all[0].take(&domain(1), update, 1_100);
-    let mut loads = Loads::new(name(0, 0), domain(0));
+    let update = all[4].push_update(true, 5, 1_100);
+    all[0].apply(&domain(1), update, 1_100);
+    let mut loads = LoadTable::new(name(0, 0), domain(0));
     expect_false!(loads.hears_store(&name(1, 0), &domain(1), 1_100));
     exchange(&mut loads, &all[0], 1, 5, 1_100);
     expect_true!(loads.hears_store(&name(1, 0), &domain(1), 1_100));
@@ -238,8 +240,8 @@
 /// Single loads of another domain would be counted in addition to its sum.
 #[gtest]
 fn single_loads_of_another_domain_are_ignored() {
-    let mut loads = Loads::new(name(0, 0), domain(0));
+    let mut loads = LoadTable::new(name(0, 0), domain(0));
     let other = &exchanged(1, 2, 1_000)[0];
-    loads.take(&domain(1), other.unasked(true, 1, 1_000), 1_000);
-    expect_that!(loads.used(SERVICE, &head(0)), approx_eq(0.0));
+    loads.apply(&domain(1), other.push_update(true, 1, 1_000), 1_000);
+    expect_that!(loads.used_tokens(SERVICE, &head(0)), approx_eq(0.0));
 }
