--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -21,7 +21,9 @@
 use jacinthweir_policy::relay::quarantine::Quarantine;
 use jacinthweir_policy::relay::revision::Revision;
 use jacinthweir_policy::relay::runners::Runners;
-use jacinthweir_policy::relay::spending::{Counts, Spending, SpendingConfig};
+use jacinthweir_policy::relay::spending::{
+    RetryCounts, SharedRetryBudget, SharedRetryBudgetConfig,
+};
 use jacinthweir_policy::relay::vouch::Vouch;
 use jacinthweir_policy::relay::words::Words;
 use rand::rngs::StdRng;
@@ -109,7 +111,7 @@
     pub(crate) loads: RefCell<LoadTable>,
     pub(crate) lease: RefCell<Lease>,
     pub(crate) loading: RefCell<Loading>,
-    pub(crate) spending: RefCell<BTreeMap<Name, Spending>>,
+    pub(crate) spending: RefCell<BTreeMap<Name, SharedRetryBudget>>,
     /// Tokens of the requests that wait for room, in the order in which they get it.
     pub(crate) queue: RefCell<BTreeMap<(u32, u64), f64>>,
     /// How fast room comes free.
@@ -296,7 +298,7 @@
         let instances = self.most_instances();
         let mut spending = self.spending.borrow_mut();
         let of_service = spending.entry(service.clone()).or_default();
-        of_service.has(self.now(), &cfg, instances, need)
+        of_service.has_retry(self.now(), &cfg, instances, need)
     }
 
     /// Takes one further send for a service out of the common budget.
@@ -306,7 +308,7 @@
         let now = self.now();
         let mut spending = self.spending.borrow_mut();
         let of_service = spending.entry(service.clone()).or_default();
-        let taken = of_service.take(now, &cfg, instances, need);
+        let taken = of_service.take_retry(now, &cfg, instances, need);
         let outcome = if taken { "taken" } else { "refused" };
         metrics::counter!("jacinthweir_repeats_total", "outcome" => outcome).increment(1);
         taken
@@ -345,11 +347,11 @@
         spending
             .entry(service.clone())
             .or_default()
-            .request(now, &cfg);
+            .record_request(now, &cfg);
     }
 
     /// Requests and further sends of this instance in the budget's window, by service.
-    pub(crate) fn spent(&self) -> Vec<(Name, Counts)> {
+    pub(crate) fn spent(&self) -> Vec<(Name, RetryCounts)> {
         let cfg = self.spending_config();
         let now = self.now();
         let mut spending = self.spending.borrow_mut();
@@ -365,13 +367,13 @@
         let instances = self.most_instances();
         let loads = self.loads.borrow();
         for (service, spending) in self.spending.borrow_mut().iter_mut() {
-            spending.lend(now, &cfg, loads.retry_counts(service), instances);
+            spending.update_loan(now, &cfg, loads.retry_counts(service), instances);
         }
     }
 
-    fn spending_config(&self) -> SpendingConfig {
+    fn spending_config(&self) -> SharedRetryBudgetConfig {
         let b = &self.settings.bounds;
-        SpendingConfig {
+        SharedRetryBudgetConfig {
             ratio: b.repeat_ratio,
             slack: b.repeat_slack,
             window_ms: b.repeat_window_ms(),
--- a/policy/src/relay/loads.rs
+++ b/policy/src/relay/loads.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::prelude::*;
-use crate::relay::spending::Counts;
+use crate::relay::spending::RetryCounts;
 
 /// Maximum age of the load of an instance, in milliseconds.
 const MAX_LOAD_AGE_MS: Millis = 3_000;
@@ -54,7 +54,7 @@
     /// Service.
     pub service: Name,
     /// Counts.
-    pub counts: Counts,
+    pub counts: RetryCounts,
 }
 
 /// The load of one instance, and whether it hears the store and serves callers.
@@ -172,7 +172,7 @@
 #[derive(Clone, Debug, Default)]
 struct Totals {
     used: BTreeMap<Name, BTreeMap<Name, f64>>,
-    spent: BTreeMap<Name, Counts>,
+    spent: BTreeMap<Name, RetryCounts>,
 }
 
 impl Totals {
@@ -444,7 +444,7 @@
 
     /// Returns the requests and retries of other instances for a service, by the last computed totals.
     #[must_use]
-    pub fn retry_counts(&self, service: &str) -> Counts {
+    pub fn retry_counts(&self, service: &str) -> RetryCounts {
         self.totals.spent.get(service).copied().unwrap_or_default()
     }
 
--- a/policy/src/relay/spending.rs
+++ b/policy/src/relay/spending.rs
@@ -24,7 +24,7 @@
 
 /// Bound on the retries of all instances together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SpendingConfig {
+pub struct SharedRetryBudgetConfig {
     /// Retries per request.
     pub ratio: f64,
     /// Additional retries, over all instances.
@@ -35,7 +35,7 @@
 
 /// Requests and retries in a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct RetryCounts {
     /// Requests.
     pub requests: u32,
     /// Retries.
@@ -46,8 +46,8 @@
     pub borrowers: u32,
 }
 
-impl std::ops::AddAssign for Counts {
-    fn add_assign(&mut self, other: Counts) {
+impl std::ops::AddAssign for RetryCounts {
+    fn add_assign(&mut self, other: RetryCounts) {
         self.requests = self.requests.saturating_add(other.requests);
         self.repeats = self.repeats.saturating_add(other.repeats);
         self.borrowed = self.borrowed.saturating_add(other.borrowed);
@@ -77,7 +77,7 @@
 
 /// Requests and retries of this instance in the window, for one service.
 #[derive(Clone, Debug, Default)]
-pub struct Spending {
+pub struct SharedRetryBudget {
     requests: VecDeque<Millis>,
     repeats: VecDeque<Millis>,
     /// Retries that may still be borrowed.
@@ -88,22 +88,22 @@
     instances: usize,
 }
 
-impl Spending {
+impl SharedRetryBudget {
     /// Records a request for the service.
-    pub fn request(&mut self, now: Millis, cfg: &SpendingConfig) {
+    pub fn record_request(&mut self, now: Millis, cfg: &SharedRetryBudgetConfig) {
         self.requests.push_back(now);
         drop_old(&mut self.requests, now, cfg.window_ms);
     }
 
     /// Returns the counts of this instance in the window that ends at `now`.
-    pub fn counts(&mut self, now: Millis, cfg: &SpendingConfig) -> Counts {
+    pub fn counts(&mut self, now: Millis, cfg: &SharedRetryBudgetConfig) -> RetryCounts {
         drop_old(&mut self.requests, now, cfg.window_ms);
         drop_old(&mut self.repeats, now, cfg.window_ms);
         let count = |times: &VecDeque<Millis>| u32::try_from(times.len()).unwrap_or(u32::MAX);
         let (requests, repeats) = (count(&self.requests), count(&self.repeats));
         let part = guaranteed_part(requests, cfg, self.instances);
         let borrowed = (f64::from(repeats) - part).max(0.0) as u32;
-        Counts {
+        RetryCounts {
             requests,
             repeats,
             borrowed,
@@ -112,7 +112,13 @@
     }
 
     /// Recomputes the loan from the counts of all other instances; there are `instances` in total.
-    pub fn lend(&mut self, now: Millis, cfg: &SpendingConfig, others: Counts, instances: usize) {
+    pub fn update_loan(
+        &mut self,
+        now: Millis,
+        cfg: &SharedRetryBudgetConfig,
+        others: RetryCounts,
+        instances: usize,
+    ) {
         self.instances = instances;
         let lenders = instances.saturating_sub(others.borrowers as usize).max(1);
         self.lent = f64::from(others.borrowed) / lenders as f64;
@@ -126,7 +132,13 @@
     }
 
     /// Returns whether a retry is available in a fleet of `instances` instances.
-    pub fn has(&mut self, now: Millis, cfg: &SpendingConfig, instances: usize, need: Need) -> bool {
+    pub fn has_retry(
+        &mut self,
+        now: Millis,
+        cfg: &SharedRetryBudgetConfig,
+        instances: usize,
+        need: Need,
+    ) -> bool {
         let guaranteed = self.guaranteed(now, cfg, instances);
         let reserved = need.leaves(guaranteed.total);
         let available = guaranteed.left >= 1.0 || self.loan >= 1.0;
@@ -134,14 +146,14 @@
     }
 
     /// Spends a retry if one is available in a fleet of `instances` instances; returns whether it was.
-    pub fn take(
+    pub fn take_retry(
         &mut self,
         now: Millis,
-        cfg: &SpendingConfig,
+        cfg: &SharedRetryBudgetConfig,
         instances: usize,
         need: Need,
     ) -> bool {
-        if !self.has(now, cfg, instances, need) {
+        if !self.has_retry(now, cfg, instances, need) {
             return false;
         }
         if self.guaranteed(now, cfg, instances).left < 1.0 {
@@ -151,7 +163,12 @@
         true
     }
 
-    fn guaranteed(&mut self, now: Millis, cfg: &SpendingConfig, instances: usize) -> Guaranteed {
+    fn guaranteed(
+        &mut self,
+        now: Millis,
+        cfg: &SharedRetryBudgetConfig,
+        instances: usize,
+    ) -> Guaranteed {
         let own = self.counts(now, cfg);
         let total = guaranteed_part(own.requests, cfg, instances) - self.lent;
         let total = total.max(0.0);
@@ -164,7 +181,7 @@
 
 /// Returns the guaranteed part of one of `instances` instances, before subtraction of what others
 /// borrowed.
-fn guaranteed_part(requests: u32, cfg: &SpendingConfig, instances: usize) -> f64 {
+fn guaranteed_part(requests: u32, cfg: &SharedRetryBudgetConfig, instances: usize) -> f64 {
     let of_slack = cfg.slack / instances.max(MIN_INSTANCES) as f64;
     GUARANTEED_SHARE * (cfg.ratio * f64::from(requests) + of_slack)
 }
--- a/policy/tests/relay_loads.rs
+++ b/policy/tests/relay_loads.rs
@@ -5,7 +5,7 @@
 use jacinthweir_policy::relay::loads::{
     HeadUse, Load, LoadDigest, LoadTable, LoadUpdate, ServiceCounts,
 };
-use jacinthweir_policy::relay::spending::Counts;
+use jacinthweir_policy::relay::spending::RetryCounts;
 
 const SERVICE: &str = "pool";
 const DOMAINS: usize = 5;
@@ -32,10 +32,10 @@
         head: head(i),
         tokens,
     });
-    let counts = Counts {
+    let counts = RetryCounts {
         requests: 10,
         repeats: 1,
-        ..Counts::default()
+        ..RetryCounts::default()
     };
     Load {
         written_ms,
--- a/policy/tests/relay_rules.rs
+++ b/policy/tests/relay_rules.rs
@@ -15,7 +15,9 @@
     CallClass, Intent, Offered, Organisation, Route, UnknownKey, compare,
 };
 use jacinthweir_policy::relay::runners::Runners;
-use jacinthweir_policy::relay::spending::{Counts, Spending, SpendingConfig};
+use jacinthweir_policy::relay::spending::{
+    RetryCounts, SharedRetryBudget, SharedRetryBudgetConfig,
+};
 use jacinthweir_policy::relay::vouch::Vouch;
 use support::runner;
 
@@ -263,19 +265,19 @@
 /// retries, although none knows what the others spend.
 #[gtest]
 fn retries_of_all_instances_stay_within_the_bound() {
-    let cfg = SpendingConfig {
+    let cfg = SharedRetryBudgetConfig {
         ratio: 0.2,
         slack: 196.0,
         window_ms: 10_000,
     };
-    let mut instances = vec![Spending::default(); 6];
+    let mut instances = vec![SharedRetryBudget::default(); 6];
     let mut requests = Vec::new();
     let mut repeats = Vec::new();
     for now in (0..60_000u64).step_by(10) {
         let one = &mut instances[(now / 10 % 6) as usize];
-        one.request(now, &cfg);
+        one.record_request(now, &cfg);
         requests.push(now);
-        if one.take(now, &cfg, 6, Need::Owed) {
+        if one.take_retry(now, &cfg, 6, Need::Owed) {
             repeats.push(now);
         }
     }
@@ -297,26 +299,28 @@
 /// exchanged every 300 ms.
 #[gtest]
 fn instances_that_serve_all_callers_may_borrow_retries() {
-    let cfg = SpendingConfig {
+    let cfg = SharedRetryBudgetConfig {
         ratio: 0.2,
         slack: 196.0,
         window_ms: 10_000,
     };
-    let mut two = vec![Spending::default(); 2];
+    let mut two = vec![SharedRetryBudget::default(); 2];
     let mut taken = [0, 0];
     for now in (0..10_000u64).step_by(10) {
-        two[(now / 10 % 2) as usize].request(now, &cfg);
+        two[(now / 10 % 2) as usize].record_request(now, &cfg);
         if now % 300 == 0 {
-            let counts: Vec<Counts> = two.iter_mut().map(|s| s.counts(now, &cfg)).collect();
-            two[0].lend(now, &cfg, counts[1], 6);
-            two[1].lend(now, &cfg, counts[0], 6);
+            let counts: Vec<RetryCounts> = two.iter_mut().map(|s| s.counts(now, &cfg)).collect();
+            two[0].update_loan(now, &cfg, counts[1], 6);
+            two[1].update_loan(now, &cfg, counts[0], 6);
         }
         for (at, burst) in [(5_000, 0), (9_000, 1)] {
             // Sixty streams of each instance broke, and are resumed within 100 ms.
             if (at..at + 100).contains(&now) {
-                let wanted = two
-                    .iter_mut()
-                    .map(|s| (0..6).filter(|_| s.take(now, &cfg, 6, Need::Owed)).count());
+                let wanted = two.iter_mut().map(|s| {
+                    (0..6)
+                        .filter(|_| s.take_retry(now, &cfg, 6, Need::Owed))
+                        .count()
+                });
                 taken[burst] += wanted.sum::<usize>();
             }
         }
@@ -331,26 +335,26 @@
 /// budget for each they sent 983 retries of 962 allowed.
 #[gtest]
 fn seventy_instances_that_retry_at_once_stay_within_the_bound() {
-    let cfg = SpendingConfig {
+    let cfg = SharedRetryBudgetConfig {
         ratio: 0.2,
         slack: 326.0,
         window_ms: 10_000,
     };
-    let mut all = vec![Spending::default(); 70];
+    let mut all = vec![SharedRetryBudget::default(); 70];
     for now in (0..10_000).step_by(220) {
-        all.iter_mut().for_each(|s| s.request(now, &cfg));
+        all.iter_mut().for_each(|s| s.record_request(now, &cfg));
     }
     let own = all[0].counts(10_000, &cfg);
-    let others = Counts {
+    let others = RetryCounts {
         requests: own.requests * 69,
         repeats: 0,
-        ..Counts::default()
+        ..RetryCounts::default()
     };
     let mut sent = 0;
     for s in &mut all {
-        s.lend(10_000, &cfg, others, 70);
+        s.update_loan(10_000, &cfg, others, 70);
         sent += (0..100)
-            .filter(|_| s.take(10_000, &cfg, 70, Need::Owed))
+            .filter(|_| s.take_retry(10_000, &cfg, 70, Need::Owed))
             .count();
     }
     let bound = 0.2 * f64::from(own.requests * 70) + 326.0;
@@ -362,32 +366,32 @@
 #[gtest]
 fn borrowed_retries_are_not_spent_twice() {
     const INSTANCES: usize = 6;
-    let cfg = SpendingConfig {
+    let cfg = SharedRetryBudgetConfig {
         ratio: 0.2,
         slack: 196.0,
         window_ms: 10_000,
     };
-    let mut all = vec![Spending::default(); INSTANCES];
-    let mut exchanged = vec![Counts::default(); INSTANCES];
+    let mut all = vec![SharedRetryBudget::default(); INSTANCES];
+    let mut exchanged = vec![RetryCounts::default(); INSTANCES];
     let (mut requests, mut repeats) = (0, 0);
     for now in (0..10_000u64).step_by(10) {
         if now % 300 == 0 {
             for (i, one) in all.iter_mut().enumerate() {
-                let mut others = Counts::default();
+                let mut others = RetryCounts::default();
                 let exchanged = exchanged.iter().enumerate().filter(|(j, _)| *j != i);
                 exchanged.for_each(|(_, counts)| others += *counts);
-                one.lend(now, &cfg, others, INSTANCES);
+                one.update_loan(now, &cfg, others, INSTANCES);
             }
             exchanged = all.iter_mut().map(|s| s.counts(now, &cfg)).collect();
         }
         // Two instances lose their chains from 3 s on, the others 1 s before the end.
         for (i, one) in all.iter_mut().enumerate() {
             if now % 50 == 0 {
-                one.request(now, &cfg);
+                one.record_request(now, &cfg);
                 requests += 1;
             }
             let breaks = now >= if i < 2 { 3_000 } else { 9_000 };
-            let sent = breaks && one.take(now, &cfg, INSTANCES, Need::Owed);
+            let sent = breaks && one.take_retry(now, &cfg, INSTANCES, Need::Owed);
             repeats += u32::from(sent);
         }
     }
@@ -398,20 +402,20 @@
 
 #[gtest]
 fn nothing_is_lent_once_most_of_the_budget_is_spent() {
-    let cfg = SpendingConfig {
+    let cfg = SharedRetryBudgetConfig {
         ratio: 0.2,
         slack: 60.0,
         window_ms: 10_000,
     };
-    let mut one = Spending::default();
-    let spent = Counts {
+    let mut one = SharedRetryBudget::default();
+    let spent = RetryCounts {
         requests: 0,
         repeats: 40,
-        ..Counts::default()
+        ..RetryCounts::default()
     };
-    one.lend(0, &cfg, spent, 6);
+    one.update_loan(0, &cfg, spent, 6);
     let taken = (0..100)
-        .filter(|_| one.take(0, &cfg, 6, Need::Owed))
+        .filter(|_| one.take_retry(0, &cfg, 6, Need::Owed))
         .count();
     // Its own part of the slack, and no more.
     expect_that!(taken, eq(8));
@@ -469,28 +473,28 @@
 /// may not take are left for broken streams, which may take all.
 #[gtest]
 fn refusable_requests_leave_some_retries_to_others() {
-    let cfg = SpendingConfig {
+    let cfg = SharedRetryBudgetConfig {
         ratio: 0.2,
         slack: 196.0,
         window_ms: 10_000,
     };
-    let mut one = Spending::default();
-    (0..100).for_each(|_| one.request(0, &cfg));
-    let refusable = (0..1_000).filter(|_| one.take(0, &cfg, 6, Need::Refusable));
+    let mut one = SharedRetryBudget::default();
+    (0..100).for_each(|_| one.record_request(0, &cfg));
+    let refusable = (0..1_000).filter(|_| one.take_retry(0, &cfg, 6, Need::Refusable));
     let refusable = refusable.count();
-    let owed = (0..1_000).filter(|_| one.take(0, &cfg, 6, Need::Owed));
+    let owed = (0..1_000).filter(|_| one.take_retry(0, &cfg, 6, Need::Owed));
     let owed = owed.count();
-    let mut other = Spending::default();
-    (0..100).for_each(|_| other.request(0, &cfg));
-    let all = (0..1_000).filter(|_| other.take(0, &cfg, 6, Need::Owed));
+    let mut other = SharedRetryBudget::default();
+    (0..100).for_each(|_| other.record_request(0, &cfg));
+    let all = (0..1_000).filter(|_| other.take_retry(0, &cfg, 6, Need::Owed));
     expect_that!(refusable + owed, eq(all.count()));
     expect_that!(owed, ge(10));
     expect_that!(refusable, ge(owed));
 
     // A loan is available to both as well, except for the reserved part.
-    other.lend(0, &cfg, Counts::default(), 6);
-    let refusable = (0..1_000).filter(|_| other.take(0, &cfg, 6, Need::Refusable));
+    other.update_loan(0, &cfg, RetryCounts::default(), 6);
+    let refusable = (0..1_000).filter(|_| other.take_retry(0, &cfg, 6, Need::Refusable));
     expect_that!(refusable.count(), gt(0));
-    let owed = (0..1_000).filter(|_| other.take(0, &cfg, 6, Need::Owed));
+    let owed = (0..1_000).filter(|_| other.take_retry(0, &cfg, 6, Need::Owed));
     expect_that!(owed.count(), gt(0));
 }
