--- a/policy/src/relay/chain_selection.rs
+++ b/policy/src/relay/chain_selection.rs
@@ -232,7 +232,7 @@
         return select(candidates, tokens, fill);
     }
     let fitting = candidates.iter().filter(|c| c.fits(tokens, fill));
-    let mut drawn: Vec<(f64, Room)> = fitting
+    let mut drawn: Vec<(f64, ChainCandidate)> = fitting
         .map(|c| (-(1.0 - draw()).ln() / draw_weight(c, tokens), *c))
         .collect();
     drawn.sort_by(|a, b| a.0.total_cmp(&b.0));
