--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -21,7 +21,7 @@
 use jacinthweir_policy::relay::quarantine::Quarantine;
 use jacinthweir_policy::relay::revision::Revision;
 use jacinthweir_policy::relay::runners::Runners;
-use jacinthweir_policy::relay::spending::{
+use jacinthweir_policy::relay::shared_retry_budget::{
     RetryCounts, SharedRetryBudget, SharedRetryBudgetConfig,
 };
 use jacinthweir_policy::relay::vouch::Vouch;
--- a/policy/src/relay.rs
+++ b/policy/src/relay.rs
@@ -20,7 +20,7 @@
 //! | [`attempts`] | on which runners, and how often, one request may be tried |
 //! | [`fingerprint`] | which attempts are of the same request |
 //! | [`quarantine`] | which requests end the runners that run them, and are sent to no more |
-//! | [`spending`] | whether a request may be retried within the retry budget of all instances |
+//! | [`shared_retry_budget`] | whether a request may be retried within the retry budget of all instances |
 //!
 //! None of them reads a clock or a socket.
 
@@ -39,7 +39,7 @@
 mod ranks;
 pub mod revision;
 pub mod runners;
+pub mod shared_retry_budget;
 pub mod silence;
-pub mod spending;
 pub mod vouch;
 pub mod words;
--- a/policy/src/relay/loads.rs
+++ b/policy/src/relay/loads.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::prelude::*;
-use crate::relay::spending::RetryCounts;
+use crate::relay::shared_retry_budget::RetryCounts;
 
 /// Maximum age of the load of an instance, in milliseconds.
 const MAX_LOAD_AGE_MS: Millis = 3_000;
--- a/policy/tests/relay_loads.rs
+++ b/policy/tests/relay_loads.rs
@@ -5,7 +5,7 @@
 use jacinthweir_policy::relay::loads::{
     HeadUse, Load, LoadDigest, LoadTable, LoadUpdate, ServiceCounts,
 };
-use jacinthweir_policy::relay::spending::RetryCounts;
+use jacinthweir_policy::relay::shared_retry_budget::RetryCounts;
 
 const SERVICE: &str = "pool";
 const DOMAINS: usize = 5;
--- a/policy/tests/relay_rules.rs
+++ b/policy/tests/relay_rules.rs
@@ -15,7 +15,7 @@
     CallClass, Intent, Offered, Organisation, Route, UnknownKey, compare,
 };
 use jacinthweir_policy::relay::runners::Runners;
-use jacinthweir_policy::relay::spending::{
+use jacinthweir_policy::relay::shared_retry_budget::{
     RetryCounts, SharedRetryBudget, SharedRetryBudgetConfig,
 };
 use jacinthweir_policy::relay::vouch::Vouch;
