--- a/plugins/relay/src/limits.rs
+++ b/plugins/relay/src/limits.rs
@@ -2,7 +2,7 @@
 
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::lifetime::Lifetime;
-use jacinthweir_policy::relay::limits::{Fleet, Statement};
+use jacinthweir_policy::relay::limits::{Fleet, RateReport};
 use jacinthweir_policy::relay::runners::RunnerEntry;
 
 use crate::node::Node;
@@ -15,7 +15,7 @@
     if rate.is_none() && limits.is_idle() {
         return;
     }
-    if limits.said(&lifetime(runner), rate, now) {
+    if limits.record_answer(&lifetime(runner), rate, now) {
         log::info!(runner = runner.id.as_ref(), rate:? = rate; "runner names a limit");
         node.news.notify_one();
         drop(limits);
@@ -24,15 +24,15 @@
 }
 
 /// Takes in what runners said to another instance.
-pub(crate) fn hear(node: &Node, statements: &[Statement]) {
+pub(crate) fn hear(node: &Node, statements: &[RateReport]) {
     let now = node.now();
     let mut limits = node.limits.borrow_mut();
     if limits.is_idle() && statements.is_empty() {
         return;
     }
-    limits.forget(now);
+    limits.expire(now);
     for s in statements {
-        if limits.hear(s, now) {
+        if limits.merge(s, now) {
             let runner = s.lifetime.runner.as_ref();
             log::info!(runner, rate:? = s.rate, age_ms = s.age_ms; "runner named a limit elsewhere");
             node.news.notify_one();
@@ -90,7 +90,7 @@
     let mut limits = node.limits.borrow_mut();
     if limits.is_limited(&lifetime, now) {
         let live = live(node);
-        limits.sent(&lifetime, fleet(node, &live), now);
+        limits.record_sent(&lifetime, fleet(node, &live), now);
     }
 }
 
--- a/plugins/relay/src/news.rs
+++ b/plugins/relay/src/news.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::relay::limits::Statement;
+use jacinthweir_policy::relay::limits::RateReport;
 use jacinthweir_policy::relay::quarantine::Case;
 use jacinthweir_policy::relay::revision::Revision;
 use jacinthweir_policy::relay::words::Word;
@@ -106,7 +106,7 @@
     cases: Vec<Case>,
     /// Runners that named another rate just now.
     #[serde(default)]
-    limits: Vec<Statement>,
+    limits: Vec<RateReport>,
 }
 
 /// Starts telling.
@@ -169,7 +169,7 @@
         dead: node.words.borrow().since(since).collect(),
         alive,
         paces,
-        limits: node.limits.borrow().told(NEW_MS, true, now),
+        limits: node.limits.borrow().recent_reports(NEW_MS, true, now),
         cases: node.quarantine.borrow().told(NEW_MS, false, now).collect(),
     }
 }
--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -16,7 +16,7 @@
 use jacinthweir_policy::relay::following::{Behind, Outdated};
 use jacinthweir_policy::relay::intent::{self, Intent, Offered};
 use jacinthweir_policy::relay::lease::Lease;
-use jacinthweir_policy::relay::limits::Limits;
+use jacinthweir_policy::relay::limits::RunnerRateLimits;
 use jacinthweir_policy::relay::loads::LoadTable;
 use jacinthweir_policy::relay::quarantine::Quarantine;
 use jacinthweir_policy::relay::revision::Revision;
@@ -87,7 +87,7 @@
     /// What others say of dead runners.
     pub(crate) words: RefCell<Words>,
     /// Rates that runners name.
-    pub(crate) limits: RefCell<Limits>,
+    pub(crate) limits: RefCell<RunnerRateLimits>,
     /// Requests under which runners ended.
     pub(crate) quarantine: RefCell<Quarantine>,
     /// Requests that are held no more and that the store still has.
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -20,7 +20,7 @@
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::following::{Confirming, Step, Watchers};
 use jacinthweir_policy::relay::lease::Bid;
-use jacinthweir_policy::relay::limits::Statement;
+use jacinthweir_policy::relay::limits::RateReport;
 use jacinthweir_policy::relay::loads::{HeadUse, Load, LoadDigest, LoadUpdate, ServiceCounts};
 use jacinthweir_policy::relay::quarantine::Case;
 use jacinthweir_policy::relay::words::Word;
@@ -65,7 +65,7 @@
     /// Requests that are held, and those under which runners ended of late.
     cases: Vec<Case>,
     /// What runners said of late of their rates.
-    limits: Vec<Statement>,
+    limits: Vec<RateReport>,
 }
 
 /// Age up to which a runner's statement is told in exchanges, in milliseconds: a few rounds.
@@ -82,7 +82,10 @@
             confirmed_ms_ago: node.vouch.borrow().age_ms(node.now()),
             dead: node.words.borrow().since(0).collect(),
             seen: Seen::of(node),
-            limits: node.limits.borrow().told(LIMITS_MS, false, node.now()),
+            limits: node
+                .limits
+                .borrow()
+                .recent_reports(LIMITS_MS, false, node.now()),
             cases: node
                 .quarantine
                 .borrow()
--- a/policy/src/relay/limits.rs
+++ b/policy/src/relay/limits.rs
@@ -40,7 +40,7 @@
 
 /// A runner's announcement of its rate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Statement {
+pub struct RateReport {
     /// Lifetime of the runner.
     pub lifetime: Lifetime,
     /// Requests per second, or `None` for no limit.
@@ -75,9 +75,9 @@
 
 /// Rate limits of all runners.
 #[derive(Clone, Debug, Default)]
-pub struct Limits(BTreeMap<Lifetime, RunnerRate>);
+pub struct RunnerRateLimits(BTreeMap<Lifetime, RunnerRate>);
 
-impl Limits {
+impl RunnerRateLimits {
     /// Returns whether no runner has a report.
     #[must_use]
     pub fn is_idle(&self) -> bool {
@@ -92,12 +92,12 @@
 
     /// Records the `rate` from an answer of a runner, or that it had none; returns whether that is a
     /// significant change.
-    pub fn said(&mut self, lifetime: &Lifetime, rate: Option<f64>, now: Millis) -> bool {
+    pub fn record_answer(&mut self, lifetime: &Lifetime, rate: Option<f64>, now: Millis) -> bool {
         if rate.is_none() && !self.0.contains_key(lifetime) {
             return false;
         }
-        self.hear(
-            &Statement {
+        self.merge(
+            &RateReport {
                 lifetime: lifetime.clone(),
                 rate,
                 age_ms: 0,
@@ -108,7 +108,7 @@
 
     /// Merges a report, received from the runner or from another instance; returns whether it is a
     /// significant change.
-    pub fn hear(&mut self, s: &Statement, now: Millis) -> bool {
+    pub fn merge(&mut self, s: &RateReport, now: Millis) -> bool {
         let is_usable = s.rate.is_none_or(|r| r.is_finite() && r >= 0.0);
         if !is_usable || s.age_ms >= REPORT_TTL_MS {
             return false;
@@ -138,20 +138,25 @@
     }
 
     /// Drops reports that were not renewed in time.
-    pub fn forget(&mut self, now: Millis) {
+    pub fn expire(&mut self, now: Millis) {
         self.0.retain(|_, r| now < r.announced_ms + REPORT_TTL_MS);
     }
 
     /// Returns the reports announced within the last `age_ms` milliseconds at `now`, or with
     /// `changed_only` those that changed significantly within that time.
-    pub fn told(&self, age_ms: Millis, changed_only: bool, now: Millis) -> Vec<Statement> {
+    pub fn recent_reports(
+        &self,
+        age_ms: Millis,
+        changed_only: bool,
+        now: Millis,
+    ) -> Vec<RateReport> {
         let is_recent = |r: &RunnerRate| match changed_only {
             true => now <= r.changed_ms + age_ms,
             false => now <= r.announced_ms + age_ms,
         };
         let recent = self.0.iter().filter(|(_, r)| is_recent(r));
         recent
-            .map(|(lifetime, r)| Statement {
+            .map(|(lifetime, r)| RateReport {
                 lifetime: lifetime.clone(),
                 rate: r.rate,
                 age_ms: now.saturating_sub(r.announced_ms),
@@ -171,7 +176,7 @@
     }
 
     /// Records that this instance sends a request to a runner at `now`.
-    pub fn sent(&mut self, lifetime: &Lifetime, fleet: Fleet<'_>, now: Millis) {
+    pub fn record_sent(&mut self, lifetime: &Lifetime, fleet: Fleet<'_>, now: Millis) {
         let Some(rate) = self.rate(lifetime, now) else {
             return;
         };
--- a/policy/tests/relay_limits.rs
+++ b/policy/tests/relay_limits.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::lifetime::Lifetime;
-use jacinthweir_policy::relay::limits::{Fleet, Limits, Statement};
+use jacinthweir_policy::relay::limits::{Fleet, RateReport, RunnerRateLimits};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -26,8 +26,8 @@
     }
 }
 
-fn statement(rate: Option<f64>, age_ms: Millis) -> Statement {
-    Statement {
+fn report(rate: Option<f64>, age_ms: Millis) -> RateReport {
+    RateReport {
         lifetime: lifetime(),
         rate,
         age_ms,
@@ -45,7 +45,7 @@
 struct Simulation {
     rng: ChaCha8Rng,
     names: Vec<Name>,
-    limits: Vec<Limits>,
+    limits: Vec<RunnerRateLimits>,
     /// Time at which each instance receives the rate.
     informed_ms: Vec<u64>,
     /// Probability of a request at each instance in a step.
@@ -63,7 +63,7 @@
         let busiest: f64 = rng.random_range(0.02..1.0);
         Simulation {
             names,
-            limits: vec![Limits::default(); count],
+            limits: vec![RunnerRateLimits::default(); count],
             informed_ms: (0..count)
                 .map(|_| rng.random_range(REPORT_DELAY_MS.0..REPORT_DELAY_MS.1))
                 .collect(),
@@ -79,7 +79,7 @@
         for now in (0..LENGTH_MS).step_by(STEP_MS as usize) {
             for i in 0..self.names.len() {
                 if now >= self.informed_ms[i] && self.limits[i].is_idle() {
-                    self.limits[i].hear(&statement(Some(self.rate), now), now);
+                    self.limits[i].merge(&report(Some(self.rate), now), now);
                 }
                 if self.rng.random_bool(self.load[i]) {
                     self.offer(i, now);
@@ -92,9 +92,9 @@
     fn offer(&mut self, i: usize, now: u64) {
         let fleet = fleet(&self.names[i], &self.names);
         if self.limits[i].allows(&lifetime(), fleet, now) {
-            self.limits[i].sent(&lifetime(), fleet, now);
+            self.limits[i].record_sent(&lifetime(), fleet, now);
             // The answer announces the rate again.
-            self.limits[i].said(&lifetime(), Some(self.rate), now);
+            self.limits[i].record_answer(&lifetime(), Some(self.rate), now);
             self.sent_ms.push(now);
         }
     }
@@ -128,7 +128,7 @@
 fn instances_that_each_apply_the_total_rate_exceed_it() {
     let mut alone = Simulation::new(0);
     alone.names = vec!["front-0".into(); 12];
-    alone.limits = vec![Limits::default(); 12];
+    alone.limits = vec![RunnerRateLimits::default(); 12];
     alone.informed_ms = vec![0; 12];
     alone.load = vec![0.5; 12];
     alone.rate = 5.6;
@@ -136,9 +136,9 @@
         for i in 0..12 {
             let own: Name = "front-0".into();
             let live = [own.clone()];
-            alone.limits[i].hear(&statement(Some(5.6), 0), now);
+            alone.limits[i].merge(&report(Some(5.6), 0), now);
             if alone.limits[i].allows(&lifetime(), fleet(&own, &live), now) {
-                alone.limits[i].sent(&lifetime(), fleet(&own, &live), now);
+                alone.limits[i].record_sent(&lifetime(), fleet(&own, &live), now);
                 alone.sent_ms.push(now);
             }
         }
@@ -152,7 +152,7 @@
     for count in [1, 6, 60, 300] {
         let mut busy = Simulation::new(1);
         busy.names = (0..count).map(|i| format!("front-{i}").into()).collect();
-        busy.limits = vec![Limits::default(); count];
+        busy.limits = vec![RunnerRateLimits::default(); count];
         busy.informed_ms = vec![0; count];
         busy.load = vec![1.0; count];
         busy.rate = 5.6;
@@ -166,15 +166,15 @@
 fn the_latest_report_applies_whichever_instance_received_it() {
     let own: Name = "one".into();
     let live = [own.clone()];
-    let mut limits = Limits::default();
-    expect_true!(limits.said(&lifetime(), Some(2.0), 1_000));
-    limits.sent(&lifetime(), fleet(&own, &live), 1_000);
+    let mut limits = RunnerRateLimits::default();
+    expect_true!(limits.record_answer(&lifetime(), Some(2.0), 1_000));
+    limits.record_sent(&lifetime(), fleet(&own, &live), 1_000);
     expect_false!(limits.allows(&lifetime(), fleet(&own, &live), 1_010));
 
-    expect_true!(limits.hear(&statement(None, 100), 1_200));
+    expect_true!(limits.merge(&report(None, 100), 1_200));
     expect_true!(limits.allows(&lifetime(), fleet(&own, &live), 1_210));
     // Announced earlier, received later.
-    expect_false!(limits.hear(&statement(Some(2.0), 150), 1_220));
+    expect_false!(limits.merge(&report(Some(2.0), 150), 1_220));
     expect_true!(limits.allows(&lifetime(), fleet(&own, &live), 1_230));
 }
 
@@ -183,16 +183,16 @@
 fn invalid_and_expired_rates_limit_nothing() {
     let own: Name = "one".into();
     let live = [own.clone()];
-    let mut limits = Limits::default();
+    let mut limits = RunnerRateLimits::default();
     for rate in [f64::NAN, f64::INFINITY, -1.0] {
-        expect_false!(limits.said(&lifetime(), Some(rate), 0));
+        expect_false!(limits.record_answer(&lifetime(), Some(rate), 0));
     }
-    expect_false!(limits.said(&lifetime(), None, 0));
+    expect_false!(limits.record_answer(&lifetime(), None, 0));
     expect_true!(limits.is_idle());
-    limits.said(&lifetime(), Some(0.0), 0);
-    limits.sent(&lifetime(), fleet(&own, &live), 0);
+    limits.record_answer(&lifetime(), Some(0.0), 0);
+    limits.record_sent(&lifetime(), fleet(&own, &live), 0);
     expect_false!(limits.allows(&lifetime(), fleet(&own, &live), 3_000));
     expect_true!(limits.allows(&lifetime(), fleet(&own, &live), 60_000));
-    limits.forget(60_000);
+    limits.expire(60_000);
     expect_true!(limits.is_idle());
 }
