--- a/plugins/relay/src/limits.rs
+++ b/plugins/relay/src/limits.rs
@@ -2,7 +2,7 @@
 
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::lifetime::Lifetime;
-use jacinthweir_policy::relay::limits::{Fleet, RateReport};
+use jacinthweir_policy::relay::rate_limits::{Fleet, RateReport};
 use jacinthweir_policy::relay::runners::RunnerEntry;
 
 use crate::node::Node;
--- a/plugins/relay/src/news.rs
+++ b/plugins/relay/src/news.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::relay::limits::RateReport;
 use jacinthweir_policy::relay::quarantine::Case;
+use jacinthweir_policy::relay::rate_limits::RateReport;
 use jacinthweir_policy::relay::revision::Revision;
 use jacinthweir_policy::relay::words::Word;
 use rand::seq::IteratorRandom;
--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -16,9 +16,9 @@
 use jacinthweir_policy::relay::following::{Behind, Outdated};
 use jacinthweir_policy::relay::intent::{self, Intent, Offered};
 use jacinthweir_policy::relay::lease::Lease;
-use jacinthweir_policy::relay::limits::RunnerRateLimits;
 use jacinthweir_policy::relay::loads::LoadTable;
 use jacinthweir_policy::relay::quarantine::Quarantine;
+use jacinthweir_policy::relay::rate_limits::RunnerRateLimits;
 use jacinthweir_policy::relay::revision::Revision;
 use jacinthweir_policy::relay::runners::Runners;
 use jacinthweir_policy::relay::shared_retry_budget::{
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -20,9 +20,9 @@
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::following::{Confirming, Step, Watchers};
 use jacinthweir_policy::relay::lease::Bid;
-use jacinthweir_policy::relay::limits::RateReport;
 use jacinthweir_policy::relay::loads::{HeadUse, Load, LoadDigest, LoadUpdate, ServiceCounts};
 use jacinthweir_policy::relay::quarantine::Case;
+use jacinthweir_policy::relay::rate_limits::RateReport;
 use jacinthweir_policy::relay::words::Word;
 use serde::{Deserialize, Serialize};
 use tokio::time::interval;
--- a/policy/src/relay.rs
+++ b/policy/src/relay.rs
@@ -15,7 +15,7 @@
 //! | [`silence`] | when a chain has fallen silent |
 //! | [`words`] | whether a runner is dead that others found dead, and who asks it |
 //! | [`chain_selection`] | which chain a request is sent to, or whether it waits or is refused |
-//! | [`limits`] | which share of a runner's announced rate limit an instance may use |
+//! | [`rate_limits`] | which share of a runner's announced rate limit an instance may use |
 //! | [`loads`] | what all instances have in flight, and which of it is gossiped |
 //! | [`attempts`] | on which runners, and how often, one request may be tried |
 //! | [`fingerprint`] | which attempts are of the same request |
@@ -32,11 +32,11 @@
 pub mod intent;
 pub mod lease;
 pub mod lifetime;
-pub mod limits;
 pub mod loads;
 pub mod placement;
 pub mod quarantine;
 mod ranks;
+pub mod rate_limits;
 pub mod revision;
 pub mod runners;
 pub mod shared_retry_budget;
--- a/policy/tests/relay_limits.rs
+++ b/policy/tests/relay_limits.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::lifetime::Lifetime;
-use jacinthweir_policy::relay::limits::{Fleet, RateReport, RunnerRateLimits};
+use jacinthweir_policy::relay::rate_limits::{Fleet, RateReport, RunnerRateLimits};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
