--- a/plugins/relay/src/tried.rs
+++ b/plugins/relay/src/tried.rs
@@ -60,7 +60,7 @@
 
     /// Whether the request may not be sent any more, whatever chain there is.
     pub(crate) fn is_spent(&self, rq: &Proxied) -> bool {
-        self.attempts.is_spent(rq.max_attempts)
+        self.attempts.is_exhausted(rq.max_attempts)
     }
 
     /// Sends the request through a chain, and notes what came of it.
@@ -72,9 +72,9 @@
         after: Option<u64>,
     ) -> Opened {
         let (id, born_ms) = live.head();
-        let ran_before = self.attempts.has(id, born_ms);
+        let ran_before = self.attempts.may_have_run(id, born_ms);
         self.journal.hand();
-        self.attempts.sent(id, born_ms);
+        self.attempts.record_sent(id, born_ms);
         let opened = open(node, rq, live, after).await;
         match opened {
             Opened::NotRun | Opened::Unreached => {
@@ -82,7 +82,7 @@
                     Opened::Unreached => self.journal.unreached(),
                     _ => self.journal.not_run(),
                 }
-                self.attempts.not_run(id, born_ms, ran_before);
+                self.attempts.record_not_run(id, born_ms, ran_before);
                 self.left.push(Rc::clone(live));
             }
             Opened::Broken => self.left.push(Rc::clone(live)),
--- a/policy/src/relay/attempts.rs
+++ b/policy/src/relay/attempts.rs
@@ -20,16 +20,16 @@
 
 impl Attempts {
     /// Records that the request is sent to a runner.
-    pub fn sent(&mut self, id: &Name, born_ms: u64) {
+    pub fn record_sent(&mut self, id: &Name, born_ms: u64) {
         self.sends += 1;
-        if !self.has(id, born_ms) {
+        if !self.may_have_run(id, born_ms) {
             self.ran.push((id.clone(), born_ms));
         }
     }
 
     /// Records that the last send certainly did not run. With `ran_before` the runner stays counted,
     /// since an earlier send may have run there.
-    pub fn not_run(&mut self, id: &Name, born_ms: u64, ran_before: bool) {
+    pub fn record_not_run(&mut self, id: &Name, born_ms: u64, ran_before: bool) {
         if !ran_before {
             self.ran.retain(|(i, b)| (i, *b) != (id, born_ms));
         }
@@ -37,29 +37,29 @@
 
     /// Returns whether a runner may have run the request.
     #[must_use]
-    pub fn has(&self, id: &Name, born_ms: u64) -> bool {
+    pub fn may_have_run(&self, id: &Name, born_ms: u64) -> bool {
         self.ran.iter().any(|(i, b)| (i, *b) == (id, born_ms))
     }
 
-    /// Returns whether no further send is allowed on a route with a limit of `most` runners.
+    /// Returns whether no further send is allowed on a route with a limit of `max_runners` runners.
     #[must_use]
-    pub fn is_spent(&self, most: u32) -> bool {
-        self.sends >= most + MAX_EXTRA_SENDS
+    pub fn is_exhausted(&self, max_runners: u32) -> bool {
+        self.sends >= max_runners + MAX_EXTRA_SENDS
     }
 
-    /// Returns whether the request may be sent to a runner on a route with a limit of `most` runners;
+    /// Returns whether the request may be sent to a runner on a route with a limit of `max_runners` runners;
     /// `ended` returns whether the lifetime of a runner is over.
     pub fn allows(
         &self,
         id: &Name,
         born_ms: u64,
-        most: u32,
+        max_runners: u32,
         ended: impl Fn(&Name, u64) -> bool,
     ) -> bool {
-        if self.is_spent(most) {
+        if self.is_exhausted(max_runners) {
             return false;
         }
         let living = self.ran.iter().filter(|(i, b)| !ended(i, *b)).count();
-        self.has(id, born_ms) || living < most as usize
+        self.may_have_run(id, born_ms) || living < max_runners as usize
     }
 }
--- a/policy/tests/relay_rules.rs
+++ b/policy/tests/relay_rules.rs
@@ -136,21 +136,21 @@
     let nobody = |_: &Name, _: u64| false;
     let mut attempts = Attempts::default();
     expect_true!(attempts.allows(&a, 1, 2, nobody));
-    attempts.sent(&a, 1);
-    attempts.sent(&b, 1);
+    attempts.record_sent(&a, 1);
+    attempts.record_sent(&b, 1);
     expect_false!(attempts.allows(&c, 1, 2, nobody));
     expect_true!(attempts.allows(&b, 1, 2, nobody));
     expect_false!(attempts.allows(&b, 2, 2, nobody));
     // The lifetime of the first runner has ended.
     expect_true!(attempts.allows(&c, 1, 2, |id, _| *id == a));
     // A runner that refused no longer counts, unless an earlier send may have run there.
-    attempts.not_run(&b, 1, true);
+    attempts.record_not_run(&b, 1, true);
     expect_false!(attempts.allows(&c, 1, 2, nobody));
-    attempts.not_run(&b, 1, false);
+    attempts.record_not_run(&b, 1, false);
     expect_true!(attempts.allows(&c, 1, 2, nobody));
     // The number of sends is bounded even if all runners end.
-    attempts.sent(&b, 1);
-    attempts.sent(&c, 1);
+    attempts.record_sent(&b, 1);
+    attempts.record_sent(&c, 1);
     expect_false!(attempts.allows(&c, 1, 2, |_, _| true));
 }
 
