--- a/policy/src/relay/following.rs
+++ b/policy/src/relay/following.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::prelude::*;
-use crate::relay::ranks::{is_among_first, rank, rank_for};
+use crate::relay::rendezvous::{is_among_first, rank, rank_for};
 use crate::relay::revision::Revision;
 use crate::relay::runners::RunnerEntry;
 
--- a/policy/src/relay/quarantine.rs
+++ b/policy/src/relay/quarantine.rs
@@ -29,7 +29,7 @@
 use crate::prelude::*;
 use crate::relay::fingerprint::Fingerprint;
 use crate::relay::lifetime::Lifetime;
-use crate::relay::ranks::{is_among_first, rank_for};
+use crate::relay::rendezvous::{is_among_first, rank_for};
 
 /// Ends of runners under one request from which on it is held. With two, those that met the same two crashes
 /// as a lethal request would be held as well.
--- a/policy/src/relay/rate_limits.rs
+++ b/policy/src/relay/rate_limits.rs
@@ -19,7 +19,7 @@
 
 use crate::prelude::*;
 use crate::relay::lifetime::Lifetime;
-use crate::relay::ranks::{is_among_first, rank_for};
+use crate::relay::rendezvous::{is_among_first, rank_for};
 
 /// Number of instances that share a rate beyond one per request a second. Each of them may send one
 /// request at once from its bucket.
--- a/policy/src/relay/words.rs
+++ b/policy/src/relay/words.rs
@@ -21,7 +21,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::prelude::*;
-use crate::relay::ranks::{is_among_first, rank_for};
+use crate::relay::rendezvous::{is_among_first, rank_for};
 
 /// Instances that must have found a runner dead for others to believe it.
 pub const NAMERS: usize = 3;
