--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -14,7 +14,7 @@
 use jacinthweir_policy::relay::chain_selection::{ReleaseRate, Shortage};
 use jacinthweir_policy::relay::fingerprint::Fingerprint;
 use jacinthweir_policy::relay::following::{Behind, Outdated};
-use jacinthweir_policy::relay::intent::{self, Intent, Offered};
+use jacinthweir_policy::relay::intent::{self, Intent, VersionOrder};
 use jacinthweir_policy::relay::lease::Lease;
 use jacinthweir_policy::relay::loads::LoadTable;
 use jacinthweir_policy::relay::quarantine::Quarantine;
@@ -258,8 +258,8 @@
     /// Takes in a configuration that was read.
     pub(crate) fn offer(&self, offered: Intent) {
         let in_force = self.intent.borrow().as_ref().map(|i| i.version);
-        match intent::compare(in_force, offered.version) {
-            Offered::Taken => {
+        match intent::compare_versions(in_force, offered.version) {
+            VersionOrder::Newer => {
                 let version = offered.version;
                 log::info!(version, before = in_force.unwrap_or(0); "configuration in force");
                 metrics::gauge!("jacinthweir_configuration_version").set(version as f64);
@@ -273,8 +273,8 @@
                 self.news.notify_one();
                 self.rebuild_chains();
             }
-            Offered::Same => {}
-            Offered::Older { in_force } => {
+            VersionOrder::Same => {}
+            VersionOrder::Older { in_force } => {
                 log::warn!(offered = offered.version, in_force; "an older configuration is ignored");
             }
         }
--- a/policy/src/relay/intent.rs
+++ b/policy/src/relay/intent.rs
@@ -221,16 +221,16 @@
 impl Route {
     /// Returns the largest inter-token gap that is still in time, in milliseconds.
     #[must_use]
-    pub fn timely_pause_ms(&self) -> Millis {
+    pub fn max_gap_ms(&self) -> Millis {
         self.pause_ms.unwrap_or(self.objective_ms)
     }
 
     /// Returns the time without an event after which callers are expected to abandon a stream, in
     /// milliseconds.
     #[must_use]
-    pub fn patience_ms(&self) -> Millis {
+    pub fn abandon_after_ms(&self) -> Millis {
         let by_objective = self.objective_ms * ABANDON_OBJECTIVES;
-        let by_gap = self.timely_pause_ms() * ABANDON_GAPS;
+        let by_gap = self.max_gap_ms() * ABANDON_GAPS;
         MIN_ABANDON_MS.max(by_objective).max(by_gap)
     }
 
@@ -256,9 +256,9 @@
 
 /// Comparison of a version that was read with the one in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offered {
+pub enum VersionOrder {
     /// It is newer and replaces the one in force.
-    Taken,
+    Newer,
     /// It is the one in force.
     Same,
     /// A newer one is in force.
@@ -270,10 +270,10 @@
 
 /// Compares a version that was read with the one in force.
 #[must_use]
-pub fn compare(in_force: Option<u64>, offered: u64) -> Offered {
+pub fn compare_versions(in_force: Option<u64>, offered: u64) -> VersionOrder {
     match in_force {
-        Some(version) if version == offered => Offered::Same,
-        Some(version) if version > offered => Offered::Older { in_force: version },
-        _ => Offered::Taken,
+        Some(version) if version == offered => VersionOrder::Same,
+        Some(version) if version > offered => VersionOrder::Older { in_force: version },
+        _ => VersionOrder::Newer,
     }
 }
--- a/policy/tests/relay_rules.rs
+++ b/policy/tests/relay_rules.rs
@@ -12,7 +12,7 @@
     ChainCandidate, MAX_FILL, RefusalBackoff, demand, select,
 };
 use jacinthweir_policy::relay::intent::{
-    CallClass, Intent, Offered, Organisation, Route, UnknownKey, compare,
+    CallClass, Intent, Organisation, Route, UnknownKey, VersionOrder, compare_versions,
 };
 use jacinthweir_policy::relay::runners::Runners;
 use jacinthweir_policy::relay::shared_retry_budget::{
@@ -99,10 +99,13 @@
 /// old version came into force, a caller with a new key would be refused after it was served.
 #[gtest]
 fn an_older_version_never_replaces_a_newer_one() {
-    expect_that!(compare(None, 3), eq(Offered::Taken));
-    expect_that!(compare(Some(3), 7), eq(Offered::Taken));
-    expect_that!(compare(Some(7), 7), eq(Offered::Same));
-    expect_that!(compare(Some(7), 3), eq(Offered::Older { in_force: 7 }));
+    expect_that!(compare_versions(None, 3), eq(VersionOrder::Newer));
+    expect_that!(compare_versions(Some(3), 7), eq(VersionOrder::Newer));
+    expect_that!(compare_versions(Some(7), 7), eq(VersionOrder::Same));
+    expect_that!(
+        compare_versions(Some(7), 3),
+        eq(VersionOrder::Older { in_force: 7 })
+    );
 }
 
 /// A key is revoked while an instance is disconnected from the store. The instance cannot learn of it, and
@@ -171,11 +174,11 @@
         max_attempts: 2,
         public: false,
     };
-    expect_that!(route(500, Some(200)).patience_ms(), eq(2_000));
-    expect_that!(route(500, Some(500)).patience_ms(), eq(4_000));
-    expect_that!(route(1_000, Some(100)).patience_ms(), eq(4_000));
-    expect_that!(route(600, None).timely_pause_ms(), eq(600));
-    expect_that!(route(600, None).patience_ms(), eq(4_800));
+    expect_that!(route(500, Some(200)).abandon_after_ms(), eq(2_000));
+    expect_that!(route(500, Some(500)).abandon_after_ms(), eq(4_000));
+    expect_that!(route(1_000, Some(100)).abandon_after_ms(), eq(4_000));
+    expect_that!(route(600, None).max_gap_ms(), eq(600));
+    expect_that!(route(600, None).abandon_after_ms(), eq(4_800));
 }
 
 fn room(chain: usize, used_tokens: f64) -> ChainCandidate {
