--- a/plugins/relay/src/placer.rs
+++ b/plugins/relay/src/placer.rs
@@ -264,7 +264,7 @@
         Ok(Accepted::Holds) => "holds".to_owned(),
         Err(e) => e.to_string(),
     };
-    log::info!(runner, from, to, term, orders, why:% = m.why, outcome; "order");
+    log::info!(runner, from, to, term, orders, why:% = m.reason, outcome; "order");
     let wait_ms = match answer {
         Ok(_) => load_ms(engine, m) + ENTRY_LAG_MS,
         Err(RunnerError::NoAnswer(_)) => UNANSWERED_MS,
--- a/policy/src/relay/chain.rs
+++ b/policy/src/relay/chain.rs
@@ -1,7 +1,7 @@
 //! Chains: sequences of runners that together run all layers of a model.
 //!
 //! A chain covers the layers `0..n` with ranges of runners, without gap or overlap. A runner holds
-//! one contiguous range and may run any part of it. [`cheapest`] is a shortest-path search over the
+//! one contiguous range and may run any part of it. [`cheapest_chain`] is a shortest-path search over the
 //! range boundaries: for each boundary it keeps the path of least cost. The last layer that a runner
 //! holds increases strictly along a chain. This excludes no coverable layer, and prevents a runner
 //! from appearing twice in a chain, which runners refuse.
@@ -163,14 +163,14 @@
     }
     let mut chains = Vec::new();
     for (domain, mut holders) in by_domain {
-        while let Some(mut chain) = cheapest(&holders, engine.layers) {
+        while let Some(mut chain) = cheapest_chain(&holders, engine.layers) {
             holders.retain(|h| !chain.has(&h.entry.id));
             chain.domain = Some(domain.clone());
             chains.push(chain);
         }
     }
     if chains.is_empty() {
-        chains.extend(cheapest(&holders, engine.layers));
+        chains.extend(cheapest_chain(&holders, engine.layers));
     }
     chains
 }
@@ -185,7 +185,7 @@
 
 /// Returns the chain of least cost over layers `0..layers`, if the holders cover them.
 #[must_use]
-pub fn cheapest(holders: &[Holder<'_>], layers: u32) -> Option<Chain> {
+pub fn cheapest_chain(holders: &[Holder<'_>], layers: u32) -> Option<Chain> {
     let boundaries = boundaries(holders, layers);
     // Best path to each boundary, by last holder.
     let mut best: BTreeMap<u32, BTreeMap<usize, Path>> = BTreeMap::new();
--- a/policy/src/relay/placement.rs
+++ b/policy/src/relay/placement.rs
@@ -23,7 +23,7 @@
 use std::collections::BTreeMap;
 
 use crate::prelude::*;
-use crate::relay::chain::{Holder, cheapest};
+use crate::relay::chain::{Holder, cheapest_chain};
 use crate::relay::intent::{Accelerator, Engine};
 use crate::relay::runners::{RunnerEntry, Runners};
 
@@ -50,7 +50,7 @@
     /// Layer range, end exclusive.
     pub layers: (u32, u32),
     /// Reason for the move.
-    pub why: MoveReason,
+    pub reason: MoveReason,
 }
 
 /// Reason for which a runner is assigned layers.
@@ -182,7 +182,7 @@
         .iter()
         .filter_map(|s| as_holder(s, engine))
         .collect();
-    cheapest(&holders, engine.layers).map(|chain| chain.step_ms)
+    cheapest_chain(&holders, engine.layers).map(|chain| chain.step_ms)
 }
 
 /// Minimum share of the declared room when runners take over layers of slow ones. A chain with a
@@ -234,7 +234,7 @@
     engine: &Engine,
 ) -> bool {
     let holders: Vec<Holder<'_>> = pool.iter().filter_map(|s| as_holder(s, engine)).collect();
-    let Some(chain) = cheapest(&holders, engine.layers) else {
+    let Some(chain) = cheapest_chain(&holders, engine.layers) else {
         return false;
     };
     let (members, rest) = pool.drain(..).partition(|s| chain.has(&s.entry.id));
@@ -343,7 +343,7 @@
         runner: runner.entry.id.clone(),
         address: runner.entry.address,
         layers: runner.layers?,
-        why: runner.moved?,
+        reason: runner.moved?,
     })
 }
 
--- a/policy/tests/relay_placement.rs
+++ b/policy/tests/relay_placement.rs
@@ -186,7 +186,7 @@
         let chains = chains_of(&runners);
         let moves = plan(&runners, SERVICE, &engine(), &BTreeMap::new(), 0);
         for m in &moves {
-            expect_that!(m.why, eq(MoveReason::SecondCopy));
+            expect_that!(m.reason, eq(MoveReason::SecondCopy));
             expect_false!(chains.iter().any(|c| c.has(&m.runner)));
         }
         // Other runners hold the released layers while the new range is loading.
