--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -11,17 +11,19 @@
 use jacinthweir_policy::membership::{Membership, MembershipConfig};
 use jacinthweir_policy::need::Need;
 use jacinthweir_policy::prelude::*;
+use jacinthweir_policy::relay::chain_selection::{ReleaseRate, Shortage};
 use jacinthweir_policy::relay::fingerprint::Fingerprint;
 use jacinthweir_policy::relay::following::{Behind, Outdated};
-use jacinthweir_policy::relay::intent::{self, Intent, Offered};
+use jacinthweir_policy::relay::intent::{self, Intent, VersionOrder};
 use jacinthweir_policy::relay::lease::Lease;
-use jacinthweir_policy::relay::limits::Limits;
-use jacinthweir_policy::relay::loads::Loads;
+use jacinthweir_policy::relay::loads::LoadTable;
 use jacinthweir_policy::relay::quarantine::Quarantine;
+use jacinthweir_policy::relay::rate_limits::RunnerRateLimits;
 use jacinthweir_policy::relay::revision::Revision;
-use jacinthweir_policy::relay::rooms::{Flow, Shortage};
 use jacinthweir_policy::relay::runners::Runners;
-use jacinthweir_policy::relay::spending::{Counts, Spending, SpendingConfig};
+use jacinthweir_policy::relay::shared_retry_budget::{
+    RetryCounts, SharedRetryBudget, SharedRetryBudgetConfig,
+};
 use jacinthweir_policy::relay::vouch::Vouch;
 use jacinthweir_policy::relay::words::Words;
 use rand::rngs::StdRng;
@@ -85,7 +87,7 @@
     /// What others say of dead runners.
     pub(crate) words: RefCell<Words>,
     /// Rates that runners name.
-    pub(crate) limits: RefCell<Limits>,
+    pub(crate) limits: RefCell<RunnerRateLimits>,
     /// Requests under which runners ended.
     pub(crate) quarantine: RefCell<Quarantine>,
     /// Requests that are held no more and that the store still has.
@@ -106,14 +108,14 @@
     pub(crate) listed: Cell<bool>,
     pub(crate) chains: RefCell<Chains>,
     pub(crate) membership: RefCell<Membership>,
-    pub(crate) loads: RefCell<Loads>,
+    pub(crate) loads: RefCell<LoadTable>,
     pub(crate) lease: RefCell<Lease>,
     pub(crate) loading: RefCell<Loading>,
-    pub(crate) spending: RefCell<BTreeMap<Name, Spending>>,
+    pub(crate) spending: RefCell<BTreeMap<Name, SharedRetryBudget>>,
     /// Tokens of the requests that wait for room, in the order in which they get it.
     pub(crate) queue: RefCell<BTreeMap<(u32, u64), f64>>,
     /// How fast room comes free.
-    pub(crate) flow: RefCell<Flow>,
+    pub(crate) flow: RefCell<ReleaseRate>,
     pub(crate) shortage: RefCell<Shortage>,
     /// Room came free, or chains changed.
     pub(crate) room: Notify,
@@ -178,7 +180,7 @@
             listed: Cell::new(false),
             chains: RefCell::default(),
             membership: RefCell::new(membership),
-            loads: RefCell::new(Loads::new(
+            loads: RefCell::new(LoadTable::new(
                 settings.name.clone(),
                 settings.failure_domain.clone(),
             )),
@@ -256,8 +258,8 @@
     /// Takes in a configuration that was read.
     pub(crate) fn offer(&self, offered: Intent) {
         let in_force = self.intent.borrow().as_ref().map(|i| i.version);
-        match intent::compare(in_force, offered.version) {
-            Offered::Taken => {
+        match intent::compare_versions(in_force, offered.version) {
+            VersionOrder::Newer => {
                 let version = offered.version;
                 log::info!(version, before = in_force.unwrap_or(0); "configuration in force");
                 metrics::gauge!("jacinthweir_configuration_version").set(version as f64);
@@ -271,8 +273,8 @@
                 self.news.notify_one();
                 self.rebuild_chains();
             }
-            Offered::Same => {}
-            Offered::Older { in_force } => {
+            VersionOrder::Same => {}
+            VersionOrder::Older { in_force } => {
                 log::warn!(offered = offered.version, in_force; "an older configuration is ignored");
             }
         }
@@ -296,7 +298,7 @@
         let instances = self.most_instances();
         let mut spending = self.spending.borrow_mut();
         let of_service = spending.entry(service.clone()).or_default();
-        of_service.has(self.now(), &cfg, instances, need)
+        of_service.has_retry(self.now(), &cfg, instances, need)
     }
 
     /// Takes one further send for a service out of the common budget.
@@ -306,7 +308,7 @@
         let now = self.now();
         let mut spending = self.spending.borrow_mut();
         let of_service = spending.entry(service.clone()).or_default();
-        let taken = of_service.take(now, &cfg, instances, need);
+        let taken = of_service.take_retry(now, &cfg, instances, need);
         let outcome = if taken { "taken" } else { "refused" };
         metrics::counter!("jacinthweir_repeats_total", "outcome" => outcome).increment(1);
         taken
@@ -345,11 +347,11 @@
         spending
             .entry(service.clone())
             .or_default()
-            .request(now, &cfg);
+            .record_request(now, &cfg);
     }
 
     /// Requests and further sends of this instance in the budget's window, by service.
-    pub(crate) fn spent(&self) -> Vec<(Name, Counts)> {
+    pub(crate) fn spent(&self) -> Vec<(Name, RetryCounts)> {
         let cfg = self.spending_config();
         let now = self.now();
         let mut spending = self.spending.borrow_mut();
@@ -365,13 +367,13 @@
         let instances = self.most_instances();
         let loads = self.loads.borrow();
         for (service, spending) in self.spending.borrow_mut().iter_mut() {
-            spending.lend(now, &cfg, loads.spent(service), instances);
+            spending.update_loan(now, &cfg, loads.retry_counts(service), instances);
         }
     }
 
-    fn spending_config(&self) -> SpendingConfig {
+    fn spending_config(&self) -> SharedRetryBudgetConfig {
         let b = &self.settings.bounds;
-        SpendingConfig {
+        SharedRetryBudgetConfig {
             ratio: b.repeat_ratio,
             slack: b.repeat_slack,
             window_ms: b.repeat_window_ms(),
--- /dev/null
+++ b/policy/src/relay/chain_selection.rs
@@ -0,0 +1,323 @@
+//! Chain selection, and load shedding when no chain has room.
+//!
+//! Room is KV-cache memory for tokens along the whole chain. A chain that is admitted more than it
+//! has room for preempts requests of its batch in the middle of their streams: all of them become
+//! late, and callers abandon work that has been done. So a request is sent only where its tokens
+//! fit, counting what all instances have in flight there.
+//!
+//! Load pattern: a failure domain is lost and its callers move to the other chains at once, or the
+//! arrival rate doubles. What fits is served in time; the rest is refused at once with a retry
+//! delay.
+
+use std::collections::BTreeMap;
+
+use crate::prelude::*;
+use crate::relay::chain::{Chain, Stage};
+
+/// Share of a chain's room that new requests may fill by their estimates. Beyond it the chain
+/// preempts requests of its batch.
+pub const MAX_FILL: f64 = 1.0;
+
+/// Fill limit for requests that resume after their chain broke. It is higher than that of new
+/// requests: part of their work is done, and new requests would otherwise take the room that is
+/// released before they retry.
+pub const MAX_FILL_RESUMED: f64 = 1.1;
+
+/// Penalty of a chain in another failure domain, as a share of its room: it is preferred only if it
+/// is emptier by more than this. Requests and events are small, but traffic between failure domains
+/// is expensive.
+const REMOTE_PENALTY: f64 = 0.15;
+
+/// Share of the answer's tokens that counts over the lifetime of a request: half of them on average,
+/// and somewhat more since requests with long answers stay longest.
+const ANSWER_SHARE: f64 = 0.6;
+
+/// Returns the number of tokens that a request occupies in a chain on average.
+#[must_use]
+pub fn demand(prompt: u32, answer: u32) -> f64 {
+    f64::from(prompt) + ANSWER_SHARE * f64::from(answer)
+}
+
+/// Memory of each runner that requests in flight occupy, as tokens times layers.
+///
+/// Counted by runner and not by chain: when a chain is recomputed with another first runner, its
+/// other runners still hold the tokens of requests in the old chain. If the new chain counted as
+/// empty, all queued requests would be sent there, and refused.
+#[derive(Clone, Debug, Default)]
+pub struct Occupancy(BTreeMap<Name, f64>);
+
+impl Occupancy {
+    /// Adds `tokens` tokens that are in flight through `stages`.
+    pub fn add(&mut self, stages: &[Stage], tokens: f64) {
+        for s in stages {
+            *self.0.entry(s.runner.id.clone()).or_default() += tokens * s.count();
+        }
+    }
+
+    /// Returns the used part of a chain's room, in tokens: the room less what is left at the stage
+    /// with the least.
+    #[must_use]
+    pub fn used_tokens(&self, chain: &Chain) -> f64 {
+        let left = |s: &Stage| {
+            let taken = self.0.get(&s.runner.id).copied().unwrap_or(0.0);
+            (s.room - taken) / s.count().max(1.0)
+        };
+        let left = chain.stages.iter().map(left).min_by(f64::total_cmp);
+        chain.room_tokens - left.unwrap_or(0.0)
+    }
+}
+
+/// The state of a chain that selection depends on.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ChainCandidate {
+    /// Index of the chain.
+    pub chain: usize,
+    /// Whether it is in the failure domain of this instance.
+    pub near: bool,
+    /// Room of the chain, in tokens.
+    pub room_tokens: f64,
+    /// Room that requests of all instances use, in tokens.
+    pub used_tokens: f64,
+    /// Time without a byte while requests are waiting, in milliseconds.
+    pub silent_ms: Millis,
+    /// Whether it is backing off after a refusal.
+    pub backing_off: bool,
+    /// Inter-token gap of its streams, as a share of the largest gap that is in time.
+    pub gap_share: f64,
+}
+
+/// Initial and maximum backoff of a chain after a refusal, in milliseconds; it doubles with each
+/// refusal. A runner whose memory is full refuses for seconds, and each refused request costs a
+/// retry.
+const BACKOFF_MS: Millis = 100;
+const MAX_BACKOFF_MS: Millis = 1_600;
+
+/// Adaptation of a chain's usable room: factor at each refusal, lower bound of the scale, and
+/// increment with each accepted request. Under the highest load answers are longer than estimated,
+/// since long ones stay longest, so the room that estimates may fill is derived from refusals.
+const SCALE_DECREASE: f64 = 0.94;
+const MIN_SCALE: f64 = 0.6;
+const SCALE_INCREASE: f64 = 0.002;
+
+/// Exponential backoff of a chain that refuses requests, and the scale of its usable room.
+#[derive(Clone, Copy, Debug)]
+pub struct RefusalBackoff {
+    count: u32,
+    until_ms: Millis,
+    scale: f64,
+}
+
+impl Default for RefusalBackoff {
+    fn default() -> Self {
+        RefusalBackoff {
+            count: 0,
+            until_ms: 0,
+            scale: 1.0,
+        }
+    }
+}
+
+impl RefusalBackoff {
+    /// Records a refusal at `now`. Refusals during the backoff, of requests that were sent before it
+    /// began, count as one.
+    pub fn record_refused(&mut self, now: Millis) {
+        if now < self.until_ms {
+            return;
+        }
+        let backoff = BACKOFF_MS << self.count.min(8);
+        self.until_ms = now + backoff.min(MAX_BACKOFF_MS);
+        self.count += 1;
+        self.scale = (self.scale * SCALE_DECREASE).max(MIN_SCALE);
+    }
+
+    /// Records an accepted request at `now`.
+    pub fn record_accepted(&mut self, now: Millis) {
+        if now >= self.until_ms {
+            self.count = 0;
+        }
+        self.scale = (self.scale + SCALE_INCREASE).min(1.0);
+    }
+
+    /// Returns the share of the chain's room that estimates may fill.
+    #[must_use]
+    pub fn room_scale(&self) -> f64 {
+        self.scale
+    }
+
+    /// Returns whether the chain gets no requests at `now`.
+    #[must_use]
+    pub fn is_backing_off(&self, now: Millis) -> bool {
+        now < self.until_ms
+    }
+}
+
+/// Silence after which a chain is suspected and gets new requests only if no other has room, in
+/// milliseconds.
+const SUSPECT_AFTER_MS: Millis = 200;
+
+impl ChainCandidate {
+    /// Returns whether a request of `tokens` tokens fits within the share `fill` of the room.
+    fn fits(&self, tokens: f64, fill: f64) -> bool {
+        !self.backing_off && self.used_tokens + tokens <= self.room_tokens * fill
+    }
+
+    /// Returns the used share of the room with `tokens` more tokens.
+    fn fill_with(&self, tokens: f64) -> f64 {
+        (self.used_tokens + tokens) / self.room_tokens.max(1.0)
+    }
+
+    fn is_suspected(&self) -> bool {
+        self.silent_ms > SUSPECT_AFTER_MS
+    }
+
+    /// Returns the factor for a chain's share of new requests, from 0 to 1.
+    ///
+    /// Load pattern: the chains of a fleet differ in speed by a factor of three, and the inter-token gap
+    /// grows with the number of concurrent streams. A slow chain that is filled as far as a fast one
+    /// exceeds the gap objective on nearly all of its streams while it still has room. So its share is
+    /// reduced before its gaps reach the objective.
+    fn timeliness(&self) -> f64 {
+        let left = (LATE_SHARE - self.gap_share) / (LATE_SHARE - TIMELY_SHARE);
+        left.clamp(0.0, 1.0)
+    }
+}
+
+/// Share of the gap objective from which on a chain gets fewer new requests, and at which its weight is
+/// lowest.
+const TIMELY_SHARE: f64 = 0.6;
+const LATE_SHARE: f64 = 0.95;
+
+/// Returns the least loaded chain with room for a request of `tokens` tokens within the share `fill`.
+#[must_use]
+pub fn select(candidates: &[ChainCandidate], tokens: f64, fill: f64) -> Option<usize> {
+    let rank = |c: &ChainCandidate| {
+        let remote = if c.near { 0.0 } else { REMOTE_PENALTY };
+        let suspected = if c.is_suspected() { 10.0 } else { 0.0 };
+        c.fill_with(tokens) + remote + suspected
+    };
+    let best = candidates
+        .iter()
+        .filter(|c| c.fits(tokens, fill))
+        .min_by(|a, b| rank(a).total_cmp(&rank(b)));
+    best.map(|c| c.chain)
+}
+
+/// Number of instances up to which each considers all chains; in a fleet of this size loads are known
+/// with little delay.
+const FULL_SCAN_INSTANCES: usize = 6;
+
+/// Sampling weights of a chain in the failure domain of this instance, and of a suspected one.
+const NEAR_WEIGHT: f64 = 8.0;
+const SUSPECT_WEIGHT: f64 = 1e-3;
+
+/// Lower bound of the weight factors for free room and timeliness, as long as a chain has room.
+const MIN_WEIGHT: f64 = 0.05;
+
+/// Returns a chain as [`select`] does, from a random sample that shrinks with the number of instances
+/// that decide independently (`deciders`); `draw` gives random numbers from 0 to 1.
+///
+/// Load pattern: hundreds of instances know each other's load with a delay of a second. If each takes
+/// the least loaded chain, all take the same one until they learn that it is full: it gets twice the
+/// requests that it has room for, which queue for seconds while other chains are half empty. The better
+/// of two random chains is still the same one too often. So the more instances decide, the fewer chains
+/// each considers, down to one, drawn with a probability that grows with its free room.
+pub fn select_sampled(
+    candidates: &[ChainCandidate],
+    tokens: f64,
+    fill: f64,
+    deciders: usize,
+    mut draw: impl FnMut() -> f64,
+) -> Option<usize> {
+    if deciders <= FULL_SCAN_INSTANCES {
+        return select(candidates, tokens, fill);
+    }
+    let fitting = candidates.iter().filter(|c| c.fits(tokens, fill));
+    let mut drawn: Vec<(f64, ChainCandidate)> = fitting
+        .map(|c| (-(1.0 - draw()).ln() / draw_weight(c, tokens), *c))
+        .collect();
+    drawn.sort_by(|a, b| a.0.total_cmp(&b.0));
+    let sample = drawn.len() * FULL_SCAN_INSTANCES / deciders;
+    drawn.truncate(sample.max(1));
+    let drawn: Vec<ChainCandidate> = drawn.into_iter().map(|(_, candidate)| candidate).collect();
+    select(&drawn, tokens, fill)
+}
+
+fn draw_weight(candidate: &ChainCandidate, tokens: f64) -> f64 {
+    let free = (1.0 - candidate.fill_with(tokens)).max(MIN_WEIGHT);
+    let near = if candidate.near { NEAR_WEIGHT } else { 1.0 };
+    let suspected = if candidate.is_suspected() {
+        SUSPECT_WEIGHT
+    } else {
+        1.0
+    };
+    let timely = candidate.timeliness().max(MIN_WEIGHT);
+    free * near * suspected * timely
+}
+
+/// Time constant of the moving average of released room, in milliseconds.
+const RELEASE_AVERAGE_MS: f64 = 1_000.0;
+
+/// Rate at which room is released, as an exponential moving average over requests that ended.
+///
+/// Load pattern: arrivals exceed the capacity of the chains for seconds. A request that is queued
+/// behind more tokens than are released within its maximum waiting time would wait in vain and be
+/// refused late; with the expected release it is refused at once.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ReleaseRate {
+    tokens: f64,
+    at_ms: Millis,
+}
+
+impl ReleaseRate {
+    /// Records that a request of `tokens` tokens ended at `now`.
+    pub fn record_released(&mut self, now: Millis, tokens: f64) {
+        self.tokens = self.recent(now) + tokens;
+        self.at_ms = now;
+    }
+
+    fn recent(&self, now: Millis) -> f64 {
+        let passed = now.saturating_sub(self.at_ms) as f64;
+        self.tokens * (-passed / RELEASE_AVERAGE_MS).exp()
+    }
+
+    /// Returns the number of tokens that are expected to be released within `ms` milliseconds.
+    #[must_use]
+    pub fn expected_release(&self, now: Millis, ms: Millis) -> f64 {
+        self.recent(now) * ms as f64 / RELEASE_AVERAGE_MS
+    }
+}
+
+/// Time without a refusal after which a shortage is over, in milliseconds.
+const SHORTAGE_END_MS: Millis = 1_500;
+
+/// Minimum and maximum retry delay before jitter, in milliseconds; jitter adds up to as much again.
+/// Callers wait for at most a third of their remaining time, which is 20 s at first.
+const MIN_RETRY_AFTER_MS: Millis = 1_500;
+const MAX_RETRY_AFTER_MS: Millis = 4_500;
+
+/// Duration of the present shortage of room, from which retry delays are derived.
+///
+/// Load pattern: a failure domain is lost for some seconds under high load. Most callers retry once;
+/// a retry during the same shortage fails the request. A shortage is expected to last as long again
+/// as it has lasted so far.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Shortage {
+    since_ms: Millis,
+    last_ms: Option<Millis>,
+}
+
+impl Shortage {
+    /// Records that a request is refused for lack of room at `now`, and returns the retry delay for its
+    /// caller, in milliseconds. `draw` is a random number from 0 to 1 for the jitter, so that callers
+    /// that are refused together do not retry together.
+    pub fn record_refused(&mut self, now: Millis, draw: f64) -> Millis {
+        let continues = self.last_ms.is_some_and(|at| now < at + SHORTAGE_END_MS);
+        if !continues {
+            self.since_ms = now;
+        }
+        self.last_ms = Some(now);
+        let lasted = now - self.since_ms;
+        let base = lasted.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS);
+        (base as f64 * (1.0 + draw)) as Millis
+    }
+}
--- a/policy/tests/relay_rules.rs
+++ b/policy/tests/relay_rules.rs
@@ -1,4 +1,4 @@
-//! The small rules of the relay: configuration, vouching, rooms, repeats.
+//! Relay rules: configuration, vouching, chain selection, attempts and the retry budget.
 
 #[path = "support/relay.rs"]
 #[allow(dead_code, reason = "other tests use the rest")]
@@ -8,12 +8,16 @@
 use jacinthweir_policy::need::Need;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::attempts::Attempts;
+use jacinthweir_policy::relay::chain_selection::{
+    ChainCandidate, MAX_FILL, RefusalBackoff, demand, select,
+};
 use jacinthweir_policy::relay::intent::{
-    CallClass, Intent, Offered, Organisation, Route, UnknownKey, compare,
+    CallClass, Intent, Organisation, Route, UnknownKey, VersionOrder, compare_versions,
 };
-use jacinthweir_policy::relay::rooms::{FILL, Refusals, Room, choose, demand};
 use jacinthweir_policy::relay::runners::Runners;
-use jacinthweir_policy::relay::spending::{Counts, Spending, SpendingConfig};
+use jacinthweir_policy::relay::shared_retry_budget::{
+    RetryCounts, SharedRetryBudget, SharedRetryBudgetConfig,
+};
 use jacinthweir_policy::relay::vouch::Vouch;
 use support::runner;
 
@@ -53,7 +57,7 @@
 }
 
 #[gtest]
-fn the_longest_prefix_of_the_host_takes_a_path() {
+fn the_longest_matching_prefix_of_the_host_wins() {
     let intent = intent();
     let name = |host, path| intent.route(host, path).map(|r| r.name.to_string());
     expect_that!(name("host", "/a/b/c"), some(eq("long")));
@@ -64,7 +68,7 @@
 }
 
 #[gtest]
-fn keys_are_asked_for_unless_the_route_is_public() {
+fn keys_are_required_unless_the_route_is_public() {
     let intent = intent();
     let mut route = route("r", "/a/");
     expect_that!(intent.organisation(&route, None), err(eq(UnknownKey)));
@@ -91,21 +95,23 @@
     expect_that!(route.service(0.0).map(|s| &**s), some(eq("b")));
 }
 
-/// The caller with a new key is refused again after it was served: a watch brings an old version
-/// after a newer one, or the store was restored from a copy. The version in force only grows.
+/// A watch delivers an old version after a newer one, or the store is restored from an older copy. If the
+/// old version came into force, a caller with a new key would be refused after it was served.
 #[gtest]
 fn an_older_version_never_replaces_a_newer_one() {
-    expect_that!(compare(None, 3), eq(Offered::Taken));
-    expect_that!(compare(Some(3), 7), eq(Offered::Taken));
-    expect_that!(compare(Some(7), 7), eq(Offered::Same));
-    expect_that!(compare(Some(7), 3), eq(Offered::Older { in_force: 7 }));
+    expect_that!(compare_versions(None, 3), eq(VersionOrder::Newer));
+    expect_that!(compare_versions(Some(3), 7), eq(VersionOrder::Newer));
+    expect_that!(compare_versions(Some(7), 7), eq(VersionOrder::Same));
+    expect_that!(
+        compare_versions(Some(7), 3),
+        eq(VersionOrder::Older { in_force: 7 })
+    );
 }
 
-/// The caller's key is taken away while its instance is cut off from the store: the instance
-/// cannot hear of it, and must stop serving keys before the bound is over, counted from when its
-/// last confirmed read was sent.
+/// A key is revoked while an instance is disconnected from the store. The instance cannot learn of it, and
+/// has to stop serving within the revocation bound, counted from when its last confirmed read was sent.
 #[gtest]
-fn an_instance_that_is_cut_off_stops_serving_before_the_bound() {
+fn a_disconnected_instance_stops_serving_within_the_bound() {
     let mut vouch = Vouch::new(5_000);
     expect_false!(vouch.may_serve(0));
     vouch.confirm(1_000);
@@ -117,7 +123,7 @@
 }
 
 #[gtest]
-fn only_an_instance_that_has_just_started_lets_requests_wait() {
+fn only_an_instance_that_has_just_started_queues_requests() {
     let mut vouch = Vouch::new(5_000);
     expect_true!(vouch.is_starting(100));
     expect_false!(vouch.is_starting(4_000));
@@ -125,37 +131,37 @@
     expect_false!(vouch.is_starting(200));
 }
 
-/// A part behind the first runner dies twice under one request. The route allows two runners; the
-/// first ones of both chains live, so a third one must not run it, but the second may again.
+/// A later stage dies twice during one request, on a route that allows two runners. The first runners of
+/// both chains are alive, so a third one must not run the request, but the second may run it again.
 #[gtest]
 fn a_request_runs_on_no_more_living_runners_than_its_route_allows() {
     let [a, b, c] = ["a", "b", "c"].map(Name::from);
     let nobody = |_: &Name, _: u64| false;
     let mut attempts = Attempts::default();
     expect_true!(attempts.allows(&a, 1, 2, nobody));
-    attempts.sent(&a, 1);
-    attempts.sent(&b, 1);
+    attempts.record_sent(&a, 1);
+    attempts.record_sent(&b, 1);
     expect_false!(attempts.allows(&c, 1, 2, nobody));
     expect_true!(attempts.allows(&b, 1, 2, nobody));
     expect_false!(attempts.allows(&b, 2, 2, nobody));
-    // The first one has ended.
+    // The lifetime of the first runner has ended.
     expect_true!(attempts.allows(&c, 1, 2, |id, _| *id == a));
-    // A refusal takes a runner off the count, unless an earlier send may have run there.
-    attempts.not_run(&b, 1, true);
+    // A runner that refused no longer counts, unless an earlier send may have run there.
+    attempts.record_not_run(&b, 1, true);
     expect_false!(attempts.allows(&c, 1, 2, nobody));
-    attempts.not_run(&b, 1, false);
+    attempts.record_not_run(&b, 1, false);
     expect_true!(attempts.allows(&c, 1, 2, nobody));
-    // However many end, there is an end.
-    attempts.sent(&b, 1);
-    attempts.sent(&c, 1);
+    // The number of sends is bounded even if all runners end.
+    attempts.record_sent(&b, 1);
+    attempts.record_sent(&c, 1);
     expect_false!(attempts.allows(&c, 1, 2, |_, _| true));
 }
 
-/// A stream's chain breaks. For how long another run may still go on with it is told by its route: on
-/// one with long pauses the caller waits twice as long, and giving up after the usual time cut streams
-/// that were still awaited.
+/// The chain of a stream breaks, and another run may resume the stream until its caller abandons it. That
+/// time depends on the route: with a large gap objective the caller waits twice as long, and a fixed time
+/// would cut streams that are still awaited.
 #[gtest]
-fn callers_patience_follows_from_the_route() {
+fn the_abandon_time_depends_on_the_route() {
     let route = |objective_ms, pause_ms| Route {
         name: "r".into(),
         prefix: "/".into(),
@@ -168,113 +174,113 @@
         max_attempts: 2,
         public: false,
     };
-    expect_that!(route(500, Some(200)).patience_ms(), eq(2_000));
-    expect_that!(route(500, Some(500)).patience_ms(), eq(4_000));
-    expect_that!(route(1_000, Some(100)).patience_ms(), eq(4_000));
-    expect_that!(route(600, None).timely_pause_ms(), eq(600));
-    expect_that!(route(600, None).patience_ms(), eq(4_800));
+    expect_that!(route(500, Some(200)).abandon_after_ms(), eq(2_000));
+    expect_that!(route(500, Some(500)).abandon_after_ms(), eq(4_000));
+    expect_that!(route(1_000, Some(100)).abandon_after_ms(), eq(4_000));
+    expect_that!(route(600, None).max_gap_ms(), eq(600));
+    expect_that!(route(600, None).abandon_after_ms(), eq(4_800));
 }
 
-fn room(chain: usize, used_tokens: f64) -> Room {
-    Room {
+fn room(chain: usize, used_tokens: f64) -> ChainCandidate {
+    ChainCandidate {
         chain,
         near: false,
         room_tokens: 100_000.0,
         used_tokens,
         silent_ms: 0,
-        refusing: false,
-        pause_share: 0.0,
+        backing_off: false,
+        gap_share: 0.0,
     }
 }
 
 #[gtest]
-fn the_emptier_chain_is_chosen_and_the_near_one_preferred() {
-    let rooms = [room(0, 50_000.0), room(1, 30_000.0)];
-    expect_that!(choose(&rooms, 1_000.0, FILL), some(eq(1)));
-    let near = Room {
+fn the_least_loaded_chain_is_selected_with_preference_for_the_own_domain() {
+    let candidates = [room(0, 50_000.0), room(1, 30_000.0)];
+    expect_that!(select(&candidates, 1_000.0, MAX_FILL), some(eq(1)));
+    let near = ChainCandidate {
         near: true,
         ..room(0, 40_000.0)
     };
     expect_that!(
-        choose(&[near, room(1, 30_000.0)], 1_000.0, FILL),
+        select(&[near, room(1, 30_000.0)], 1_000.0, MAX_FILL),
         some(eq(0))
     );
 }
 
-/// The load of a lost domain comes to the two that are left. What does not fit is turned away:
-/// a chain that takes more than it has room for takes requests back in the middle of their
-/// streams, and everybody is late.
+/// The load of a lost domain moves to the two remaining ones. Requests that do not fit are refused: a chain
+/// that is admitted more than it has room for preempts requests in the middle of their streams, and all
+/// become late.
 #[gtest]
-fn a_full_chain_takes_nothing_more() {
+fn a_full_chain_gets_no_requests() {
     let mut used = 0.0;
     let mut taken = 0;
-    while let Some(0) = choose(&[room(0, used)], demand(800, 200), FILL) {
+    while let Some(0) = select(&[room(0, used)], demand(800, 200), MAX_FILL) {
         used += demand(800, 200);
         taken += 1;
     }
-    expect_that!(used, le(100_000.0 * FILL));
+    expect_that!(used, le(100_000.0 * MAX_FILL));
     expect_that!(taken, ge(100));
 }
 
 #[gtest]
-fn a_silent_chain_gets_new_work_only_where_no_other_has_room() {
-    let silent = Room {
+fn a_silent_chain_gets_requests_only_if_no_other_has_room() {
+    let silent = ChainCandidate {
         silent_ms: 400,
         ..room(0, 0.0)
     };
     expect_that!(
-        choose(&[silent, room(1, 90_000.0)], 1_000.0, FILL),
+        select(&[silent, room(1, 90_000.0)], 1_000.0, MAX_FILL),
         some(eq(1))
     );
     expect_that!(
-        choose(&[silent, room(1, 100_000.0)], 1_000.0, FILL),
+        select(&[silent, room(1, 100_000.0)], 1_000.0, MAX_FILL),
         some(eq(0))
     );
 }
 
-/// A runner whose memory is full refuses sixty requests a second, each of which costs a repeat.
-/// Its chain is left alone for a time that doubles, and its room is taken for smaller.
+/// A runner whose memory is full would refuse sixty requests per second, each of which costs a retry. Its
+/// chain gets no requests during an exponential backoff, and its usable room is reduced.
 #[gtest]
-fn a_chain_that_refuses_is_left_alone_for_longer_each_time() {
-    let mut refusals = Refusals::default();
+fn a_refusing_chain_gets_an_exponential_backoff() {
+    let mut refusals = RefusalBackoff::default();
     let mut sent = 0;
     for now in 0..10_000 {
-        if !refusals.refusing(now) {
-            refusals.refused(now);
+        if !refusals.is_backing_off(now) {
+            refusals.record_refused(now);
             sent += 1;
         }
     }
     expect_that!(sent, le(12));
-    expect_that!(refusals.scale(), lt(1.0));
+    expect_that!(refusals.room_scale(), lt(1.0));
     for now in 20_000..21_000 {
-        refusals.taken(now);
+        refusals.record_accepted(now);
     }
-    expect_that!(refusals.scale(), eq(1.0));
-    let refusing = Room {
-        refusing: true,
-        pause_share: 0.0,
+    expect_that!(refusals.room_scale(), eq(1.0));
+    let refusing = ChainCandidate {
+        backing_off: true,
+        gap_share: 0.0,
         ..room(0, 0.0)
     };
-    expect_that!(choose(&[refusing], 1.0, FILL), none());
+    expect_that!(select(&[refusing], 1.0, MAX_FILL), none());
 }
 
-/// A failure domain dies and every request fails. All instances together must stay below the
-/// bound on further sends, though none knows what the others spend.
+/// A failure domain dies and every request fails. All instances together have to stay within the bound on
+/// retries, although none knows what the others spend.
 #[gtest]
-fn further_sends_of_all_instances_stay_below_the_bound() {
-    let cfg = SpendingConfig {
+fn retries_of_all_instances_stay_within_the_bound() {
+    let cfg = SharedRetryBudgetConfig {
         ratio: 0.2,
         slack: 196.0,
         window_ms: 10_000,
     };
-    let mut instances = vec![Spending::default(); 6];
+    let mut instances = vec![SharedRetryBudget::default(); 6];
     let mut requests = Vec::new();
     let mut repeats = Vec::new();
     for now in (0..60_000u64).step_by(10) {
         let one = &mut instances[(now / 10 % 6) as usize];
-        one.request(now, &cfg);
+        one.record_request(now, &cfg);
         requests.push(now);
-        if one.take(now, &cfg, 6, Need::Owed) {
+        if one.take_retry(now, &cfg, 6, Need::Owed) {
             repeats.push(now);
         }
     }
@@ -291,31 +297,33 @@
     expect_that!(repeats.len(), ge(500));
 }
 
-/// Two of six instances carry all callers when a chain breaks, twice in ten seconds. Their streams
-/// are cut although the bound over all has room, unless they may use the others' parts. Counts of
-/// the others come 300 ms late.
+/// Two of six instances serve all callers when a chain breaks, twice in 10 s. Unless they may borrow from
+/// the parts of the others, their streams are cut although the total bound is not reached. Counts are
+/// exchanged every 300 ms.
 #[gtest]
-fn instances_that_carry_all_callers_may_use_the_others_parts() {
-    let cfg = SpendingConfig {
+fn instances_that_serve_all_callers_may_borrow_retries() {
+    let cfg = SharedRetryBudgetConfig {
         ratio: 0.2,
         slack: 196.0,
         window_ms: 10_000,
     };
-    let mut two = vec![Spending::default(); 2];
+    let mut two = vec![SharedRetryBudget::default(); 2];
     let mut taken = [0, 0];
     for now in (0..10_000u64).step_by(10) {
-        two[(now / 10 % 2) as usize].request(now, &cfg);
+        two[(now / 10 % 2) as usize].record_request(now, &cfg);
         if now % 300 == 0 {
-            let counts: Vec<Counts> = two.iter_mut().map(|s| s.counts(now, &cfg)).collect();
-            two[0].lend(now, &cfg, counts[1], 6);
-            two[1].lend(now, &cfg, counts[0], 6);
+            let counts: Vec<RetryCounts> = two.iter_mut().map(|s| s.counts(now, &cfg)).collect();
+            two[0].update_loan(now, &cfg, counts[1], 6);
+            two[1].update_loan(now, &cfg, counts[0], 6);
         }
         for (at, burst) in [(5_000, 0), (9_000, 1)] {
-            // Sixty streams of each broke, and are resumed within 100 ms.
+            // Sixty streams of each instance broke, and are resumed within 100 ms.
             if (at..at + 100).contains(&now) {
-                let wanted = two
-                    .iter_mut()
-                    .map(|s| (0..6).filter(|_| s.take(now, &cfg, 6, Need::Owed)).count());
+                let wanted = two.iter_mut().map(|s| {
+                    (0..6)
+                        .filter(|_| s.take_retry(now, &cfg, 6, Need::Owed))
+                        .count()
+                });
                 taken[burst] += wanted.sum::<usize>();
             }
         }
@@ -325,31 +333,31 @@
     expect_that!(taken[0] + taken[1], le(396));
 }
 
-/// Seventy instances each have some streams through a runner that dies, and all send as often once
-/// more as they may before an exchange tells them what the others did. Together they must stay
-/// within the bound; when each was lent a fourth of what all had left, they sent 983 of 962.
+/// Seventy instances have streams through a runner that dies, and all retry as often as they may before the
+/// next exchange. Together they have to stay within the bound; with a loan of a quarter of the remaining
+/// budget for each they sent 983 retries of 962 allowed.
 #[gtest]
-fn seventy_instances_that_break_at_once_stay_within_the_bound() {
-    let cfg = SpendingConfig {
+fn seventy_instances_that_retry_at_once_stay_within_the_bound() {
+    let cfg = SharedRetryBudgetConfig {
         ratio: 0.2,
         slack: 326.0,
         window_ms: 10_000,
     };
-    let mut all = vec![Spending::default(); 70];
+    let mut all = vec![SharedRetryBudget::default(); 70];
     for now in (0..10_000).step_by(220) {
-        all.iter_mut().for_each(|s| s.request(now, &cfg));
+        all.iter_mut().for_each(|s| s.record_request(now, &cfg));
     }
     let own = all[0].counts(10_000, &cfg);
-    let others = Counts {
+    let others = RetryCounts {
         requests: own.requests * 69,
         repeats: 0,
-        ..Counts::default()
+        ..RetryCounts::default()
     };
     let mut sent = 0;
     for s in &mut all {
-        s.lend(10_000, &cfg, others, 70);
+        s.update_loan(10_000, &cfg, others, 70);
         sent += (0..100)
-            .filter(|_| s.take(10_000, &cfg, 70, Need::Owed))
+            .filter(|_| s.take_retry(10_000, &cfg, 70, Need::Owed))
             .count();
     }
     let bound = 0.2 * f64::from(own.requests * 70) + 326.0;
@@ -357,36 +365,36 @@
     expect_that!(sent as f64, ge(bound * 0.7));
 }
 
-/// What an instance was lent of the others' parts is spent once more by those.
+/// What an instance borrowed has to be subtracted from the parts of the others, which would spend it again.
 #[gtest]
-fn what_was_lent_is_not_spent_twice() {
+fn borrowed_retries_are_not_spent_twice() {
     const INSTANCES: usize = 6;
-    let cfg = SpendingConfig {
+    let cfg = SharedRetryBudgetConfig {
         ratio: 0.2,
         slack: 196.0,
         window_ms: 10_000,
     };
-    let mut all = vec![Spending::default(); INSTANCES];
-    let mut told = vec![Counts::default(); INSTANCES];
+    let mut all = vec![SharedRetryBudget::default(); INSTANCES];
+    let mut exchanged = vec![RetryCounts::default(); INSTANCES];
     let (mut requests, mut repeats) = (0, 0);
     for now in (0..10_000u64).step_by(10) {
         if now % 300 == 0 {
             for (i, one) in all.iter_mut().enumerate() {
-                let mut others = Counts::default();
-                let told = told.iter().enumerate().filter(|(j, _)| *j != i);
-                told.for_each(|(_, counts)| others += *counts);
-                one.lend(now, &cfg, others, INSTANCES);
+                let mut others = RetryCounts::default();
+                let exchanged = exchanged.iter().enumerate().filter(|(j, _)| *j != i);
+                exchanged.for_each(|(_, counts)| others += *counts);
+                one.update_loan(now, &cfg, others, INSTANCES);
             }
-            told = all.iter_mut().map(|s| s.counts(now, &cfg)).collect();
+            exchanged = all.iter_mut().map(|s| s.counts(now, &cfg)).collect();
         }
-        // Two lose their chains from the third second on, the others a second before the end.
+        // Two instances lose their chains from 3 s on, the others 1 s before the end.
         for (i, one) in all.iter_mut().enumerate() {
             if now % 50 == 0 {
-                one.request(now, &cfg);
+                one.record_request(now, &cfg);
                 requests += 1;
             }
             let breaks = now >= if i < 2 { 3_000 } else { 9_000 };
-            let sent = breaks && one.take(now, &cfg, INSTANCES, Need::Owed);
+            let sent = breaks && one.take_retry(now, &cfg, INSTANCES, Need::Owed);
             repeats += u32::from(sent);
         }
     }
@@ -396,28 +404,28 @@
 }
 
 #[gtest]
-fn nothing_is_lent_once_most_is_spent() {
-    let cfg = SpendingConfig {
+fn nothing_is_lent_once_most_of_the_budget_is_spent() {
+    let cfg = SharedRetryBudgetConfig {
         ratio: 0.2,
         slack: 60.0,
         window_ms: 10_000,
     };
-    let mut one = Spending::default();
-    let spent = Counts {
+    let mut one = SharedRetryBudget::default();
+    let spent = RetryCounts {
         requests: 0,
         repeats: 40,
-        ..Counts::default()
+        ..RetryCounts::default()
     };
-    one.lend(0, &cfg, spent, 6);
+    one.update_loan(0, &cfg, spent, 6);
     let taken = (0..100)
-        .filter(|_| one.take(0, &cfg, 6, Need::Owed))
+        .filter(|_| one.take_retry(0, &cfg, 6, Need::Owed))
         .count();
-    // Its own part of the fixed number, and no more.
+    // Its own part of the slack, and no more.
     expect_that!(taken, eq(8));
 }
 
 #[gtest]
-fn a_new_lifetime_of_a_runner_is_not_held_against_it() {
+fn a_new_lifetime_of_a_runner_clears_its_state() {
     let mut runners = Runners::default();
     let mut entry = runner("a", "east", "a100");
     runners.put(&entry);
@@ -432,7 +440,7 @@
 }
 
 #[gtest]
-fn plain_runners_that_fail_come_last() {
+fn failing_plain_runners_rank_last() {
     let mut runners = Runners::default();
     for id in ["a", "b"] {
         runners.put(&runner(id, "east", "l4"));
@@ -446,14 +454,14 @@
         ranked[0].id.to_string()
     };
     expect_that!(first(0), eq("b"));
-    // Nothing is sent there any more, so time alone brings it back.
+    // No requests are sent there any more, so the failures have to expire with time.
     expect_that!(first(20_000), eq("a"));
 }
 
-/// A runner that leaves is named by another instance while this one's watch is silent. It gets no
-/// new work from then on; a later lifetime of the same name does.
+/// Another instance reports a leaving runner while the watch of this one is silent. The runner gets no new
+/// requests from then on; a report for another lifetime has no effect.
 #[gtest]
-fn a_runner_that_leaves_is_heard_of_from_others() {
+fn a_leaving_runner_is_reported_by_other_instances() {
     let mut runners = Runners::default();
     let entry = runner("a", "d", "a100");
     runners.put(&entry);
@@ -464,32 +472,32 @@
     expect_false!(runners.usable(&known, 0));
 }
 
-/// Full runners refuse many new requests, and a chain breaks a moment later. What the new ones may
-/// not take is there for the streams; those may take all.
+/// Full runners refuse many new requests, and a chain breaks shortly afterwards. Retries that new requests
+/// may not take are left for broken streams, which may take all.
 #[gtest]
-fn requests_that_can_be_refused_leave_some_repeats_to_those_that_cannot() {
-    let cfg = SpendingConfig {
+fn refusable_requests_leave_some_retries_to_others() {
+    let cfg = SharedRetryBudgetConfig {
         ratio: 0.2,
         slack: 196.0,
         window_ms: 10_000,
     };
-    let mut one = Spending::default();
-    (0..100).for_each(|_| one.request(0, &cfg));
-    let refusable = (0..1_000).filter(|_| one.take(0, &cfg, 6, Need::Refusable));
+    let mut one = SharedRetryBudget::default();
+    (0..100).for_each(|_| one.record_request(0, &cfg));
+    let refusable = (0..1_000).filter(|_| one.take_retry(0, &cfg, 6, Need::Refusable));
     let refusable = refusable.count();
-    let owed = (0..1_000).filter(|_| one.take(0, &cfg, 6, Need::Owed));
+    let owed = (0..1_000).filter(|_| one.take_retry(0, &cfg, 6, Need::Owed));
     let owed = owed.count();
-    let mut other = Spending::default();
-    (0..100).for_each(|_| other.request(0, &cfg));
-    let all = (0..1_000).filter(|_| other.take(0, &cfg, 6, Need::Owed));
+    let mut other = SharedRetryBudget::default();
+    (0..100).for_each(|_| other.record_request(0, &cfg));
+    let all = (0..1_000).filter(|_| other.take_retry(0, &cfg, 6, Need::Owed));
     expect_that!(refusable + owed, eq(all.count()));
     expect_that!(owed, ge(10));
     expect_that!(refusable, ge(owed));
 
-    // What others have left is for both as well, down to what is kept.
-    other.lend(0, &cfg, Counts::default(), 6);
-    let refusable = (0..1_000).filter(|_| other.take(0, &cfg, 6, Need::Refusable));
+    // A loan is available to both as well, except for the reserved part.
+    other.update_loan(0, &cfg, RetryCounts::default(), 6);
+    let refusable = (0..1_000).filter(|_| other.take_retry(0, &cfg, 6, Need::Refusable));
     expect_that!(refusable.count(), gt(0));
-    let owed = (0..1_000).filter(|_| other.take(0, &cfg, 6, Need::Owed));
+    let owed = (0..1_000).filter(|_| other.take_retry(0, &cfg, 6, Need::Owed));
     expect_that!(owed.count(), gt(0));
 }
