--- a/policy/src/route.rs
+++ b/policy/src/route.rs
@@ -1,10 +1,11 @@
-//! Routes: which runners run which layers of a request.
+//! Routing: selects the runners that execute the layers of a request.
 //!
-//! A runner holds ranges of layers and can run any sub-range of them. [`Router`] keeps what is
-//! known of the runners ([`Fleet`]) and links, makes a plan when that changes ([`ModelPlan`]: the
-//! bound by maximum flow and chains of runners with the rate each should carry), and picks a route
-//! for each request among chains of the plan, corrected by the live load. Each route passes
-//! [`verify_route`] before it is returned. docs/ROUTING.md has the reasons and measurements.
+//! A runner holds ranges of layers and can run any sub-range of them. [`Router`] tracks the state
+//! of the runners ([`Fleet`]) and links and recomputes a plan when it changes ([`ModelPlan`]: the
+//! throughput bound from maximum flow, and chains of runners with the rate each should carry). It
+//! picks the route of each request from the chains of the plan, adjusted for the current load.
+//! Each route passes [`verify_route`] before it is returned. docs/ROUTING.md has the rationale
+//! and benchmark results.
 
 mod cache;
 mod cheapest;
@@ -22,7 +23,7 @@
 mod verify;
 
 pub use cache::CacheIndex;
-pub use fleet::{Effect, Fleet, Runner};
+pub use fleet::{Fleet, PlanEffect, Runner};
 pub use flow::{MaxRate, Supply, link_bound, max_rate, segments};
 pub use link::{Link, Links};
 pub use plan::{Chain, Hop, ModelPlan};
@@ -30,6 +31,6 @@
     CacheSeen, CloseReason, Held, LinkEnds, LinkSeen, ModelSpec, NoRoute, Pick, Route, RouteStage,
     RunnerSeen,
 };
-pub use router::{MODELS_PER_REPLAN, Router, RouterConfig};
+pub use router::{MAX_MODELS_PER_REPLAN, Router, RouterConfig};
 pub use state::{ModelState, RouterState, RunnerState};
 pub use verify::{RouteFault, verify_route};
--- a/policy/src/route/cache.rs
+++ b/policy/src/route/cache.rs
@@ -1,67 +1,67 @@
-//! Which prompt prefixes the runners have in their caches, as far as heard.
+//! Index of the prompt prefixes that the runners have reported as cached.
 //!
-//! Events come late and with gaps, so this is a hint and never a promise. After a gap all hints of
-//! the runner are dropped: an eviction may be among the lost events, and a wrong hint would go on
-//! drawing requests to a runner that has to prefill them.
+//! Cache events arrive late and with gaps, so entries are hints without any guarantee. A gap
+//! invalidates all hints of the runner: the lost events may include an eviction, and a wrong hint
+//! would keep routing requests to a runner that has to prefill them.
 //!
-//! Hints are dropped by moving the runner's epoch; entries of older epochs are swept out once they
-//! are the greater part, so a gap costs little and memory stays within twice the live entries.
+//! Hints are invalidated by advancing the runner's epoch. Entries of older epochs are removed once
+//! they outnumber the live ones, so a gap is cheap and memory stays within twice the live entries.
 
 use super::records::CacheSeen;
 use crate::prelude::*;
 use cranelift_entity::SecondaryMap;
 use std::collections::BTreeMap;
 
-/// The most prefixes remembered of one runner; later ones are not remembered.
-const MAX_PREFIXES: u32 = 512;
+/// Maximum number of prefixes indexed per runner; further ones are ignored.
+const MAX_PREFIXES_PER_RUNNER: u32 = 512;
 
-/// Hints on all runners.
+/// Cached-prefix hints of all runners.
 #[derive(Clone, Debug, Default)]
 pub struct CacheIndex {
     entries: BTreeMap<(u64, RunnerId), u32>,
-    runners: SecondaryMap<RunnerId, RunnerCache>,
+    runners: SecondaryMap<RunnerId, EventState>,
 }
 
-/// State of one runner's event sequence.
+/// Event sequence state of one runner.
 #[derive(Clone, Copy, Debug, Default)]
-struct RunnerCache {
-    newest: u64,
+struct EventState {
+    newest_event: u64,
     epoch: u32,
     live: u32,
     gaps: u64,
 }
 
 impl CacheIndex {
-    /// Takes an event of `id` in.
-    pub fn observe(&mut self, id: RunnerId, seen: &CacheSeen) {
-        let newest = self.runners[id].newest;
-        if seen.number <= newest {
+    /// Applies a cache event of runner `id`; duplicates and late events have no effect.
+    pub fn observe(&mut self, id: RunnerId, event: &CacheSeen) {
+        let newest_event = self.runners[id].newest_event;
+        if event.number <= newest_event {
             return;
         }
-        if newest != 0 && seen.number != newest + 1 {
+        if newest_event != 0 && event.number != newest_event + 1 {
             self.runners[id].gaps += 1;
-            self.forget(id);
+            self.invalidate(id);
         }
         let runner = &mut self.runners[id];
-        runner.newest = seen.number;
-        let key = (seen.prefix, id);
+        runner.newest_event = event.number;
+        let key = (event.prefix, id);
         let known = self.entries.get(&key) == Some(&runner.epoch);
-        if known && !seen.cached {
+        if known && !event.cached {
             self.entries.remove(&key);
             runner.live -= 1;
-        } else if !known && seen.cached && runner.live < MAX_PREFIXES {
+        } else if !known && event.cached && runner.live < MAX_PREFIXES_PER_RUNNER {
             self.entries.insert(key, runner.epoch);
             runner.live += 1;
         }
     }
 
-    /// Starts anew with a runner, whose new incarnation has an empty cache and new numbers.
-    pub fn restart(&mut self, id: RunnerId) {
-        self.forget(id);
-        self.runners[id].newest = 0;
+    /// Resets a runner whose new incarnation has an empty cache and restarts its event numbers.
+    pub fn reset(&mut self, id: RunnerId) {
+        self.invalidate(id);
+        self.runners[id].newest_event = 0;
     }
 
-    fn forget(&mut self, id: RunnerId) {
+    fn invalidate(&mut self, id: RunnerId) {
         let runner = &mut self.runners[id];
         runner.epoch = runner.epoch.wrapping_add(1);
         runner.live = 0;
@@ -73,13 +73,13 @@
         }
     }
 
-    /// Whether the prefix was last heard to be in the runner's cache.
+    /// Returns whether the runner last reported the prefix as cached.
     pub fn has(&self, id: RunnerId, prefix: u64) -> bool {
         self.entries.get(&(prefix, id)) == Some(&self.runners[id].epoch)
     }
 
-    /// Runners last heard to have a prefix in their cache, from `first` on and then from the start,
-    /// so that a random `first` does not favour the runners seen first.
+    /// Returns the runners that last reported a prefix as cached, in order from `first` and then
+    /// wrapping around, so that a random `first` does not favour runners with low ids.
     pub fn holders(&self, prefix: u64, first: RunnerId) -> impl Iterator<Item = RunnerId> + '_ {
         let least = RunnerId::from_u32(0);
         let most = RunnerId::from_u32(u32::MAX - 1);
@@ -90,12 +90,12 @@
         current.map(|((_, id), _)| *id)
     }
 
-    /// Number of prefixes remembered of a runner.
+    /// Returns the number of prefixes indexed for a runner.
     pub fn count(&self, id: RunnerId) -> u32 {
         self.runners[id].live
     }
 
-    /// Gaps met in a runner's events.
+    /// Returns the number of gaps detected in a runner's events.
     pub fn gaps(&self, id: RunnerId) -> u64 {
         self.runners[id].gaps
     }
--- a/policy/src/route/cheapest.rs
+++ b/policy/src/route/cheapest.rs
@@ -1,55 +1,56 @@
-//! The cheapest chain at given prices of runners and links.
+//! Search for the cheapest chain at given prices of runners and links.
 //!
-//! A dynamic program over the segments: the cheapest way to have run the segments up to here with
-//! the last one on a given runner is either to have stayed on it, or to have come over a link from
-//! the cheapest runner of some domain. A chain must not come back to a runner; where the cheapest
-//! does, the runners in between are left out and the search is repeated, a few times.
+//! A dynamic program over the segments: the cheapest partial chain that runs a segment on a given
+//! runner either ran the previous segment on the same runner, or enters it over a link from the
+//! cheapest runner of some domain. A chain must not visit a runner twice. If the cheapest one
+//! does, the runners between the two visits are excluded and the search is repeated, up to
+//! [`MAX_SEARCHES`] times.
 
 use super::plan::Hop;
 use super::pool::Pool;
 use crate::prelude::*;
 use std::collections::BTreeMap;
 
-/// The most repetitions on account of a runner that came twice.
-const MAX_REPEATS: usize = 8;
+/// Maximum number of searches, each excluding the detour that made the last chain revisit a runner.
+const MAX_SEARCHES: usize = 8;
 
-/// Prices of all resources.
+/// Prices of the resources of a plan.
 pub struct Prices<'a> {
-    /// Of one token through one layer on each candidate.
+    /// Price of one token through one layer, for each candidate.
     pub per_layer: &'a [f64],
-    /// Of one token over each link that has a price; the others have none.
+    /// Price of one token over each link; links without an entry are free.
     pub links: &'a BTreeMap<Hop, f64>,
-    /// Of each change of runner.
-    pub per_hop: f64,
-    /// Of each change to another failure domain, in addition.
-    pub per_domain: f64,
+    /// Charge for each change of runner.
+    pub hop_charge: f64,
+    /// Additional charge for each change of failure domain.
+    pub domain_charge: f64,
 }
 
-/// A cheapest chain: a candidate for each segment.
-pub struct Cheapest {
+/// The cheapest chain, as one candidate per segment.
+pub struct CheapestChain {
     /// Candidate that runs each segment.
     pub path: Vec<usize>,
-    /// A lower bound on the price of any chain.
-    pub least: f64,
+    /// Lower bound on the price of any chain.
+    pub lower_bound: f64,
 }
 
 #[derive(Clone, Copy)]
 struct Label {
     price: f64,
-    /// Candidate that ran the segment before.
+    /// Candidate that ran the previous segment.
     from: usize,
 }
 
 impl Pool {
-    /// Finds the cheapest chain; `None` where no chain without a return was found.
-    pub fn cheapest(&self, prices: &Prices<'_>) -> Option<Cheapest> {
+    /// Finds the cheapest chain; returns `None` if no chain without a repeated runner was found.
+    pub fn cheapest_chain(&self, prices: &Prices<'_>) -> Option<CheapestChain> {
         let mut banned = vec![false; self.candidates.len()];
-        let mut least = None;
-        for _ in 0..MAX_REPEATS {
+        let mut lower_bound = None;
+        for _ in 0..MAX_SEARCHES {
             let (path, price) = self.search(prices, &banned)?;
-            let least = *least.get_or_insert(price);
-            match between_return(&path) {
-                None => return Some(Cheapest { path, least }),
+            let lower_bound = *lower_bound.get_or_insert(price);
+            match between_visits(&path) {
+                None => return Some(CheapestChain { path, lower_bound }),
                 Some(between) => between.iter().for_each(|&c| banned[c] = true),
             }
         }
@@ -58,8 +59,8 @@
 
     fn search(&self, prices: &Prices<'_>, banned: &[bool]) -> Option<(Vec<usize>, f64)> {
         let mut labels: Vec<Vec<Label>> = Vec::with_capacity(self.lengths.len());
-        let mut stay = vec![f64::INFINITY; self.candidates.len()];
-        let mut entries = Entries::new(self.domains.len());
+        let mut stay_price = vec![f64::INFINITY; self.candidates.len()];
+        let mut entry_costs = EntryCosts::new(self.domains.len());
         for (s, holders) in self.holders.iter().enumerate() {
             let length = f64::from(self.lengths[s]);
             let mut row = Vec::with_capacity(holders.len());
@@ -72,10 +73,10 @@
                         price: 0.0,
                         from: c,
                     },
-                    _ => entries.best(self, prices, c),
+                    _ => entry_costs.cheapest_into(self, prices, c),
                 };
-                if stay[c] <= price {
-                    (price, from) = (stay[c], c);
+                if stay_price[c] <= price {
+                    (price, from) = (stay_price[c], c);
                 }
                 price += length * prices.per_layer[c];
                 if banned[c] {
@@ -83,17 +84,17 @@
                 }
                 row.push(Label { price, from });
             }
-            stay.fill(f64::INFINITY);
+            stay_price.fill(f64::INFINITY);
             for (&c, label) in holders.iter().zip(&row) {
-                stay[c] = label.price;
+                stay_price[c] = label.price;
             }
-            entries.fill(self, holders, &row);
+            entry_costs.update(self, holders, &row);
             labels.push(row);
         }
-        self.trace(&labels)
+        self.trace_back(&labels)
     }
 
-    fn trace(&self, labels: &[Vec<Label>]) -> Option<(Vec<usize>, f64)> {
+    fn trace_back(&self, labels: &[Vec<Label>]) -> Option<(Vec<usize>, f64)> {
         let last = labels.len() - 1;
         let ends = self.holders[last].iter().zip(&labels[last]);
         let (&end, label) = ends.min_by(|a, b| a.1.price.total_cmp(&b.1.price))?;
@@ -109,33 +110,33 @@
     }
 }
 
-/// Cheapest labels of the segment before.
-struct Entries {
-    /// The cheapest of all, with its domain's slot.
-    least: Label,
-    least_slot: usize,
-    /// The cheapest of each domain, by its slot.
+/// CheapestChain labels of the previous segment, for entering the next one on another candidate.
+struct EntryCosts {
+    /// CheapestChain label overall, with the slot of its domain.
+    lowest: Label,
+    lowest_slot: usize,
+    /// CheapestChain label of each domain, by slot.
     by_domain: Vec<Label>,
 }
 
-/// No way.
-const NONE: Label = Label {
+/// Label of a candidate that cannot be reached.
+const UNREACHABLE: Label = Label {
     price: f64::INFINITY,
     from: usize::MAX,
 };
 
-impl Entries {
+impl EntryCosts {
     fn new(slots: usize) -> Self {
         Self {
-            least: NONE,
-            least_slot: 0,
-            by_domain: vec![NONE; slots],
+            lowest: UNREACHABLE,
+            lowest_slot: 0,
+            by_domain: vec![UNREACHABLE; slots],
         }
     }
 
-    fn fill(&mut self, pool: &Pool, holders: &[usize], row: &[Label]) {
-        self.least = NONE;
-        self.by_domain.fill(NONE);
+    fn update(&mut self, pool: &Pool, holders: &[usize], row: &[Label]) {
+        self.lowest = UNREACHABLE;
+        self.by_domain.fill(UNREACHABLE);
         for (&c, label) in holders.iter().zip(row) {
             let slot = pool.candidates[c].domain_slot;
             let entry = Label {
@@ -145,15 +146,16 @@
             if entry.price < self.by_domain[slot].price {
                 self.by_domain[slot] = entry;
             }
-            if entry.price < self.least.price {
-                self.least = entry;
-                self.least_slot = slot;
+            if entry.price < self.lowest.price {
+                self.lowest = entry;
+                self.lowest_slot = slot;
             }
         }
     }
 
-    /// Cheapest way to come to candidate `c` from another, with the change and the link paid.
-    fn best(&self, pool: &Pool, prices: &Prices<'_>, c: usize) -> Label {
+    /// Returns the cheapest way to enter candidate `c` from another one, including the charges for
+    /// the change and the link.
+    fn cheapest_into(&self, pool: &Pool, prices: &Prices<'_>, c: usize) -> Label {
         let (to, to_slot) = (pool.candidates[c].domain, pool.candidates[c].domain_slot);
         let link = |from| {
             prices
@@ -162,26 +164,30 @@
                 .copied()
                 .unwrap_or(0.0)
         };
-        let paid = |entry: Label, from: DomainId| {
-            let domain = if from == to { 0.0 } else { prices.per_domain };
+        let with_charges = |entry: Label, from: DomainId| {
+            let domain = if from == to {
+                0.0
+            } else {
+                prices.domain_charge
+            };
             Label {
-                price: entry.price + prices.per_hop + domain + link(from),
+                price: entry.price + prices.hop_charge + domain + link(from),
                 ..entry
             }
         };
         let cheaper = |a: Label, b: Label| if b.price < a.price { b } else { a };
         if prices.links.is_empty() {
-            let least = paid(self.least, pool.domains[self.least_slot]);
-            return cheaper(least, paid(self.by_domain[to_slot], to));
+            let lowest = with_charges(self.lowest, pool.domains[self.lowest_slot]);
+            return cheaper(lowest, with_charges(self.by_domain[to_slot], to));
         }
         let all = self.by_domain.iter().zip(&pool.domains);
-        all.map(|(&entry, &from)| paid(entry, from))
-            .fold(NONE, cheaper)
+        all.map(|(&entry, &from)| with_charges(entry, from))
+            .fold(UNREACHABLE, cheaper)
     }
 }
 
-/// Candidates between the first runner that comes twice and its return.
-fn between_return(path: &[usize]) -> Option<Vec<usize>> {
+/// Returns the candidates between the two visits of the first candidate that occurs twice.
+fn between_visits(path: &[usize]) -> Option<Vec<usize>> {
     for (i, c) in path.iter().enumerate() {
         let left = path[i..].iter().position(|other| other != c)? + i;
         if let Some(back) = path[left..].iter().position(|other| other == c) {
--- a/policy/src/route/fleet.rs
+++ b/policy/src/route/fleet.rs
@@ -1,8 +1,8 @@
-//! What is known of the runners: the newest report of each, and what this instance has in flight.
+//! State of the runners: the newest report of each, and the requests of this instance in flight.
 //!
-//! Load reports are late. The reported number of requests is corrected by what this instance has
-//! sent and seen finished since the time of the report's figures; the other instances are taken
-//! to have done the same, so the correction is scaled by the number of instances.
+//! Load reports arrive late. The reported number of requests is adjusted by the requests that this
+//! instance has sent and seen finished since the report was sampled. The other instances are
+//! assumed to have behaved alike, so the adjustment is scaled by the number of instances.
 
 use super::cache::CacheIndex;
 use super::records::{CacheSeen, CloseReason, Held, ModelSpec, RouteStage, RunnerSeen};
@@ -12,63 +12,64 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// The most changes remembered of one runner since its newest report.
-const MAX_CHANGES: usize = 1024;
-/// A reported speed that differs by no more than this share counts as unchanged.
-const SPEED_SHARE: f64 = 0.05;
+/// Maximum number of in-flight changes kept per runner since its newest report.
+const MAX_RECENT_CHANGES: usize = 1024;
+/// Relative difference up to which a reported speed counts as unchanged.
+const SPEED_TOLERANCE: f64 = 0.05;
 
-/// One runner as known here.
+/// State of one runner.
 #[derive(Clone, Debug)]
 pub struct Runner {
     /// Name.
     pub name: Name,
-    /// Newest incarnation seen.
+    /// Newest incarnation reported.
     pub incarnation: u64,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: DomainId,
     /// Accelerator kind.
     pub accelerator: Name,
-    /// What it holds, by the models known; ranges of one model are disjoint and apart.
+    /// Layers held of the known models; ranges of one model neither overlap nor touch.
     pub held: Vec<(ModelId, LayerRange)>,
-    /// Speed, in token-layers a second.
+    /// Speed, in token-layers per second.
     pub speed: f64,
-    /// Requests running and queued there, as reported.
+    /// Reported number of running and queued requests.
     pub reported: u32,
     /// Newest report number.
     pub number: u64,
-    /// Time of the figures of the newest report.
-    pub figures_at: Millis,
-    /// Why it gets no new work; `None`: open.
+    /// Time at which the newest report was sampled.
+    pub sampled_at: Millis,
+    /// Reason why it receives no new work; `None` if it is open.
     pub closed: Option<CloseReason>,
-    /// Requests of this instance in flight there.
+    /// Requests of this instance in flight on the runner.
     pub own: u32,
     /// Failures since the last success.
     pub failures: u32,
-    /// Until when new work avoids it after a failure.
+    /// End of the cooldown after a failure; new work avoids the runner until then.
     pub avoid_until: Millis,
     declared: Vec<Held>,
-    changes: VecDeque<(Millis, i32)>,
-    own_since: i32,
+    recent_changes: VecDeque<(Millis, i32)>,
+    own_since_report: i32,
 }
 
 impl Runner {
-    /// Requests taken to be there now: the report, corrected by what happened here since, times
-    /// the number of instances. Never below what this instance itself has there.
+    /// Estimates the number of requests on the runner now: the reported number plus the changes
+    /// made by this instance since then, scaled by the number of instances. Never less than this
+    /// instance itself has in flight there.
     pub fn load(&self, instances: f64) -> f64 {
-        let estimate = f64::from(self.reported) + f64::from(self.own_since) * instances;
+        let estimate = f64::from(self.reported) + f64::from(self.own_since_report) * instances;
         estimate.max(f64::from(self.own))
     }
 
-    /// Whether it holds all layers of `layers`.
+    /// Returns whether the runner holds all of `layers`.
     pub fn holds(&self, model: ModelId, layers: LayerRange) -> bool {
         self.held
             .iter()
             .any(|&(m, range)| m == model && range.covers(layers))
     }
 
-    /// Ranges held of a model.
+    /// Returns the ranges held of a model.
     pub fn ranges(&self, model: ModelId) -> impl Iterator<Item = LayerRange> + '_ {
         self.held
             .iter()
@@ -76,7 +77,7 @@
             .map(|&(_, range)| range)
     }
 
-    /// Number of models of which it holds layers.
+    /// Returns the number of models of which the runner holds layers.
     pub fn model_count(&self) -> u32 {
         let mut count = 0;
         let mut last = None;
@@ -87,47 +88,48 @@
         count
     }
 
-    /// Whether new work may go to it.
+    /// Returns whether new work may go to the runner.
     pub fn is_open(&self) -> bool {
         self.closed.is_none()
     }
 
-    /// Records that this instance has `delta` more requests in flight there.
-    pub fn change(&mut self, now: Millis, delta: i32) {
+    /// Adds `delta` to the requests that this instance has in flight on the runner.
+    pub fn add_in_flight(&mut self, now: Millis, delta: i32) {
         self.own = self.own.saturating_add_signed(delta);
-        self.own_since += delta;
-        match self.changes.back_mut() {
+        self.own_since_report += delta;
+        match self.recent_changes.back_mut() {
             Some((at, sum)) if *at == now => *sum += delta,
-            _ => self.changes.push_back((now, delta)),
+            _ => self.recent_changes.push_back((now, delta)),
         }
-        // Without reports the list would grow with each request. The oldest changes are put
-        // together under the later of their times: a report between the two times would count
-        // them once more, until the next one.
-        if self.changes.len() > MAX_CHANGES
-            && let Some((_, oldest)) = self.changes.pop_front()
-            && let Some((_, next)) = self.changes.front_mut()
+        // Without reports the list would grow with each request, so the two oldest changes are
+        // merged under the later of their times. A report sampled between the two times counts
+        // the older change twice until the next report.
+        if self.recent_changes.len() > MAX_RECENT_CHANGES
+            && let Some((_, oldest)) = self.recent_changes.pop_front()
+            && let Some((_, next)) = self.recent_changes.front_mut()
         {
             *next += oldest;
         }
     }
 
-    /// Whether a stage was picked for the present incarnation.
+    /// Returns whether a stage was picked for the current incarnation of the runner.
     pub fn is_incarnation_of(&self, stage: &RouteStage) -> bool {
         stage.incarnation == self.incarnation
     }
 
-    /// Forgets the changes that the figures of a report of time `at` already count.
-    fn settle(&mut self, at: Millis) {
-        while let Some(&(changed, delta)) = self.changes.front() {
+    /// Discards the changes that a report sampled at `at` already includes.
+    fn discard_reported_changes(&mut self, at: Millis) {
+        while let Some(&(changed, delta)) = self.recent_changes.front() {
             if changed > at {
                 break;
             }
-            self.own_since -= delta;
-            self.changes.pop_front();
+            self.own_since_report -= delta;
+            self.recent_changes.pop_front();
         }
     }
 
-    fn resolve(&mut self, models: &PrimaryMap<ModelId, ModelSpec>) {
+    /// Recomputes `held` from the declared ranges: clipped to the model, sorted and merged.
+    fn resolve_held(&mut self, models: &PrimaryMap<ModelId, ModelSpec>) {
         let mut held: Vec<(ModelId, LayerRange)> = Vec::new();
         for (id, spec) in models {
             let whole = LayerRange::new(0, spec.layers);
@@ -152,44 +154,44 @@
     }
 }
 
-/// Whether an observation changed what the plan is made from.
+/// Effect of an observation on the plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    /// Old news, or no more than load figures.
-    Same,
-    /// The plan has to be made again.
-    PlanChanged,
+pub enum PlanEffect {
+    /// The plan remains valid: the observation was outdated or changed the load only.
+    Unchanged,
+    /// The inputs of the plan changed, so it has to be recomputed.
+    Invalidated,
 }
 
-/// All runners ever seen.
+/// All runners observed since the start.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    /// Models, in the order in which the router was given them.
+    /// Models, in the order given to the router.
     pub models: PrimaryMap<ModelId, ModelSpec>,
-    /// Runners, in the order in which they were first seen.
+    /// Runners, in the order of their first report.
     pub runners: PrimaryMap<RunnerId, Runner>,
     /// Names of the failure domains.
     pub domains: PrimaryMap<DomainId, Name>,
-    /// Models whose plan is older than what it is made from.
+    /// Models whose plan is out of date.
     pub stale: BTreeSet<ModelId>,
     by_name: BTreeMap<Name, RunnerId>,
     by_domain: BTreeMap<Name, DomainId>,
-    /// Prefixes in the runners' caches.
+    /// Prompt prefixes reported as cached by the runners.
     pub cache: CacheIndex,
 }
 
 impl Fleet {
-    /// Looks a runner up.
+    /// Looks up a runner by name.
     pub fn runner(&self, name: &str) -> Option<RunnerId> {
         self.by_name.get(name).copied()
     }
 
-    /// Runners in the order of their names, which is the same on each instance.
+    /// Returns the runners in the order of their names, which is the same on every instance.
     pub fn by_name(&self) -> impl Iterator<Item = RunnerId> + '_ {
         self.by_name.values().copied()
     }
 
-    /// Looks a failure domain up, or numbers it.
+    /// Looks up a failure domain by name, or assigns it an id.
     pub fn domain(&mut self, name: &Name) -> DomainId {
         if let Some(&id) = self.by_domain.get(name) {
             return id;
@@ -199,140 +201,140 @@
         id
     }
 
-    /// Replaces the models.
+    /// Replaces the models and marks all plans as stale.
     pub fn set_models(&mut self, models: &[ModelSpec]) {
         self.models = models.iter().cloned().collect();
         for runner in self.runners.values_mut() {
-            runner.resolve(&self.models);
+            runner.resolve_held(&self.models);
         }
         self.stale = self.models.keys().collect();
     }
 
-    /// Marks the models that a runner holds as in need of a new plan.
-    fn touch(&mut self, id: RunnerId) {
+    /// Marks the plans of the models held by a runner as stale.
+    fn mark_stale(&mut self, id: RunnerId) {
         let models = self.runners[id].held.iter().map(|(model, _)| *model);
         self.stale.extend(models);
     }
 
-    /// Takes a report in. Reports of an older incarnation or with a lower number have no effect;
-    /// one with the newest number again may bring other layers or say that the runner leaves.
-    pub fn observe(&mut self, now: Millis, seen: &RunnerSeen) -> Effect {
-        let Some(id) = self.runner(&seen.name) else {
-            self.add(now, seen);
-            return Effect::PlanChanged;
+    /// Applies a load report. Reports of an older incarnation or with a lower number have no
+    /// effect; a repeated newest number may carry other layers or announce that the runner leaves.
+    pub fn observe(&mut self, now: Millis, report: &RunnerSeen) -> PlanEffect {
+        let Some(id) = self.runner(&report.name) else {
+            self.add(now, report);
+            return PlanEffect::Invalidated;
         };
         let known = &self.runners[id];
-        if seen.incarnation < known.incarnation {
-            return Effect::Same;
+        if report.incarnation < known.incarnation {
+            return PlanEffect::Unchanged;
         }
-        if seen.incarnation > known.incarnation {
-            let fresh = self.make(now, seen);
-            self.touch(id);
+        if report.incarnation > known.incarnation {
+            let fresh = self.new_runner(now, report);
+            self.mark_stale(id);
             self.runners[id] = fresh;
-            self.touch(id);
-            self.cache.restart(id);
-            return Effect::PlanChanged;
+            self.mark_stale(id);
+            self.cache.reset(id);
+            return PlanEffect::Invalidated;
         }
-        if seen.number < known.number {
-            return Effect::Same;
+        if report.number < known.number {
+            return PlanEffect::Unchanged;
         }
-        self.update(id, now, seen)
+        self.update(id, now, report)
     }
 
-    fn add(&mut self, now: Millis, seen: &RunnerSeen) {
-        let runner = self.make(now, seen);
+    fn add(&mut self, now: Millis, report: &RunnerSeen) {
+        let runner = self.new_runner(now, report);
         let id = self.runners.push(runner);
-        self.by_name.insert(seen.name.clone(), id);
-        self.touch(id);
+        self.by_name.insert(report.name.clone(), id);
+        self.mark_stale(id);
     }
 
-    fn make(&mut self, now: Millis, seen: &RunnerSeen) -> Runner {
-        let domain = self.domain(&seen.domain);
+    fn new_runner(&mut self, now: Millis, report: &RunnerSeen) -> Runner {
+        let domain = self.domain(&report.domain);
         let mut runner = Runner {
-            name: seen.name.clone(),
-            incarnation: seen.incarnation,
-            address: seen.address,
+            name: report.name.clone(),
+            incarnation: report.incarnation,
+            address: report.address,
             domain,
-            accelerator: seen.accelerator.clone(),
+            accelerator: report.accelerator.clone(),
             held: Vec::new(),
-            speed: seen.token_layers_per_s,
-            reported: seen.running + seen.queued,
-            number: seen.number,
-            figures_at: now.saturating_sub(seen.age_ms),
-            closed: seen.leaving.then_some(CloseReason::Leaving),
+            speed: report.token_layers_per_s,
+            reported: report.running + report.queued,
+            number: report.number,
+            sampled_at: now.saturating_sub(report.age_ms),
+            closed: report.leaving.then_some(CloseReason::Leaving),
             own: 0,
             failures: 0,
             avoid_until: 0,
-            declared: seen.holds.clone(),
-            changes: VecDeque::new(),
-            own_since: 0,
+            declared: report.holds.clone(),
+            recent_changes: VecDeque::new(),
+            own_since_report: 0,
         };
-        runner.resolve(&self.models);
+        runner.resolve_held(&self.models);
         runner
     }
 
-    fn update(&mut self, id: RunnerId, now: Millis, seen: &RunnerSeen) -> Effect {
-        let domain = self.domain(&seen.domain);
+    fn update(&mut self, id: RunnerId, now: Millis, report: &RunnerSeen) -> PlanEffect {
+        let domain = self.domain(&report.domain);
         let runner = &mut self.runners[id];
         let closed = match runner.closed {
-            // Leaving and gone never turn back in one incarnation: a late report that was made
-            // before the runner began to leave would otherwise bring it new work.
+            // Leaving and gone are final within an incarnation: otherwise a late report from
+            // before the runner began to leave would reopen it to new work.
             Some(CloseReason::Leaving | CloseReason::Gone) => runner.closed,
-            // The report it was suspected after is no sign of life.
-            Some(CloseReason::Suspected) if seen.number == runner.number && !seen.leaving => {
+            // A repeat of the report that preceded the suspicion does not refute it.
+            Some(CloseReason::Suspected) if report.number == runner.number && !report.leaving => {
                 runner.closed
             }
-            Some(CloseReason::Suspected) | None => seen.leaving.then_some(CloseReason::Leaving),
+            Some(CloseReason::Suspected) | None => report.leaving.then_some(CloseReason::Leaving),
         };
-        let speed = seen.token_layers_per_s;
-        let faster_or_slower = (speed - runner.speed).abs() > SPEED_SHARE * runner.speed;
-        let same = closed == runner.closed
-            && runner.declared == seen.holds
-            && !faster_or_slower
+        let speed = report.token_layers_per_s;
+        let speed_changed = (speed - runner.speed).abs() > SPEED_TOLERANCE * runner.speed;
+        let unchanged = closed == runner.closed
+            && runner.declared == report.holds
+            && !speed_changed
             && runner.domain == domain;
         runner.closed = closed;
-        runner.address = seen.address;
+        runner.address = report.address;
         runner.domain = domain;
-        // Reported speeds are measured and vary a little with each report: following every one
-        // would ask for a new plan each time, so small changes are left out.
-        if faster_or_slower {
+        // Reported speeds vary slightly from report to report. Following each one would require
+        // a new plan every time, so small changes are ignored.
+        if speed_changed {
             runner.speed = speed;
         }
-        runner.reported = seen.running + seen.queued;
-        runner.number = seen.number;
-        runner.figures_at = now.saturating_sub(seen.age_ms);
-        runner.settle(runner.figures_at);
-        if same {
-            return Effect::Same;
+        runner.reported = report.running + report.queued;
+        runner.number = report.number;
+        runner.sampled_at = now.saturating_sub(report.age_ms);
+        runner.discard_reported_changes(runner.sampled_at);
+        if unchanged {
+            return PlanEffect::Unchanged;
         }
-        self.touch(id);
+        self.mark_stale(id);
         let runner = &mut self.runners[id];
-        runner.declared.clone_from(&seen.holds);
-        runner.resolve(&self.models);
-        self.touch(id);
-        Effect::PlanChanged
+        runner.declared.clone_from(&report.holds);
+        runner.resolve_held(&self.models);
+        self.mark_stale(id);
+        PlanEffect::Invalidated
     }
 
     /// Closes a runner to new work. A stronger reason replaces a weaker one.
-    pub fn close(&mut self, id: RunnerId, reason: CloseReason) -> Effect {
+    pub fn close(&mut self, id: RunnerId, reason: CloseReason) -> PlanEffect {
         let runner = &mut self.runners[id];
         let before = runner.closed;
         runner.closed = before.max(Some(reason));
         if before.is_none() {
-            self.touch(id);
-            Effect::PlanChanged
+            self.mark_stale(id);
+            PlanEffect::Invalidated
         } else {
-            Effect::Same
+            PlanEffect::Unchanged
         }
     }
 
-    /// Takes a cache event in; one of another incarnation has no effect.
-    pub fn cache(&mut self, seen: &CacheSeen) {
-        let Some(id) = self.runner(&seen.runner) else {
+    /// Applies a cache event; one of another incarnation has no effect.
+    pub fn observe_cache(&mut self, event: &CacheSeen) {
+        let Some(id) = self.runner(&event.runner) else {
             return;
         };
-        if self.runners[id].incarnation == seen.incarnation {
-            self.cache.observe(id, seen);
+        if self.runners[id].incarnation == event.incarnation {
+            self.cache.observe(id, event);
         }
     }
 }
--- a/policy/src/route/flow.rs
+++ b/policy/src/route/flow.rs
@@ -1,18 +1,19 @@
-//! How many tokens a second a set of runners can give, by maximum flow.
+//! Upper bound on the throughput of a set of runners, computed by maximum flow.
 //!
-//! The layers are cut into segments at each end of a held range, so that a runner holds a segment
-//! whole or not at all. Runners that hold the same segments form one [`Supply`]. A token needs
-//! `len` token-layers of each segment, and a supply of speed `S` can split `S` over its segments
-//! at will. A rate `t` is feasible if the maximum flow of
+//! The layers are cut into segments at both ends of each held range, so that a runner holds either
+//! all of a segment or none of it. Runners that hold the same segments form one [`Supply`]. A
+//! token needs `len` token-layers of each segment, and a supply of speed `S` can divide `S`
+//! arbitrarily among its segments. A rate `t` is feasible if the maximum flow of
 //!
 //! ```text
 //! source --S--> supply --(holds)--> segment --t*len--> sink
 //! ```
 //!
-//! fills every edge into the sink. The greatest feasible rate is found by Newton's method on the
-//! minimum cut: a cut that does not fill them names a set of segments whose holders together are
-//! too slow, and their speed over the set's layers is the next, smaller `t`. Each step drops at
-//! least one such set, so the number of steps is at most that of the segments.
+//! saturates every edge into the sink. The maximum feasible rate is found by Newton's method on
+//! the minimum cut: if some of these edges are not saturated, the cut identifies a set of segments
+//! whose holders together are too slow, and their speed divided by the layers of the set is the
+//! next, smaller `t`. Each step removes at least one segment from the set, so there are at most as
+//! many steps as segments.
 
 use super::plan::Hop;
 use crate::layers::LayerRange;
@@ -23,28 +24,28 @@
 use petgraph::visit::EdgeRef;
 use std::collections::BTreeMap;
 
-/// Capacity of an edge without a limit; small enough that a sum of many does not overflow.
+/// Capacity of an unlimited edge; small enough that the sum of many does not overflow.
 const UNLIMITED: u64 = 1 << 48;
 
-/// Runners that hold the same segments, taken as one.
+/// Runners that hold the same segments, treated as one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Supply {
-    /// Speed together, in thousandths of a token-layer a second.
+    /// Total speed, in thousandths of a token-layer per second.
     pub speed_milli: u64,
     /// Segments held, ascending.
     pub segments: Vec<usize>,
 }
 
-/// Greatest rate of a set of supplies.
+/// Maximum rate of a set of supplies.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MaxRate {
-    /// In tokens a second.
+    /// Rate, in tokens per second.
     pub tokens_per_s: f64,
-    /// Segments whose holders keep it from being greater.
+    /// Segments whose holders limit the rate.
     pub tight: Vec<usize>,
 }
 
-/// Cuts `[0, layers)` at each end of a held range.
+/// Cuts `[0, layers)` into segments at both ends of each held range.
 pub fn segments(layers: u32, held: impl Iterator<Item = LayerRange>) -> Vec<LayerRange> {
     let mut cuts: Vec<u32> = held.flat_map(|range| [range.start, range.end]).collect();
     cuts.extend([0, layers]);
@@ -56,7 +57,7 @@
         .collect()
 }
 
-/// Finds the greatest rate at which the supplies can run segments of these lengths, in layers.
+/// Computes the maximum rate at which the supplies can run segments of these lengths, in layers.
 pub fn max_rate(lengths: &[u32], supplies: &[Supply]) -> MaxRate {
     let mut cut = Cut {
         segments: (0..lengths.len()).collect(),
@@ -79,14 +80,14 @@
     }
 }
 
-/// An upper bound on the rate through links of limited capacity, in tokens a second; infinite
-/// where no link is limited.
+/// Computes an upper bound on the rate through links of limited capacity, in tokens per second;
+/// infinite if no link is limited.
 ///
-/// `rooms` has for each segment the tokens a second that each domain could run of it. A token goes
-/// from segment to segment, within a domain freely, between two over their link. Each boundary
-/// between segments may use the whole link, and each segment a runner's whole speed, so this never
-/// undercuts the true bound.
-pub fn link_bound(rooms: &[BTreeMap<DomainId, f64>], limits: &BTreeMap<Hop, f64>) -> f64 {
+/// `segment_rates` holds, for each segment, the tokens per second that each domain could run of
+/// it. Between segments a token moves freely within a domain and over the link between two
+/// domains. Each boundary between segments may use the full capacity of a link, and each segment
+/// the full speed of a runner, so the result is never below the true bound.
+pub fn link_bound(segment_rates: &[BTreeMap<DomainId, f64>], limits: &BTreeMap<Hop, f64>) -> f64 {
     if limits.is_empty() {
         return f64::INFINITY;
     }
@@ -95,9 +96,9 @@
     let source = graph.add_node(());
     let sink = graph.add_node(());
     let mut before: Vec<(DomainId, NodeIndex)> = Vec::new();
-    for (s, room) in rooms.iter().enumerate() {
+    for (s, domain_rates) in segment_rates.iter().enumerate() {
         let mut after = Vec::new();
-        for (&domain, &tokens_per_s) in room {
+        for (&domain, &tokens_per_s) in domain_rates {
             let (enter, leave) = (graph.add_node(()), graph.add_node(()));
             graph.add_edge(enter, leave, milli(tokens_per_s));
             after.push((domain, leave));
@@ -118,20 +119,20 @@
     dinics(&graph, source, sink).0 as f64 / 1e3
 }
 
-/// Segments, and the only supplies that hold any of them.
+/// A set of segments, and all supplies that hold any of them.
 struct Cut {
     segments: Vec<usize>,
     supplies: Vec<usize>,
 }
 
-/// The network at one rate.
+/// The flow network at one rate.
 struct Network {
     graph: DiGraph<(), u64>,
     supply_nodes: Vec<NodeIndex>,
     segment_nodes: Vec<NodeIndex>,
     source: NodeIndex,
     sink: NodeIndex,
-    wanted: u64,
+    demand: u64,
 }
 
 impl Network {
@@ -139,13 +140,13 @@
         let mut graph = DiGraph::new();
         let source = graph.add_node(());
         let sink = graph.add_node(());
-        let mut wanted = 0;
+        let mut demand = 0;
         let mut segment_nodes = Vec::new();
         for &length in lengths {
             let node = graph.add_node(());
             let need = rate_milli * u64::from(length);
             graph.add_edge(node, sink, need);
-            wanted += need;
+            demand += need;
             segment_nodes.push(node);
         }
         let mut supply_nodes = Vec::new();
@@ -163,30 +164,31 @@
             segment_nodes,
             source,
             sink,
-            wanted,
+            demand,
         }
     }
 
-    /// The segments that the flow does not fill, and their holders; `None`: it fills all.
+    /// Returns the segments on the sink side of the minimum cut and their holders, or `None` if the
+    /// flow saturates all edges into the sink.
     fn smaller_cut(&self) -> Option<Cut> {
         let (flow, flows) = dinics(&self.graph, self.source, self.sink);
-        if flow >= self.wanted {
+        if flow >= self.demand {
             return None;
         }
-        let reached = self.reached(&flows);
-        let missing = |nodes: &[NodeIndex]| -> Vec<usize> {
+        let reached = self.residual_reachable(&flows);
+        let unreached = |nodes: &[NodeIndex]| -> Vec<usize> {
             (0..nodes.len())
                 .filter(|&i| !reached[nodes[i].index()])
                 .collect()
         };
         Some(Cut {
-            segments: missing(&self.segment_nodes),
-            supplies: missing(&self.supply_nodes),
+            segments: unreached(&self.segment_nodes),
+            supplies: unreached(&self.supply_nodes),
         })
     }
 
-    /// Nodes that the source reaches in the residual network.
-    fn reached(&self, flows: &[u64]) -> Vec<bool> {
+    /// Returns, for each node, whether the source reaches it in the residual network.
+    fn residual_reachable(&self, flows: &[u64]) -> Vec<bool> {
         let mut reached = vec![false; self.graph.node_count()];
         let mut stack = vec![self.source];
         reached[self.source.index()] = true;
--- a/policy/src/route/packing.rs
+++ b/policy/src/route/packing.rs
@@ -1,27 +1,28 @@
-//! A linear program for a plan: as many tokens a second as fit, by the simplex method.
+//! Packing linear program that maximises the throughput of a plan, solved by the simplex method.
 //!
 //! ```text
-//! maximise  sum of gain[c] * x[c]
-//! so that   sum of use[r][c] * x[c] <= 1  for each resource r,  x >= 0
+//! maximise     sum of gain[c] * x[c]
+//! subject to   sum of use[r][c] * x[c] <= 1  for each resource r,  x >= 0
 //! ```
 //!
 //! Columns are chains, rows are resources (runners and links). There are far too many chains to
-//! list; the caller asks for the prices of the resources, finds the chain that gains most at these
-//! prices, and brings it in with [`Packing::enter`]. The basis keeps as many columns as there are
-//! resources. All start at slack, which is feasible, so there is no first phase.
+//! enumerate, so columns are generated: the caller reads the dual prices of the resources, finds
+//! the chain with the highest reduced gain at these prices, and adds it with [`Packing::enter`].
+//! The basis holds as many columns as there are resources. It starts with all slacks, which is
+//! feasible, so no first phase is needed.
 
-/// Values below this count as zero.
+/// Values below this are treated as zero.
 const EPSILON: f64 = 1e-9;
 
-/// How much a column uses of its resources: `(resource, share for each unit of x)`.
-pub type Uses = Vec<(usize, f64)>;
+/// Resource usage of a column: `(resource, share used per unit of x)`.
+pub type ColumnUses = Vec<(usize, f64)>;
 
-/// A program in the course of being solved.
+/// State of the simplex method.
 pub struct Packing {
     rows: usize,
     /// Inverse of the basis matrix, row by row.
     inverse: Vec<f64>,
-    /// Column that is basic in each row; `None`: the slack that was there at the start or later.
+    /// Column that is basic in each row; `None` for a slack.
     basic: Vec<Option<usize>>,
     /// Value of the basic variable of each row.
     value: Vec<f64>,
@@ -30,7 +31,7 @@
 }
 
 impl Packing {
-    /// A program with `rows` resources and no column.
+    /// Creates a program with `rows` resources and no columns.
     pub fn new(rows: usize) -> Self {
         let mut inverse = vec![0.0; rows * rows];
         for r in 0..rows {
@@ -45,23 +46,23 @@
         }
     }
 
-    /// Number of resources.
+    /// Returns the number of resources.
     pub fn rows(&self) -> usize {
         self.rows
     }
 
-    /// Price of each resource; lets slacks back in until none is negative.
+    /// Returns the dual price of each resource; slacks enter the basis until none is negative.
     pub fn prices(&mut self) -> Vec<f64> {
         loop {
             let prices = self.duals();
-            let mut worst = (-EPSILON, None);
+            let mut lowest = (-EPSILON, None);
             for (r, &price) in prices.iter().enumerate() {
-                if price < worst.0 {
-                    worst = (price, Some(r));
+                if price < lowest.0 {
+                    lowest = (price, Some(r));
                 }
             }
-            let Some(r) = worst.1 else { return prices };
-            if !self.bring_in(&[(r, 1.0)], 0.0, None) {
+            let Some(r) = lowest.1 else { return prices };
+            if !self.enter_basis(&[(r, 1.0)], 0.0, None) {
                 return prices;
             }
         }
@@ -79,12 +80,13 @@
         prices
     }
 
-    /// Brings a column in; `id` names it in [`Packing::columns`]. Says whether anything changed.
-    pub fn enter(&mut self, uses: &Uses, gain: f64, id: usize) -> bool {
-        self.bring_in(uses, gain, Some(id))
+    /// Adds a column to the basis; `id` identifies it in [`Packing::columns`]. Returns whether the
+    /// basis changed.
+    pub fn enter(&mut self, uses: &ColumnUses, gain: f64, id: usize) -> bool {
+        self.enter_basis(uses, gain, Some(id))
     }
 
-    fn bring_in(&mut self, uses: &[(usize, f64)], gain: f64, id: Option<usize>) -> bool {
+    fn enter_basis(&mut self, uses: &[(usize, f64)], gain: f64, id: Option<usize>) -> bool {
         let column: Vec<f64> = self
             .inverse
             .chunks(self.rows)
@@ -99,8 +101,8 @@
         true
     }
 
-    /// Row whose basic variable first falls to zero; among equals the one with the greatest pivot,
-    /// which keeps rounding errors small.
+    /// Returns the row whose basic variable reaches zero first; on ties the one with the largest
+    /// pivot, which keeps rounding errors small.
     fn ratio_test(&self, column: &[f64]) -> Option<usize> {
         let mut best: Option<(f64, usize)> = None;
         for (r, &entry) in column.iter().enumerate() {
@@ -140,7 +142,7 @@
         self.value[leaving] = step;
     }
 
-    /// Columns in use with their values, by ascending id.
+    /// Returns the columns with a non-zero value and their values, by ascending id.
     pub fn columns(&self) -> Vec<(usize, f64)> {
         let used = self.basic.iter().zip(&self.value);
         let mut columns: Vec<(usize, f64)> = used
@@ -151,8 +153,8 @@
         columns
     }
 
-    /// Gain reached so far.
-    pub fn gained(&self) -> f64 {
+    /// Returns the current value of the objective.
+    pub fn objective(&self) -> f64 {
         self.gain
             .iter()
             .zip(&self.value)
--- a/policy/src/route/plan.rs
+++ b/policy/src/route/plan.rs
@@ -1,10 +1,11 @@
-//! The plan: for each model, chains of runners with the rate each should carry.
+//! Routing plan: for each model, chains of runners with the rate each should carry.
 //!
-//! The bound comes from [`super::flow`], the chains from [`super::planner`]. Links enter the program
-//! only where chains ask more of them than they let through: most never do, and each costs time.
+//! [`super::flow`] computes the throughput bound, [`super::planner`] the chains. Links are added
+//! to the linear program only if chains exceed their capacity: most links never limit a plan, and
+//! each one costs planning time.
 //!
-//! The order of all steps is that of runner names, not of arrival, so each instance comes to the
-//! same plan from the same inputs.
+//! Runners are processed in the order of their names, not of arrival, so every instance computes
+//! the same plan from the same inputs.
 
 use super::fleet::Fleet;
 use super::flow;
@@ -16,51 +17,51 @@
 use cranelift_entity::SecondaryMap;
 use std::collections::BTreeMap;
 
-/// Links are left out of the program as long as no chain asks too much of them, and brought in
-/// where one does, in so many rounds at most.
-const LINK_ROUNDS: usize = 3;
-/// A link that is over its limit by no more than this share is not relieved.
-const SLIGHTLY_OVER: f64 = 1e-6;
-/// A way through the runners with its planned rate.
+/// Maximum number of rounds in which overloaded links are added to the linear program.
+const MAX_LINK_ROUNDS: usize = 3;
+/// Relative excess up to which a link does not count as overloaded.
+const LINK_OVERLOAD_TOLERANCE: f64 = 1e-6;
+
+/// A sequence of runners that covers all layers, with its planned rate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Chain {
     /// Runners and the layers each runs, in order.
     pub stages: Vec<(RunnerId, LayerRange)>,
-    /// Rate it is planned for, in tokens a second.
+    /// Planned rate, in tokens per second.
     pub tokens_per_s: f64,
 }
 
 /// Plan of one model.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ModelPlan {
-    /// The most tokens a second that the open runners can give, and the links let through.
+    /// Upper bound on the throughput of the open runners and the links, in tokens per second.
     pub bound: f64,
-    /// Tokens a second that the chains are planned for; at most the bound.
+    /// Total planned rate of the chains, in tokens per second; at most the bound.
     pub planned: f64,
     /// Chains.
     pub chains: Vec<Chain>,
-    /// Sum of the rates of the chains up to and with each.
+    /// Cumulative sums of the rates of the chains.
     pub cumulative: Vec<f64>,
     /// Indices of the chains through each runner.
     pub by_runner: SecondaryMap<RunnerId, Vec<u32>>,
-    /// Layers whose holders keep the bound from being greater.
+    /// Layers whose holders limit the bound.
     pub tight: Vec<LayerRange>,
-    /// First run of layers that no open runner holds.
+    /// First contiguous range of layers that no open runner holds.
     pub uncovered: Option<LayerRange>,
-    /// Chains brought in while planning.
+    /// Number of chains generated while planning.
     pub steps: usize,
-    /// Stages of a route, in the mean by planned rate.
+    /// Mean number of stages of a route, weighted by planned rate.
     pub mean_stages: f64,
-    /// Changes of failure domain on a route, in the mean by planned rate.
+    /// Mean number of changes of failure domain on a route, weighted by planned rate.
     pub mean_domain_changes: f64,
 }
 
-/// Two domains between which a chain changes runner, in order of their ids.
+/// Pair of failure domains between which a chain changes runner, ordered by id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Hop(pub DomainId, pub DomainId);
 
 impl Chain {
-    /// Where it changes runner.
+    /// Returns the hop of each change of runner.
     fn hops<'a>(&'a self, fleet: &'a Fleet) -> impl Iterator<Item = Hop> + 'a {
         let domain = |stage: &(RunnerId, LayerRange)| fleet.runners[stage.0].domain;
         self.stages
@@ -70,13 +71,13 @@
 }
 
 impl Hop {
-    /// Between `a` and `b`.
+    /// Creates the hop between `a` and `b`, in either order.
     pub fn new(a: DomainId, b: DomainId) -> Self {
         Self(a.min(b), a.max(b))
     }
 }
 
-/// Makes the plan of a model from the open runners.
+/// Computes the plan of a model from the open runners, processed in the given order.
 pub fn plan_model(fleet: &Fleet, links: &Links, model: ModelId, order: &[RunnerId]) -> ModelPlan {
     let pool = Pool::new(fleet, model, order);
     if let Some(layers) = pool.uncovered() {
@@ -86,32 +87,32 @@
         };
     }
     let rate = flow::max_rate(&pool.lengths, &pool.supplies());
-    let unit = rate.tokens_per_s;
+    let max_rate = rate.tokens_per_s;
     let capacities = link_capacities(links, fleet.models[model].activation_bytes);
     let mut limited = capacities.clone();
-    limited.retain(|_, tokens_per_s| *tokens_per_s < unit);
-    let link_bound = flow::link_bound(&pool.rooms(), &limited);
+    limited.retain(|_, tokens_per_s| *tokens_per_s < max_rate);
+    let link_bound = flow::link_bound(&pool.segment_rates(), &limited);
     let mut plan = ModelPlan {
-        bound: unit.min(link_bound),
+        bound: max_rate.min(link_bound),
         tight: rate.tight.iter().map(|&s| pool.segments[s]).collect(),
         ..ModelPlan::default()
     };
-    for _ in 0..LINK_ROUNDS {
-        let solved = Planner::new(&pool, &limited, unit).solve();
-        plan.steps += solved.steps;
-        plan.chains = solved.chains;
-        let over = overloaded(fleet, &capacities, &plan.chains);
-        if over.is_empty() {
+    for _ in 0..MAX_LINK_ROUNDS {
+        let solution = Planner::new(&pool, &limited, max_rate).solve();
+        plan.steps += solution.steps;
+        plan.chains = solution.chains;
+        let overloads = overloaded(fleet, &capacities, &plan.chains);
+        if overloads.is_empty() {
             break;
         }
-        limited.extend(over.into_keys().map(|hop| (hop, capacities[&hop])));
+        limited.extend(overloads.into_keys().map(|hop| (hop, capacities[&hop])));
     }
-    relieve(fleet, &capacities, &mut plan.chains);
-    plan.sum_up(fleet);
+    scale_to_link_capacities(fleet, &capacities, &mut plan.chains);
+    plan.summarise(fleet);
     plan
 }
 
-/// Tokens a second of each link with a limit.
+/// Returns the capacity of each link with a finite one, in tokens per second.
 fn link_capacities(links: &Links, activation_bytes: u64) -> BTreeMap<Hop, f64> {
     let all = links
         .iter()
@@ -120,7 +121,7 @@
         .collect()
 }
 
-/// Links that the chains ask more of than they let through, with the share that fits.
+/// Returns the links whose capacity the chains exceed, with the ratio of capacity to demand.
 fn overloaded(
     fleet: &Fleet,
     capacities: &BTreeMap<Hop, f64>,
@@ -135,21 +136,24 @@
     let share = |(hop, used): (Hop, f64)| Some((hop, capacities.get(&hop)? / used));
     used.into_iter()
         .filter_map(share)
-        .filter(|(_, share)| *share < 1.0 - SLIGHTLY_OVER)
+        .filter(|(_, share)| *share < 1.0 - LINK_OVERLOAD_TOLERANCE)
         .collect()
 }
 
-/// Scales the chains over overloaded links down to what these let through.
-fn relieve(fleet: &Fleet, capacities: &BTreeMap<Hop, f64>, chains: &mut [Chain]) {
-    let over = overloaded(fleet, capacities, chains);
+/// Scales down the chains over overloaded links to the capacity of these links.
+fn scale_to_link_capacities(fleet: &Fleet, capacities: &BTreeMap<Hop, f64>, chains: &mut [Chain]) {
+    let overloads = overloaded(fleet, capacities, chains);
     for chain in chains {
-        let shares = chain.hops(fleet).filter_map(|hop| over.get(&hop).copied());
+        let shares = chain
+            .hops(fleet)
+            .filter_map(|hop| overloads.get(&hop).copied());
         chain.tokens_per_s *= shares.fold(1.0, f64::min);
     }
 }
 
 impl ModelPlan {
-    fn sum_up(&mut self, fleet: &Fleet) {
+    /// Computes the totals, means and indices from the chains.
+    fn summarise(&mut self, fleet: &Fleet) {
         let (mut sum, mut stages, mut changes) = (0.0, 0.0, 0.0);
         for (i, chain) in self.chains.iter().enumerate() {
             sum += chain.tokens_per_s;
@@ -168,7 +172,7 @@
         }
     }
 
-    /// Index of a chain through `runner`; `point` in `[0, 1)` chooses among them evenly.
+    /// Returns the index of a chain through `runner`; `point` in `[0, 1)` selects one uniformly.
     pub fn chain_through(&self, runner: RunnerId, point: f64) -> Option<usize> {
         let chains = &self.by_runner[runner];
         chains
@@ -176,7 +180,8 @@
             .map(|&i| i as usize)
     }
 
-    /// Index of the chain at `point` in `[0, 1)` of the planned rate. The plan has chains.
+    /// Returns the index of the chain at `point` in `[0, 1)` of the cumulative rate. The plan must
+    /// have at least one chain.
     pub fn chain_at(&self, point: f64) -> usize {
         let at = point * self.planned;
         self.cumulative
--- a/policy/src/route/planner.rs
+++ b/policy/src/route/planner.rs
@@ -1,54 +1,55 @@
-//! The chains of a plan, by a linear program with columns brought in one after another.
+//! Computes the chains of a plan by a linear program with column generation.
 //!
-//! No runner gets more token-layers a second than its speed, no limited link more tokens than it
-//! lets through, and the rate is as great as it can be, with small charges for each change of
-//! runner and of failure domain. Each chain brought in ([`super::packing`]) is the cheapest at the
-//! present prices of runners and links ([`super::cheapest`]), until none gains or the limit of
-//! steps is reached; what is reached by then is a plan too, if a lesser one.
+//! The program maximises the total rate, less small charges for each change of runner and of
+//! failure domain. No runner gets more token-layers per second than its speed, and no limited link
+//! more tokens than its capacity. Each generated column ([`super::packing`]) is the chain that is
+//! cheapest at the current prices of runners and links ([`super::cheapest`]). Generation stops
+//! when no chain improves the objective or at the limit of columns; the result is then a valid but
+//! possibly suboptimal plan.
 
 use super::cheapest::Prices;
-use super::packing::{Packing, Uses};
+use super::packing::{ColumnUses, Packing};
 use super::plan::{Chain, Hop};
 use super::pool::Pool;
 use crate::layers::LayerRange;
 use crate::prelude::*;
 use std::collections::BTreeMap;
 
-/// Charge for each change of runner, against the gain of 1 of a whole chain.
-const HOP_CHARGE: f64 = 0.002;
-/// Charge for each change to another failure domain, in addition: the fewer domains a route goes
-/// through, the fewer requests the loss of one breaks off.
-const DOMAIN_CHARGE: f64 = 0.004;
-/// The plan is good enough once no more than this share can be gained.
-const GOOD_ENOUGH: f64 = 0.02;
-/// The most chains brought in.
-const MAX_STEPS: usize = 2_000;
-/// The most chains brought in, times the square of the number of resources, which is what bringing
-/// one in costs: bounds the time of a plan of very many runners.
-const MAX_WORK: usize = 40_000_000;
+/// Charge for each change of runner, relative to the gain of 1 of a complete chain.
+const RUNNER_CHANGE_CHARGE: f64 = 0.002;
+/// Additional charge for each change of failure domain: the fewer domains a route crosses, the
+/// fewer requests are interrupted by the loss of one.
+const DOMAIN_CHANGE_CHARGE: f64 = 0.004;
+/// Relative gap to the optimum below which the plan is accepted.
+const GAP_TOLERANCE: f64 = 0.02;
+/// Maximum number of columns generated.
+const MAX_COLUMNS: usize = 2_000;
+/// Maximum number of columns times the square of the number of resources, which is the cost of
+/// one pivot; bounds the planning time with very many runners.
+const MAX_PIVOT_WORK: usize = 40_000_000;
 
-/// What a program came to.
-pub struct Solved {
-    /// Chains in use.
+/// Result of the linear program.
+pub struct Solution {
+    /// Chains with a non-zero rate.
     pub chains: Vec<Chain>,
-    /// Chains brought in.
+    /// Number of columns generated.
     pub steps: usize,
 }
 
 /// The linear program of one model.
 pub struct Planner<'a> {
     pool: &'a Pool,
-    /// Unit of rates: the bound, in tokens a second.
+    /// Unit of rates: the throughput bound of the runners, in tokens per second.
     unit: f64,
-    /// Resource of each limited link, with its capacity in units.
+    /// Resource index of each limited link, with its capacity in units.
     links: BTreeMap<Hop, (usize, f64)>,
     packing: Packing,
     paths: Vec<Vec<usize>>,
 }
 
 impl<'a> Planner<'a> {
-    /// The program at the start, without a chain. `capacities` of links and `unit` are in tokens a
-    /// second.
+    /// Creates the program without any chain. The `capacities` of links and `unit` are in tokens
+    /// per second.
     pub fn new(pool: &'a Pool, capacities: &BTreeMap<Hop, f64>, unit: f64) -> Self {
         let runners = pool.candidates.len();
         let number = |(i, (&hop, &c)): (usize, (&Hop, &f64))| (hop, (runners + i, c / unit));
@@ -63,24 +64,24 @@
         }
     }
 
-    /// Brings chains in until none gains enough, or the limit of steps is reached.
-    pub fn solve(mut self) -> Solved {
+    /// Generates columns until the gap is small enough or the limit of columns is reached.
+    pub fn solve(mut self) -> Solution {
         let rows = self.packing.rows().max(1);
-        let steps = MAX_STEPS.min(MAX_WORK / (rows * rows));
-        while self.paths.len() < steps && self.step() {}
+        let steps = MAX_COLUMNS.min(MAX_PIVOT_WORK / (rows * rows));
+        while self.paths.len() < steps && self.generate_column() {}
         let chain = |(i, rate): (usize, f64)| Chain {
             stages: self.stages(&self.paths[i]),
             tokens_per_s: rate * self.unit,
         };
         let chains = self.packing.columns().into_iter().map(chain).collect();
-        Solved {
+        Solution {
             chains,
             steps: self.paths.len(),
         }
     }
 
-    /// Brings one chain in; says whether there may be more to gain.
-    fn step(&mut self) -> bool {
+    /// Generates one column; returns whether a further one may improve the objective.
+    fn generate_column(&mut self) -> bool {
         let prices = self.packing.prices();
         let per_layer: Vec<f64> = self
             .pool
@@ -98,18 +99,18 @@
         let prices = Prices {
             per_layer: &per_layer,
             links: &links,
-            per_hop: HOP_CHARGE,
-            per_domain: DOMAIN_CHARGE,
+            hop_charge: RUNNER_CHANGE_CHARGE,
+            domain_charge: DOMAIN_CHANGE_CHARGE,
         };
-        let Some(cheapest) = self.pool.cheapest(&prices) else {
+        let Some(cheapest) = self.pool.cheapest_chain(&prices) else {
             return false;
         };
-        if 1.0 - cheapest.least < GOOD_ENOUGH * self.packing.gained() {
+        if 1.0 - cheapest.lower_bound < GAP_TOLERANCE * self.packing.objective() {
             return false;
         }
         let (uses, gain) = self.column(&cheapest.path);
-        let paid: f64 = self.paid(&cheapest.path, &prices);
-        if gain <= paid {
+        let path_price: f64 = self.path_price(&cheapest.path, &prices);
+        if gain <= path_price {
             return false;
         }
         let id = self.paths.len();
@@ -117,8 +118,8 @@
         self.packing.enter(&uses, gain, id)
     }
 
-    /// What a path pays for runners and links.
-    fn paid(&self, path: &[usize], prices: &Prices<'_>) -> f64 {
+    /// Returns the price of the runners and links that a path uses.
+    fn path_price(&self, path: &[usize], prices: &Prices<'_>) -> f64 {
         let layers = path.iter().zip(&self.pool.lengths);
         let runners: f64 = layers
             .map(|(&c, &n)| prices.per_layer[c] * f64::from(n))
@@ -131,7 +132,7 @@
         runners + links
     }
 
-    /// Pairs of domains between which a path changes runner.
+    /// Returns the pairs of failure domains between which a path changes runner.
     fn hops(&self, path: &[usize]) -> Vec<Hop> {
         let domain = |c: usize| self.pool.candidates[c].domain;
         let changes = path.windows(2).filter(|w| w[0] != w[1]);
@@ -140,8 +141,8 @@
             .collect()
     }
 
-    /// What a path uses of each resource, and what it gains.
-    fn column(&self, path: &[usize]) -> (Uses, f64) {
+    /// Returns the resource usage of a path and its gain.
+    fn column(&self, path: &[usize]) -> (ColumnUses, f64) {
         let mut uses: BTreeMap<usize, f64> = BTreeMap::new();
         for (&c, &layers) in path.iter().zip(&self.pool.lengths) {
             let share = f64::from(layers) * self.unit / self.pool.candidates[c].speed;
@@ -154,10 +155,12 @@
             }
         }
         let crossed = hops.iter().filter(|hop| hop.0 != hop.1).count();
-        let charge = HOP_CHARGE * hops.len() as f64 + DOMAIN_CHARGE * crossed as f64;
+        let charge =
+            RUNNER_CHANGE_CHARGE * hops.len() as f64 + DOMAIN_CHANGE_CHARGE * crossed as f64;
         (uses.into_iter().collect(), 1.0 - charge)
     }
 
+    /// Merges consecutive segments on the same runner into stages.
     fn stages(&self, path: &[usize]) -> Vec<(RunnerId, LayerRange)> {
         let mut stages: Vec<(RunnerId, LayerRange)> = Vec::new();
         for (&c, segment) in path.iter().zip(&self.pool.segments) {
--- a/policy/src/route/pool.rs
+++ b/policy/src/route/pool.rs
@@ -1,4 +1,4 @@
-//! The open runners of one model, as its plan sees them: segments of layers and who holds them.
+//! Planning inputs of one model: its segments of layers and the open runners that hold them.
 
 use super::fleet::Fleet;
 use super::flow::{self, Supply};
@@ -6,37 +6,37 @@
 use crate::prelude::*;
 use std::collections::BTreeMap;
 
-/// A runner with a part of the model.
+/// An open runner that holds layers of the model.
 pub struct Candidate {
-    /// Runner.
+    /// Id of the runner.
     pub id: RunnerId,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Place of the domain in [`Pool::domains`].
+    /// Index of the domain in [`Pool::domains`].
     pub domain_slot: usize,
-    /// Speed for this model, in token-layers a second.
+    /// Speed available to this model, in token-layers per second.
     pub speed: f64,
     /// Segments held, ascending.
     pub segments: Vec<usize>,
 }
 
-/// Runners and segments of one model.
+/// Candidates and segments of one model.
 pub struct Pool {
-    /// The model's layers, cut at each end of a held range.
+    /// Layers of the model, cut at both ends of each held range.
     pub segments: Vec<LayerRange>,
     /// Length of each segment, in layers.
     pub lengths: Vec<u32>,
-    /// Runners, in the order given.
+    /// Candidates, in the given order.
     pub candidates: Vec<Candidate>,
-    /// For each segment, the candidates that hold it.
+    /// Candidates that hold each segment.
     pub holders: Vec<Vec<usize>>,
     /// Failure domains of the candidates.
     pub domains: Vec<DomainId>,
 }
 
 impl Pool {
-    /// Gathers the open runners of a model. Runners with several models give each an equal part
-    /// of their speed.
+    /// Collects the open runners of a model. The speed of a runner that holds several models is
+    /// divided equally among them.
     pub fn new(fleet: &Fleet, model: ModelId, order: &[RunnerId]) -> Self {
         let open: Vec<RunnerId> = order
             .iter()
@@ -87,7 +87,7 @@
         });
     }
 
-    /// First segment that nobody holds.
+    /// Returns the first segment that no candidate holds.
     pub fn uncovered(&self) -> Option<LayerRange> {
         self.holders
             .iter()
@@ -95,7 +95,7 @@
             .map(|s| self.segments[s])
     }
 
-    /// Runners that hold the same segments, as supplies.
+    /// Groups the candidates that hold the same segments into supplies.
     pub fn supplies(&self) -> Vec<Supply> {
         let mut groups: BTreeMap<&[usize], u64> = BTreeMap::new();
         for c in &self.candidates {
@@ -108,15 +108,16 @@
         groups.into_iter().map(supply).collect()
     }
 
-    /// Tokens a second that the runners of each domain could run of each segment if they ran no
-    /// other.
-    pub fn rooms(&self) -> Vec<BTreeMap<DomainId, f64>> {
-        let mut rooms = vec![BTreeMap::new(); self.segments.len()];
+    /// Returns, for each segment, the tokens per second that the candidates of each domain could
+    /// run if they ran no other segment.
+    pub fn segment_rates(&self) -> Vec<BTreeMap<DomainId, f64>> {
+        let mut segment_rates = vec![BTreeMap::new(); self.segments.len()];
         for c in &self.candidates {
             for &s in &c.segments {
-                *rooms[s].entry(c.domain).or_default() += c.speed / f64::from(self.lengths[s]);
+                *segment_rates[s].entry(c.domain).or_default() +=
+                    c.speed / f64::from(self.lengths[s]);
             }
         }
-        rooms
+        segment_rates
     }
 }
--- a/policy/src/route/records.rs
+++ b/policy/src/route/records.rs
@@ -1,22 +1,22 @@
-//! What the route plan is told and what it answers.
+//! Inputs and outputs of the router.
 //!
-//! The plug-ins turn the messages of the wire into these records; nothing here names a protocol.
+//! Plug-ins convert wire messages into these types, which do not depend on any protocol.
 
 use crate::layers::LayerRange;
 use crate::prelude::*;
 use derive_more::{Display, Error};
 use std::net::SocketAddr;
 
-/// A model, as far as routes depend on it.
+/// Properties of a model that routing depends on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelSpec {
-    /// Name, as runners report it.
+    /// Name as reported by runners.
     pub name: Name,
     /// Number of layers.
     pub layers: u32,
-    /// Time one layer takes for one token on the reference accelerator, in nanoseconds.
+    /// Time to run one layer for one token on the reference accelerator, in nanoseconds.
     pub nanos_per_layer: u64,
-    /// Size of one token's activations between two stages, in bytes.
+    /// Size of one token's activations passed between stages, in bytes.
     pub activation_bytes: u64,
 }
 
@@ -29,96 +29,97 @@
     pub layers: LayerRange,
 }
 
-/// A load report of a runner. Reports come late, doubled and out of order.
+/// Load report of a runner. Reports may be late, duplicated or out of order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunnerSeen {
-    /// Runner's name, kept over restarts.
+    /// Name of the runner; stable across restarts.
     pub name: Name,
-    /// Grows with each start of the same name.
+    /// Incarnation; increases with each start under the same name.
     pub incarnation: u64,
-    /// Report number, growing within an incarnation.
+    /// Report number; increases within an incarnation.
     pub number: u64,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: Name,
     /// Accelerator kind.
     pub accelerator: Name,
-    /// What it holds.
+    /// Layers held.
     pub holds: Vec<Held>,
-    /// Speed, in token-layers a second.
+    /// Speed, in token-layers per second.
     pub token_layers_per_s: f64,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests queued.
+    /// Number of queued requests.
     pub queued: u32,
-    /// Whether it is leaving.
+    /// Whether the runner is shutting down.
     pub leaving: bool,
-    /// Age of the figures at the time of the call, in milliseconds.
+    /// Age of the figures when the report is applied, in milliseconds.
     pub age_ms: Millis,
 }
 
-/// Why a runner gets no new work.
+/// Reason why a runner receives no new work, in ascending order of strength.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
-    /// It does not answer. A newer report opens it again.
+    /// The runner does not answer. A newer report reopens it.
     #[display("suspected")]
     Suspected,
-    /// It is leaving: closed for good in this incarnation.
+    /// The runner is leaving; closed for the rest of its incarnation.
     #[display("leaving")]
     Leaving,
-    /// It is gone: closed for good in this incarnation.
+    /// The runner is gone; closed for the rest of its incarnation.
     #[display("gone")]
     Gone,
 }
 
-/// The two ends of a link; the direction does not matter.
+/// Endpoints of a link, in either order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkEnds {
     /// Two runners.
     Runners(Name, Name),
-    /// Two failure domains, or one twice: the link within it.
+    /// Two failure domains; the same one twice denotes the links within it.
     Domains(Name, Name),
 }
 
-/// An observation of a link.
+/// Observed latency and capacity of a link.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkSeen {
-    /// The ends.
+    /// Endpoints.
     pub ends: LinkEnds,
     /// One-way latency, in microseconds.
     pub latency_us: u64,
-    /// Capacity, in bytes a second; with a model's activation size it gives tokens a second.
+    /// Capacity, in bytes per second; divided by a model's activation size it gives tokens per
+    /// second.
     pub bytes_per_s: f64,
 }
 
-/// A cache event of a runner: late, and with gaps in `number`.
+/// Prefix cache event of a runner. Events may be late or missing, which leaves gaps in `number`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheSeen {
-    /// Runner's name.
+    /// Name of the runner.
     pub runner: Name,
-    /// Runner's incarnation.
+    /// Incarnation of the runner.
     pub incarnation: u64,
-    /// Event number; a jump is a gap.
+    /// Event number; consecutive within an incarnation unless events are missing.
     pub number: u64,
     /// Hash of the prefix.
     pub prefix: u64,
-    /// Whether it came into the cache, or left it.
+    /// Whether the prefix was added to the cache; `false` if it was evicted.
     pub cached: bool,
 }
 
-/// What a route is asked for.
+/// Request for a route.
 #[derive(Clone, Copy, Debug)]
 pub struct Pick<'a> {
-    /// Model, by its place in the list given to the router.
+    /// Model, as its index in the list given to the router.
     pub model: ModelId,
-    /// Hash of the prompt's prefix, as runners report it in cache events.
+    /// Hash of the prompt's prefix, comparable with [`CacheSeen::prefix`].
     pub prefix_hash: Option<u64>,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Runners to leave out, for instance those that failed earlier attempts.
+    /// Runners to exclude, such as those that failed earlier attempts.
     pub avoid: &'a [RunnerId],
 }
 
@@ -127,13 +128,13 @@
 pub struct RouteStage {
     /// Runner.
     pub runner: RunnerId,
-    /// Its incarnation when the route was picked.
+    /// Incarnation of the runner when the route was picked.
     pub incarnation: u64,
-    /// Its name.
+    /// Name of the runner.
     pub name: Name,
-    /// Its address.
+    /// Address of the runner.
     pub address: SocketAddr,
-    /// Layers it is to run.
+    /// Layers that the runner executes.
     pub layers: LayerRange,
 }
 
@@ -142,15 +143,15 @@
 pub struct Route {
     /// Model.
     pub model: ModelId,
-    /// Stages in order.
+    /// Stages, in layer order.
     pub stages: Vec<RouteStage>,
-    /// Estimated time to the first token, in milliseconds.
+    /// Estimated time-to-first-token, in milliseconds.
     pub first_token_ms: f64,
-    /// Estimated time between tokens, in milliseconds.
+    /// Estimated inter-token gap, in milliseconds.
     pub per_token_ms: f64,
 }
 
-/// Why there is no route. Nothing was sent, so the request has not run.
+/// Error of a pick without a route. Nothing was sent, so the request has not run.
 #[derive(Clone, Debug, Display, Error, PartialEq)]
 pub enum NoRoute {
     /// The model is not in the list given to the router.
@@ -164,15 +165,15 @@
     Uncovered {
         /// Model.
         model: ModelId,
-        /// First run of layers that nobody holds.
+        /// First contiguous range of layers without an open runner.
         layers: LayerRange,
     },
-    /// A route was built and did not pass the verifier.
+    /// A route was built but rejected by the verifier.
     #[display("the route for {model} is faulty: {fault}")]
     Faulty {
         /// Model.
         model: ModelId,
-        /// What the verifier found.
+        /// Fault found by the verifier.
         fault: super::verify::RouteFault,
     },
 }
--- a/policy/src/route/router.rs
+++ b/policy/src/route/router.rs
@@ -1,8 +1,8 @@
-//! The router: keeps what is known of the runners, plans on change, picks routes.
+//! Router: tracks runners and links, replans on changes and picks routes.
 
-use super::fleet::{Effect, Fleet};
+use super::fleet::{Fleet, PlanEffect};
 use super::link::{Link, Links};
-use super::pick::{Chooser, Stages};
+use super::pick::{RouteSelector, Stages};
 use super::plan::{ModelPlan, plan_model};
 use super::records::{
     CacheSeen, CloseReason, LinkSeen, ModelSpec, NoRoute, Pick, Route, RouteStage, RunnerSeen,
@@ -12,19 +12,19 @@
 use cranelift_entity::{PrimaryMap, SecondaryMap};
 use rand::Rng;
 
-/// The most models planned by one call: bounds its time.
-pub const MODELS_PER_REPLAN: usize = 2;
+/// Maximum number of models planned per call of [`Router::replan`]; bounds its duration.
+pub const MAX_MODELS_PER_REPLAN: usize = 2;
 
-/// How the router decides.
+/// Configuration of a [`Router`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterConfig {
-    /// Entry instances taken to decide at the same time as this one, itself counted.
+    /// Number of entry instances assumed to route concurrently, including this one.
     pub instances: u32,
-    /// Chains drawn for each pick.
+    /// Number of chains sampled per pick.
     pub draws: u32,
-    /// Time for which a runner is avoided after a failure, in milliseconds.
+    /// Cooldown of a runner after a failure, in milliseconds.
     pub avoid_ms: Millis,
-    /// Work of one prompt token against one generated token.
+    /// Work of one prompt token relative to one generated token.
     pub prefill_weight: f64,
 }
 
@@ -39,17 +39,17 @@
     }
 }
 
-/// Keeps what is known of the runners, and picks routes.
+/// Tracks the state of runners and links, and picks routes.
 #[derive(Clone, Debug)]
 pub struct Router {
     pub(super) cfg: RouterConfig,
     pub(super) fleet: Fleet,
     pub(super) links: Links,
     pub(super) plans: PrimaryMap<ModelId, ModelPlan>,
-    /// Rate planned through each runner over all models, in tokens a second.
+    /// Planned rate through each runner, summed over all models, in tokens per second.
     pub(super) through: SecondaryMap<RunnerId, f64>,
-    /// Requests at each runner in proportion, when the work follows the plan: by Little's law the
-    /// rate of each chain times the time that a token takes through it.
+    /// Relative number of requests on each runner if traffic follows the plan: by Little's law,
+    /// the sum over its chains of the rate times the time that a token takes through the chain.
     weight: SecondaryMap<RunnerId, f64>,
     last_planned: Option<ModelId>,
     pub(super) planned_at: Millis,
@@ -57,7 +57,7 @@
 }
 
 impl Router {
-    /// A router that knows of no model and no runner yet.
+    /// Creates a router without models and runners.
     pub fn new(cfg: RouterConfig) -> Self {
         Self {
             cfg,
@@ -72,17 +72,17 @@
         }
     }
 
-    /// Sets the number of entry instances that decide at the same time, this one counted.
+    /// Sets the number of entry instances that route concurrently, including this one.
     pub fn set_instances(&mut self, instances: u32) {
         self.cfg.instances = instances.max(1);
     }
 
-    /// Replaces the models. Their place in the list is their [`ModelId`].
+    /// Replaces the models. The index of a model in the list is its [`ModelId`].
     pub fn set_models(&mut self, models: &[ModelSpec]) {
         self.fleet.set_models(models);
     }
 
-    /// Looks a model up.
+    /// Looks up a model by name.
     pub fn model(&self, name: &str) -> Option<ModelId> {
         self.fleet
             .models
@@ -91,58 +91,58 @@
             .map(|(id, _)| id)
     }
 
-    /// Looks a runner up.
+    /// Looks up a runner by name.
     pub fn runner(&self, name: &str) -> Option<RunnerId> {
         self.fleet.runner(name)
     }
 
-    /// What is known of the runners.
+    /// Returns the state of the runners.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Smoothed figures of the link between two domains.
+    /// Returns the smoothed figures of the link between two failure domains.
     pub fn link(&self, a: DomainId, b: DomainId) -> Link {
-        self.links.between(a, b)
+        self.links.between_domains(a, b)
     }
 
-    /// Plan of a model, as of the last [`Router::replan`].
+    /// Returns the plan of a model, as of the last [`Router::replan`].
     pub fn plan(&self, model: ModelId) -> Option<&ModelPlan> {
         self.plans.get(model)
     }
 
-    /// Takes a load report in.
-    pub fn observe(&mut self, now: Millis, seen: &RunnerSeen) -> Effect {
-        self.fleet.observe(now, seen)
+    /// Applies a load report.
+    pub fn observe(&mut self, now: Millis, report: &RunnerSeen) -> PlanEffect {
+        self.fleet.observe(now, report)
     }
 
-    /// Takes a cache event in.
-    pub fn observe_cache(&mut self, _now: Millis, seen: &CacheSeen) {
-        self.fleet.cache(seen);
+    /// Applies a cache event.
+    pub fn observe_cache(&mut self, _now: Millis, event: &CacheSeen) {
+        self.fleet.observe_cache(event);
     }
 
-    /// Takes a link observation in.
-    pub fn observe_link(&mut self, _now: Millis, seen: &LinkSeen) {
-        if self.links.observe(&mut self.fleet, seen) {
+    /// Applies a link observation.
+    pub fn observe_link(&mut self, _now: Millis, observation: &LinkSeen) {
+        if self.links.observe(&mut self.fleet, observation) {
             self.fleet.stale = self.fleet.models.keys().collect();
         }
     }
 
-    /// Closes a runner to new work, at once; has no effect on names never seen.
+    /// Closes a runner to new work, effective immediately; ignores unknown names.
     pub fn close(&mut self, _now: Millis, name: &str, reason: CloseReason) {
         if let Some(id) = self.fleet.runner(name) {
             self.fleet.close(id, reason);
         }
     }
 
-    /// Whether the plan of some model is older than what it is made from.
+    /// Returns whether the plan of any model is out of date.
     pub fn is_dirty(&self) -> bool {
         !self.fleet.stale.is_empty()
     }
 
-    /// Makes the plans again of models for which something changed, [`MODELS_PER_REPLAN`] at most;
-    /// call it again while [`Router::is_dirty`]. Picks between a change and the next plan are safe:
-    /// they leave out chains through closed runners.
+    /// Recomputes the plans of up to [`MAX_MODELS_PER_REPLAN`] models that are out of date; has to be
+    /// called again while [`Router::is_dirty`]. Picks between a change and the next plan are safe,
+    /// since they skip chains through closed runners.
     pub fn replan(&mut self, now: Millis) {
         if !self.is_dirty() {
             return;
@@ -157,7 +157,7 @@
             self.fleet.stale = self.fleet.models.keys().collect();
         }
         let order: Vec<RunnerId> = self.fleet.by_name().collect();
-        for _ in 0..MODELS_PER_REPLAN {
+        for _ in 0..MAX_MODELS_PER_REPLAN {
             let Some(model) = self.next_stale() else {
                 break;
             };
@@ -165,14 +165,14 @@
             self.plans[model] = plan_model(&self.fleet, &self.links, model, &order);
             self.last_planned = Some(model);
         }
-        self.weigh();
+        self.compute_weights();
         self.links.mark_planned();
         self.planned_at = now;
         self.replans += 1;
     }
 
-    /// The stale model after the one planned last, in turn, so that one that changes all the time
-    /// does not keep the others waiting.
+    /// Returns the next stale model in round-robin order, so that a model that changes constantly
+    /// does not starve the others.
     fn next_stale(&self) -> Option<ModelId> {
         let stale = &self.fleet.stale;
         let after = self
@@ -181,8 +181,8 @@
         after.or_else(|| stale.first()).copied()
     }
 
-    /// Works out what each runner carries when the work follows the plan.
-    fn weigh(&mut self) {
+    /// Computes the planned rate and the weight of each runner.
+    fn compute_weights(&mut self) {
         self.through.clear();
         self.weight.clear();
         for chain in self.plans.values().flat_map(|plan| &plan.chains) {
@@ -198,28 +198,33 @@
         }
     }
 
-    /// Picks a route by the plan. Count it with [`Router::sent`] once it is used.
+    /// Picks a route according to the plan. The caller reports its use with [`Router::sent`].
     ///
     /// # Errors
-    /// [`NoRoute`] where the open runners do not cover the model.
-    pub fn pick(&self, now: Millis, pick: &Pick<'_>, rng: &mut impl Rng) -> Result<Route, NoRoute> {
-        let model = pick.model;
+    /// Returns [`NoRoute`] if the open runners do not cover the model.
+    pub fn pick(
+        &self,
+        now: Millis,
+        request: &Pick<'_>,
+        rng: &mut impl Rng,
+    ) -> Result<Route, NoRoute> {
+        let model = request.model;
         let plan = self
             .plans
             .get(model)
             .ok_or(NoRoute::UnknownModel { model })?;
-        let chooser = Chooser {
+        let selector = RouteSelector {
             cfg: &self.cfg,
             fleet: &self.fleet,
             links: &self.links,
             weight: &self.weight,
             plan,
             now,
-            pick,
+            request,
         };
-        let stages = chooser.choose(rng)?;
-        let (first_token_ms, per_token_ms) = chooser.estimate(&stages);
-        let stages = self.named(&stages);
+        let stages = selector.select(rng)?;
+        let (first_token_ms, per_token_ms) = selector.estimate(&stages);
+        let stages = self.resolve_stages(&stages);
         let layers = self.fleet.models[model].layers;
         verify_route(layers, &stages, |r, held| {
             self.fleet.runners[r].holds(model, held)
@@ -233,7 +238,8 @@
         })
     }
 
-    fn named(&self, stages: &Stages) -> Vec<RouteStage> {
+    /// Adds the current incarnation, name and address of each runner.
+    fn resolve_stages(&self, stages: &Stages) -> Vec<RouteStage> {
         let name = |&(runner, layers): &(RunnerId, _)| {
             let known = &self.fleet.runners[runner];
             RouteStage {
@@ -247,42 +253,44 @@
         stages.iter().map(name).collect()
     }
 
-    /// Counts a route as in flight.
+    /// Records that a request was sent over a route and is in flight.
     pub fn sent(&mut self, now: Millis, route: &Route) {
-        self.change(now, route, 1);
+        self.add_in_flight(now, route, 1);
     }
 
-    /// Takes note of a token that came along a route: its runners work. One that rests after a
-    /// failure goes on resting, since the token may have been on its way before it failed.
+    /// Records a token received over a route, which shows that its runners work. The cooldown of a
+    /// runner that failed is not cut short, since the token may have been in transit before the
+    /// failure.
     pub fn token(&mut self, _now: Millis, route: &Route) {
         self.clear_failures(route);
     }
 
-    /// Counts a route that was sent as ended, for whatever cause but a runner's failure.
+    /// Records that a request sent over a route ended for any reason other than a runner's failure.
     pub fn finished(&mut self, now: Millis, route: &Route) {
-        self.change(now, route, -1);
+        self.add_in_flight(now, route, -1);
         self.clear_failures(route);
     }
 
-    /// Counts a route that was sent as ended by a failure, of `runner` where it is known.
+    /// Records that a request sent over a route failed; `runner` is the cause if known.
     pub fn failed(&mut self, now: Millis, route: &Route, runner: Option<RunnerId>) {
-        self.change(now, route, -1);
+        self.add_in_flight(now, route, -1);
         let Some(id) = runner else { return };
-        // A failure of its earlier incarnation says nothing of a runner that has restarted since.
-        let of_now = |s: &RouteStage| s.runner == id && self.fleet.runners[id].is_incarnation_of(s);
-        if route.stages.iter().any(of_now) {
+        // A failure of an earlier incarnation does not count against a restarted runner.
+        let of_current_incarnation =
+            |s: &RouteStage| s.runner == id && self.fleet.runners[id].is_incarnation_of(s);
+        if route.stages.iter().any(of_current_incarnation) {
             let known = &mut self.fleet.runners[id];
             known.failures += 1;
             known.avoid_until = now + self.cfg.avoid_ms;
         }
     }
 
-    fn change(&mut self, now: Millis, route: &Route, delta: i32) {
+    fn add_in_flight(&mut self, now: Millis, route: &Route, delta: i32) {
         for stage in &route.stages {
             let runner = &mut self.fleet.runners[stage.runner];
-            // A restarted runner has lost the requests of its earlier incarnation.
+            // The requests of an earlier incarnation ended with the restart.
             if runner.is_incarnation_of(stage) {
-                runner.change(now, delta);
+                runner.add_in_flight(now, delta);
             }
         }
     }
@@ -296,8 +304,8 @@
         }
     }
 
-    /// The most tokens a second that the open runners can give of a model, and the links let
-    /// through; 0 where they do not cover it.
+    /// Returns the upper bound on the throughput of a model over the open runners and the links, in
+    /// tokens per second; 0 if the runners do not cover the model.
     pub fn bound(&self, model: ModelId) -> f64 {
         self.plans.get(model).map_or(0.0, |plan| plan.bound)
     }
--- a/policy/src/route/state.rs
+++ b/policy/src/route/state.rs
@@ -1,4 +1,4 @@
-//! The router's part of the state dump.
+//! Router section of the state dump.
 
 use super::records::CloseReason;
 use super::router::Router;
@@ -6,7 +6,7 @@
 use crate::prelude::*;
 use derive_more::Display;
 
-/// What the router knows and plans.
+/// Snapshot of the router's state and plans.
 #[derive(Clone, Debug, Display, PartialEq)]
 #[display(
     "routes: {replans} plans made, the last at {planned_at} ms, changes since: {dirty}\n{}{}",
@@ -14,19 +14,19 @@
     lines(runners)
 )]
 pub struct RouterState {
-    /// Plans made since the start.
+    /// Number of replans since the start.
     pub replans: u64,
-    /// Time of the last one.
+    /// Time of the last replan.
     pub planned_at: Millis,
-    /// Whether something changed since.
+    /// Whether any plan is out of date.
     pub dirty: bool,
     /// Models.
     pub models: Vec<ModelState>,
-    /// Runners by name.
+    /// Runners, ordered by name.
     pub runners: Vec<RunnerState>,
 }
 
-/// Plan of one model.
+/// Snapshot of the plan of one model.
 #[derive(Clone, Debug, Display, PartialEq)]
 #[display(
     "model {name}: bound {bound:.1} tokens/s, planned {planned:.1} over {chains} chains \
@@ -38,28 +38,28 @@
 pub struct ModelState {
     /// Name.
     pub name: Name,
-    /// The most tokens a second.
+    /// Upper bound on the throughput, in tokens per second.
     pub bound: f64,
-    /// Tokens a second that the chains carry.
+    /// Total planned rate of the chains, in tokens per second.
     pub planned: f64,
     /// Number of chains.
     pub chains: usize,
-    /// Stages of a route in the mean.
+    /// Mean number of stages of a route.
     pub mean_stages: f64,
-    /// Changes of failure domain on a route in the mean.
+    /// Mean number of changes of failure domain on a route.
     pub mean_domain_changes: f64,
-    /// Layers whose holders hold the bound down.
+    /// Layers whose holders limit the bound.
     pub tight: Vec<LayerRange>,
-    /// First layers that no open runner holds.
+    /// First contiguous range of layers that no open runner holds.
     pub uncovered: Option<LayerRange>,
 }
 
-/// One runner.
+/// Snapshot of one runner.
 #[derive(Clone, Debug, Display, PartialEq)]
 #[display(
     "runner {name} incarnation {incarnation} in {domain} on {accelerator}: {}, \
      {speed:.0} token-layers/s, planned {through:.1} tokens/s, load {load:.1} \
-     (reported {reported}, own {own}), figures of {figures_at} ms, {failures} failures, \
+     (reported {reported}, own {own}), figures of {sampled_at} ms, {failures} failures, \
      {prefixes} prefixes cached, {gaps} gaps, holds [{}]",
     closed.map_or("open".to_string(), |reason| format!("closed: {reason}")),
     list(holds)
@@ -73,27 +73,27 @@
     pub domain: Name,
     /// Accelerator kind.
     pub accelerator: Name,
-    /// Why it gets no new work.
+    /// Reason why it receives no new work; `None` if it is open.
     pub closed: Option<CloseReason>,
-    /// Token-layers a second.
+    /// Speed, in token-layers per second.
     pub speed: f64,
-    /// Tokens a second planned through it.
+    /// Planned rate through the runner, in tokens per second.
     pub through: f64,
-    /// Requests estimated there.
+    /// Estimated number of requests on the runner.
     pub load: f64,
-    /// Requests reported there.
+    /// Reported number of requests on the runner.
     pub reported: u32,
-    /// Requests of this instance there.
+    /// Requests of this instance in flight on the runner.
     pub own: u32,
-    /// Time of the reported figures.
-    pub figures_at: Millis,
+    /// Time at which the newest report was sampled.
+    pub sampled_at: Millis,
     /// Failures since the last success.
     pub failures: u32,
-    /// Prefixes known to be cached.
+    /// Number of prefixes indexed as cached.
     pub prefixes: u32,
-    /// Gaps in its cache events.
+    /// Number of gaps in its cache events.
     pub gaps: u64,
-    /// `model start..end`.
+    /// Layers held, each as `model start..end`.
     pub holds: Vec<String>,
 }
 
@@ -110,7 +110,7 @@
 }
 
 impl Router {
-    /// What the router knows and plans, for the dump.
+    /// Returns a snapshot of the router's state and plans for the dump.
     pub fn state(&self) -> RouterState {
         RouterState {
             replans: self.replans,
@@ -155,7 +155,7 @@
             load: runner.load(f64::from(self.cfg.instances)),
             reported: runner.reported,
             own: runner.own,
-            figures_at: runner.figures_at,
+            sampled_at: runner.sampled_at,
             failures: runner.failures,
             prefixes: self.fleet.cache.count(id),
             gaps: self.fleet.cache.gaps(id),
--- a/policy/src/route/verify.rs
+++ b/policy/src/route/verify.rs
@@ -1,94 +1,95 @@
-//! The verifier: no route is used before it passed.
+//! Verification of routes, which each route has to pass before it is used.
 //!
-//! A route is a chain of stages whose ranges cover `[0, layers)` in order, each layer once. A
-//! stage runs within what its runner holds, and no runner appears twice, since a runner refuses
-//! to run the same attempt a second time.
+//! The ranges of the stages of a valid route cover `[0, layers)` in order, each layer exactly
+//! once. Each stage lies within the layers held by its runner, and no runner appears twice, since a
+//! runner refuses to run the same attempt a second time.
 
 use super::records::RouteStage;
 use crate::layers::LayerRange;
 use crate::prelude::*;
 use derive_more::{Display, Error};
 
-/// What is wrong with a route, and at which stage (from 0).
+/// Fault of a route, with the zero-based index of the stage.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum RouteFault {
-    /// There is no stage.
+    /// The route has no stages.
     #[display("no stages")]
     NoStages,
-    /// A stage has no layers.
+    /// The layer range of a stage is empty.
     #[display("stage {stage} on {runner}: empty range {layers}")]
     EmptyRange {
-        /// Stage.
+        /// Index of the stage.
         stage: usize,
-        /// Its runner.
+        /// Runner of the stage.
         runner: RunnerId,
-        /// Its layers.
+        /// Layers of the stage.
         layers: LayerRange,
     },
-    /// Layers before a stage are run by nobody.
+    /// Layers before a stage are not run by any stage.
     #[display("stage {stage} on {runner}: gap, layers {missing} are not run")]
     Gap {
-        /// Stage.
+        /// Index of the stage.
         stage: usize,
-        /// Its runner.
+        /// Runner of the stage.
         runner: RunnerId,
-        /// Layers left out.
+        /// Layers that are not run.
         missing: LayerRange,
     },
-    /// A stage runs layers that an earlier one ran.
+    /// A stage repeats layers of an earlier one.
     #[display("stage {stage} on {runner}: overlap, layers {twice} are run again")]
     Overlap {
-        /// Stage.
+        /// Index of the stage.
         stage: usize,
-        /// Its runner.
+        /// Runner of the stage.
         runner: RunnerId,
-        /// Layers run again.
+        /// Layers that are run again.
         twice: LayerRange,
     },
-    /// A stage goes on after the model's last layer.
+    /// A stage extends beyond the last layer of the model.
     #[display("stage {stage} on {runner}: {layers} goes beyond the last layer")]
-    Beyond {
-        /// Stage.
+    BeyondLastLayer {
+        /// Index of the stage.
         stage: usize,
-        /// Its runner.
+        /// Runner of the stage.
         runner: RunnerId,
-        /// Its layers.
+        /// Layers of the stage.
         layers: LayerRange,
     },
-    /// The last layers are run by nobody.
+    /// The last layers are not run by any stage.
     #[display("stage {stage} on {runner} is the last: layers {missing} are not run")]
-    Short {
-        /// Last stage.
+    Incomplete {
+        /// Index of the last stage.
         stage: usize,
-        /// Its runner.
+        /// Runner of the stage.
         runner: RunnerId,
-        /// Layers left out.
+        /// Layers that are not run.
         missing: LayerRange,
     },
-    /// A runner does not hold what it is to run.
+    /// A runner does not hold the layers of its stage.
     #[display("stage {stage}: {runner} does not hold {layers}")]
     NotHeld {
-        /// Stage.
+        /// Index of the stage.
         stage: usize,
-        /// Its runner.
+        /// Runner of the stage.
         runner: RunnerId,
-        /// Its layers.
+        /// Layers of the stage.
         layers: LayerRange,
     },
-    /// A runner has two stages.
+    /// A runner has more than one stage.
     #[display("stage {stage}: {runner} has an earlier stage")]
-    Repeated {
-        /// Second stage.
+    RepeatedRunner {
+        /// Index of the runner's second stage.
         stage: usize,
-        /// Its runner.
+        /// Runner of the stage.
         runner: RunnerId,
     },
 }
 
-/// Checks a route of a model with `layers` layers; `holds` says whether a runner holds a range.
+/// Verifies a route of a model with `layers` layers. `holds` returns whether a runner holds a
+/// range.
 ///
 /// # Errors
-/// The first fault in stage order.
+/// Returns the first fault in stage order.
 pub fn verify_route(
     layers: u32,
     stages: &[RouteStage],
@@ -105,7 +106,7 @@
             });
         }
         if stages[..i].iter().any(|earlier| earlier.runner == s.runner) {
-            return Err(RouteFault::Repeated {
+            return Err(RouteFault::RepeatedRunner {
                 stage: i,
                 runner: s.runner,
             });
@@ -114,7 +115,7 @@
     }
     match stages.last() {
         None => Err(RouteFault::NoStages),
-        Some(last) if next < layers => Err(RouteFault::Short {
+        Some(last) if next < layers => Err(RouteFault::Incomplete {
             stage: stages.len() - 1,
             runner: last.runner,
             missing: LayerRange::new(next, layers),
@@ -151,7 +152,7 @@
         });
     }
     if range.end > layers {
-        return Err(RouteFault::Beyond {
+        return Err(RouteFault::BeyondLastLayer {
             stage,
             runner,
             layers: range,
