--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -1,11 +1,11 @@
-//! Whether a request whose attempt ended badly gets another one.
+//! Retry policy: decides whether a request gets another attempt after a failed one.
 //!
-//! [`decide`] looks at what the journal says, at the deadline and at the [`RetryBudget`]. Work that
-//! must not repeat is tried again only where nothing of it ran. A stream is resumed from the
-//! tokens that its caller has, never from the start.
+//! [`decide`] considers the request's journal, its deadline and the [`RetryBudget`]. Non-idempotent
+//! work is retried only if nothing of it ran. A stream resumes after the tokens that its caller
+//! already has and never restarts from the beginning.
 //!
-//! [`StallDetector`] says when an attempt that is still open has been silent for too long, and
-//! [`Silences`] which runners of its route that speaks against.
+//! [`StallDetector`] decides when an open attempt has been silent for too long, and [`Silences`]
+//! which runners of its route are suspected of causing the stall.
 
 mod budget;
 mod silence;
@@ -20,65 +20,64 @@
 use crate::prelude::*;
 use derive_more::Display;
 
-/// How an attempt ended that did not give the whole answer.
+/// How an attempt ended without a complete answer.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum BadEnd {
-    /// The upstream refused it before anything ran; it may come back after this time, in
-    /// milliseconds.
+    /// The upstream refused the attempt before anything ran.
     #[display("refused")]
     Refused {
-        /// When the upstream expects to take new work, in milliseconds.
+        /// Time after which the upstream expects to accept new work, in milliseconds.
         retry_after_ms: u64,
     },
-    /// A connection of its route was never opened, and nothing of it ran.
+    /// A connection of the route could not be opened, and nothing ran.
     #[display("never sent")]
     NeverSent,
-    /// It ran, or may have, and broke off.
+    /// The attempt ran, or may have run, and was interrupted.
     #[display("broken off")]
     BrokenOff,
 }
 
-/// What to do after an attempt that ended badly.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Decision {
-    /// Try again, elsewhere.
+    /// Make another attempt on another route.
     Retry {
         /// Number of the new attempt.
         attempt: u32,
-        /// Tokens that the caller has: the new attempt goes on behind them.
+        /// Number of tokens that the caller already has; the new attempt continues after them.
         resume_from: u32,
     },
-    /// Tell the caller now; the outcome is the journal's.
+    /// Report the outcome recorded in the journal to the caller.
     GiveUp(GiveUp),
 }
 
-/// Why no further attempt is made.
+/// Reason why no further attempt is made.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display(rename_all = "snake_case")]
 pub enum GiveUp {
-    /// It may have run and must not repeat.
+    /// The request is non-idempotent and may have run.
     NonIdempotent,
-    /// A further attempt could not be over before the deadline.
+    /// Another attempt could not finish before the deadline.
     Deadline,
-    /// The share of load that may be retries is used up.
+    /// The retry budget is exhausted.
     Budget,
     /// [`MAX_ATTEMPTS`] were made.
     Attempts,
-    /// Its outcome was told already.
+    /// The outcome was already reported.
     Closed,
 }
 
-/// Time that is left, and that another attempt would need.
+/// Time left until the deadline, and the time that another attempt needs.
 #[derive(Clone, Copy, Debug)]
 pub struct TimeLeft {
-    /// Until the deadline, in milliseconds.
+    /// Time until the deadline, in milliseconds.
     pub left_ms: u64,
-    /// What another attempt takes at least, in milliseconds, from what was seen.
+    /// Minimum duration of another attempt, in milliseconds, as observed.
     pub needed_ms: u64,
 }
 
-/// Decides whether a request gets another attempt, and takes it from the budget if so.
+/// Decides whether a request gets another attempt, and if so takes it from the budget.
 pub fn decide(
     now: Millis,
     journal: &Journal,
@@ -99,7 +98,7 @@
     if time.left_ms <= time.needed_ms {
         return Decision::GiveUp(GiveUp::Deadline);
     }
-    // An attempt that never left cost no upstream anything.
+    // An attempt that was never sent put no load on any upstream.
     if end != BadEnd::NeverSent && !budget.take(now, need(journal)) {
         return Decision::GiveUp(GiveUp::Budget);
     }
--- a/policy/src/retry/budget.rs
+++ b/policy/src/retry/budget.rs
@@ -1,13 +1,14 @@
-//! Which share of the load may be retries.
+//! Retry budget: bounds the retries relative to the successful requests.
 //!
-//! A bucket of tokens: each success puts in a share of one, each retry takes one out. Without it,
-//! a dead failure domain makes every request fail and be tried again, and the upstreams that are
-//! left carry twice the load and fail as well.
+//! The budget is a token bucket: each success adds a fraction of a token, each retry takes one.
+//! Without it, the loss of a failure domain makes every request there fail and be retried, and the
+//! remaining upstreams receive twice the load and fail as well.
 //!
-//! The bucket holds at least as many as there are requests in flight: when a failure domain
-//! dies, each stream that ran there may be resumed once. That is no new load, since those streams
-//! were running before, and requests that can be refused leave them some ([`Need`]). What stays bounded is the second and third failure in a row: in a time in
-//! which `s` requests succeed, at most `size + share * s` retries are made.
+//! The size of the bucket is at least the number of requests in flight, so that each stream on a
+//! lost failure domain can be resumed once. That adds no load, since those streams were running
+//! before, and requests that can be refused leave part of the bucket to them ([`Need`]). Repeated
+//! failures stay bounded: while `s` requests succeed, at most `size + share * s` retries are made,
+//! besides the idle refill.
 
 use crate::need::Need;
 use crate::prelude::*;
@@ -15,86 +16,86 @@
 /// Settings of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Retries for each success.
+    /// Tokens added per success.
     pub share: f64,
-    /// Least size of the bucket: retries that are allowed at once.
-    pub least_size: f64,
-    /// Retries a second that are allowed without any success, so that a pipeline whose every
-    /// request failed finds out when that is over.
-    pub trickle_per_s: f64,
+    /// Minimum size of the bucket: the number of retries allowed in a burst.
+    pub min_size: f64,
+    /// Tokens added per second regardless of successes, so that a pipeline whose requests all fail
+    /// can detect recovery.
+    pub idle_refill_per_s: f64,
 }
 
 impl Default for RetryBudgetConfig {
     fn default() -> Self {
         Self {
             share: 0.1,
-            least_size: 10.0,
-            trickle_per_s: 1.0,
+            min_size: 10.0,
+            idle_refill_per_s: 1.0,
         }
     }
 }
 
-/// Retry budget of one pipeline, or of all plain services.
+/// Retry budget of one pipeline or of all plain services.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     cfg: RetryBudgetConfig,
     size: f64,
-    left: f64,
-    at: Millis,
+    tokens: f64,
+    refilled_at: Millis,
     taken: u64,
     refused: u64,
 }
 
 impl RetryBudget {
-    /// A full bucket.
+    /// Creates a budget with a full bucket.
     pub fn new(cfg: RetryBudgetConfig, now: Millis) -> Self {
         Self {
             cfg,
-            size: cfg.least_size,
-            left: cfg.least_size,
-            at: now,
+            size: cfg.min_size,
+            tokens: cfg.min_size,
+            refilled_at: now,
             taken: 0,
             refused: 0,
         }
     }
 
-    /// Tells how many requests are in flight; a bucket that grows is filled by as much.
+    /// Sets the number of requests in flight; when the bucket grows, the added size is filled.
     pub fn set_in_flight(&mut self, in_flight: u32) {
-        let size = f64::from(in_flight).max(self.cfg.least_size);
-        self.left = (self.left + (size - self.size).max(0.0)).min(size);
+        let size = f64::from(in_flight).max(self.cfg.min_size);
+        self.tokens = (self.tokens + (size - self.size).max(0.0)).min(size);
         self.size = size;
     }
 
-    /// A request ended well.
+    /// Records a successful request.
     pub fn succeeded(&mut self) {
-        self.left = (self.left + self.cfg.share).min(self.size);
+        self.tokens = (self.tokens + self.cfg.share).min(self.size);
     }
 
-    /// Takes one retry, if there is one for this need.
+    /// Takes a token for a retry; returns whether one was available for this need.
     pub fn take(&mut self, now: Millis, need: Need) -> bool {
-        let elapsed_s = now.saturating_sub(self.at) as f64 / 1_000.0;
-        self.at = now;
-        self.left = (self.left + elapsed_s * self.cfg.trickle_per_s).min(self.size);
-        if self.left < 1.0 + need.leaves(self.size) {
+        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1_000.0;
+        self.refilled_at = now;
+        self.tokens = (self.tokens + elapsed_s * self.cfg.idle_refill_per_s).min(self.size);
+        if self.tokens < 1.0 + need.leaves(self.size) {
             self.refused += 1;
             return false;
         }
-        self.left -= 1.0;
+        self.tokens -= 1.0;
         self.taken += 1;
         true
     }
 
-    /// Retries left.
+    /// Returns the number of tokens left.
     pub fn left(&self) -> f64 {
-        self.left
+        self.tokens
     }
 
-    /// Retries taken since the start.
+    /// Returns the number of retries granted since the start.
     pub fn taken(&self) -> u64 {
         self.taken
     }
 
-    /// Retries refused since the start.
+    /// Returns the number of retries denied since the start.
     pub fn refused(&self) -> u64 {
         self.refused
     }
--- a/policy/src/retry/silence.rs
+++ b/policy/src/retry/silence.rs
@@ -1,32 +1,33 @@
-//! Which runners a stall speaks against.
+//! Attribution of stalls to runners.
 //!
-//! A route that has gone silent does not say which of its stages is at fault, and until the
-//! observers have suspected a runner that stands still (two polls that time out, and a
-//! confirmation) new requests keep going there, each to a stall of its own. A token proves every
-//! stage of its route alive, so a runner that gave tokens to another request in the second half of
-//! the silence is not to blame; the others are, and new work avoids them for a while where it can.
-//! A token through a blamed runner, or a load report that is newer than the silence's middle, ends
-//! the blame: a runner that was blamed for its neighbour is back after one report.
+//! A stalled route does not show which of its stages is at fault. Until the failure detector
+//! suspects an unresponsive runner (two poll time-outs and a confirmation), new requests would
+//! still be routed to it and stall in turn. A token proves that all stages of its route are alive,
+//! so a runner that delivered tokens of another request in the second half of the silence is
+//! cleared. The other runners of the route become suspects, and new work avoids them for a limited
+//! time where possible. A token through a suspect, or a load report newer than the middle of the
+//! silence, clears it, so a runner suspected only because of its neighbour is used again after one
+//! report.
 
 use crate::prelude::*;
 use std::collections::BTreeMap;
 
-/// How long a runner is blamed at most, in milliseconds: longer than the observers need to suspect
-/// one that stands still.
+/// Maximum duration of a suspicion, in milliseconds; longer than the failure detector needs to
+/// suspect an unresponsive runner.
 const BLAME_MS: Millis = 6_000;
 
-/// A runner that new work avoids.
+/// Suspicion against a runner, which new work avoids.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Blame {
-    /// Its name.
+    /// Name of the runner.
     pub name: Name,
-    /// A report of a later time than this proves it alive, in milliseconds.
+    /// Time in milliseconds; a later load report clears the suspicion.
     pub silent_from: Millis,
-    /// End of the blame, in milliseconds.
+    /// Expiry of the suspicion, in milliseconds.
     pub until: Millis,
 }
 
-/// Last signs of life of the runners, as this instance's own streams show them.
+/// Time of this instance's latest token through each runner, and the runners suspected of stalls.
 #[derive(Clone, Debug, Default)]
 pub struct Silences {
     token_at: BTreeMap<RunnerId, Millis>,
@@ -34,7 +35,7 @@
 }
 
 impl Silences {
-    /// A token came over a route with these runners.
+    /// Records a token received over a route with these runners.
     pub fn token(&mut self, now: Millis, runners: impl Iterator<Item = RunnerId>) {
         for id in runners {
             self.token_at.insert(id, now);
@@ -42,16 +43,16 @@
         }
     }
 
-    /// A route with these runners was silent from `since` until now and is given up; returns those
-    /// that are to blame.
+    /// Records that a route with these runners was silent from `since` until now and was abandoned;
+    /// returns the runners that become suspects.
     pub fn stalled(
         &mut self,
         now: Millis,
         since: Millis,
         runners: impl Iterator<Item = (RunnerId, Name)>,
     ) -> Vec<RunnerId> {
-        // Tokens that other streams had right after this one's last prove nothing: the runner
-        // stopped after them.
+        // Tokens of other streams shortly after this stream's last one are no proof: the runner
+        // may have stopped after them.
         let silent_from = since + now.saturating_sub(since) / 2;
         let alive = |id: &RunnerId| self.token_at.get(id).is_some_and(|at| *at > silent_from);
         let blamed: Vec<_> = runners.filter(|(id, _)| !alive(id)).collect();
@@ -67,8 +68,8 @@
         ids
     }
 
-    /// Runners that new work avoids where it can. `reported` gives the time for which a runner's
-    /// newest load report holds.
+    /// Returns the runners that new work should avoid where possible. `reported` returns the time
+    /// at which a runner's newest load report was sampled.
     pub fn avoided(
         &mut self,
         now: Millis,
--- a/policy/src/retry/stall.rs
+++ b/policy/src/retry/stall.rs
@@ -1,46 +1,47 @@
-//! When a silent link counts as broken, measured against its own history.
+//! Adaptive stall detection based on the history of inter-token gaps.
 //!
-//! A fixed time-out is too long for a fast link and too short for a slow one. As for a TCP
-//! retransmission, the detector keeps the moving mean of the gaps between tokens and of their
-//! deviation, and calls a gap a stall when it exceeds the mean by several deviations, within a
-//! least threshold (in milliseconds and in means) and a greatest one. A token that comes after all of a suspected attempt proves the
-//! suspicion false: the factor doubles, and shrinks again slowly with tokens that come in time.
+//! A fixed time-out is too long for a fast link and too short for a slow one. As in TCP
+//! retransmission, the detector keeps moving averages of the gap between tokens and of its
+//! deviation. A gap is a stall when it exceeds the mean by several deviations, subject to a minimum
+//! threshold (in milliseconds and as a multiple of the mean) and a maximum one. A token of a
+//! suspected attempt that arrives late refutes the suspicion: the threshold factor doubles, and
+//! decays slowly with tokens that arrive in time.
 
 /// Settings of a stall detector.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StallConfig {
-    /// Deviations above the mean that count as a stall.
+    /// Number of mean deviations above the mean from which a gap is a stall.
     pub deviations: f64,
-    /// Least threshold as a multiple of the mean: a steady link has next to no deviation, and a
-    /// small hiccup would count as a stall.
-    pub least_means: f64,
-    /// Least threshold, in milliseconds: covers pauses of the instance itself.
-    pub least_ms: u64,
-    /// Greatest threshold, in milliseconds; the threshold before any gap was seen.
-    pub greatest_ms: u64,
+    /// Minimum threshold as a multiple of the mean: a steady link has almost no deviation, and a
+    /// minor delay would count as a stall.
+    pub min_mean_multiple: f64,
+    /// Minimum threshold, in milliseconds; covers pauses of the instance itself.
+    pub min_ms: u64,
+    /// Maximum threshold, in milliseconds; also the threshold before the first gap.
+    pub max_ms: u64,
 }
 
 impl Default for StallConfig {
     fn default() -> Self {
         Self {
             deviations: 8.0,
-            least_means: 4.0,
-            least_ms: 400,
-            greatest_ms: 10_000,
+            min_mean_multiple: 4.0,
+            min_ms: 400,
+            max_ms: 10_000,
         }
     }
 }
 
-/// Weight of the newest gap in the mean.
+/// Weight of a new gap in the moving mean.
 const MEAN_WEIGHT: f64 = 0.125;
-/// Weight of the newest deviation in the mean deviation.
+/// Weight of a new deviation in the moving mean deviation.
 const DEVIATION_WEIGHT: f64 = 0.25;
-/// Greatest factor on the threshold after false suspicions.
-const GREATEST_FACTOR: f64 = 16.0;
-/// What is left of the factor's excess over 1 after a gap that was in time.
+/// Maximum threshold factor after false suspicions.
+const MAX_FACTOR: f64 = 16.0;
+/// Fraction of the factor's excess over 1 that remains after each gap in time.
 const FACTOR_DECAY: f64 = 0.999;
 
-/// Stall detector of one link, or of one pipeline's streams.
+/// Stall detector of one link or of the streams of one pipeline.
 #[derive(Clone, Debug)]
 pub struct StallDetector {
     cfg: StallConfig,
@@ -52,7 +53,7 @@
 }
 
 impl StallDetector {
-    /// A detector without history.
+    /// Creates a detector without history.
     pub fn new(cfg: StallConfig) -> Self {
         Self {
             cfg,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// A token came after this gap, in milliseconds.
+    /// Records a token that arrived after this gap, in milliseconds.
     pub fn seen(&mut self, gap_ms: u64) {
         let gap = gap_ms as f64;
         let Some(mean) = self.mean_ms else {
@@ -72,46 +73,46 @@
             self.deviation_ms = gap / 2.0;
             return;
         };
-        let off = (gap - mean).abs();
-        self.deviation_ms += (off - self.deviation_ms) * DEVIATION_WEIGHT;
+        let deviation = (gap - mean).abs();
+        self.deviation_ms += (deviation - self.deviation_ms) * DEVIATION_WEIGHT;
         self.mean_ms = Some(mean + (gap - mean) * MEAN_WEIGHT);
         self.factor = 1.0 + (self.factor - 1.0) * FACTOR_DECAY;
     }
 
-    /// Gap from which on the link counts as stalled, in milliseconds.
+    /// Returns the gap from which the link counts as stalled, in milliseconds.
     pub fn threshold_ms(&self) -> u64 {
         let Some(mean) = self.mean_ms else {
-            return self.cfg.greatest_ms;
+            return self.cfg.max_ms;
         };
         let by_deviation = mean + self.cfg.deviations * self.deviation_ms;
-        let by_mean = mean * self.cfg.least_means;
+        let by_mean = mean * self.cfg.min_mean_multiple;
         let threshold = by_deviation.max(by_mean) * self.factor;
-        (threshold as u64).clamp(self.cfg.least_ms, self.cfg.greatest_ms)
+        (threshold as u64).clamp(self.cfg.min_ms, self.cfg.max_ms)
     }
 
-    /// Whether silence of this length, in milliseconds, is a stall.
+    /// Returns whether a silence of this length, in milliseconds, is a stall.
     pub fn is_stall(&self, silent_ms: u64) -> bool {
         silent_ms >= self.threshold_ms()
     }
 
-    /// An attempt was given up as stalled.
+    /// Records that an attempt was abandoned as stalled.
     pub fn suspected(&mut self) {
         self.suspicions += 1;
     }
 
-    /// The suspected attempt gave a token after all, after this gap in milliseconds.
+    /// Records that a suspected attempt delivered a token after this gap, in milliseconds.
     pub fn was_false(&mut self, gap_ms: u64) {
         self.false_suspicions += 1;
-        self.factor = (self.factor * 2.0).min(GREATEST_FACTOR);
+        self.factor = (self.factor * 2.0).min(MAX_FACTOR);
         self.seen(gap_ms);
     }
 
-    /// Suspicions since the start.
+    /// Returns the number of suspicions since the start.
     pub fn suspicions(&self) -> u64 {
         self.suspicions
     }
 
-    /// Suspicions that proved false.
+    /// Returns the number of suspicions that were refuted.
     pub fn false_suspicions(&self) -> u64 {
         self.false_suspicions
     }
--- a/policy/tests/retry.rs
+++ b/policy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: who gets another attempt, the budget's bound, and stalls.
+//! Tests of retry decisions, the retry budget and stall detection.
 
 use googletest::prelude::*;
 use jacinthweir_policy::journal::{Event, Journal, Repeat};
@@ -22,12 +22,12 @@
     journal.record(0, Event::Lost { attempt, cause }).unwrap();
 }
 
-fn full() -> RetryBudget {
+fn full_budget() -> RetryBudget {
     RetryBudget::new(RetryBudgetConfig::default(), 0)
 }
 
 #[gtest]
-fn a_stream_is_resumed_behind_the_tokens_that_its_caller_has() {
+fn a_stream_resumes_after_the_tokens_that_its_caller_has() {
     let mut journal = Journal::open("r".into(), Repeat::Idempotent, 0);
     handed(&mut journal, 1);
     for index in 0..3 {
@@ -36,7 +36,7 @@
             .unwrap();
     }
     lost(&mut journal, 1);
-    let decision = decide(0, &journal, BadEnd::BrokenOff, TIME, &mut full());
+    let decision = decide(0, &journal, BadEnd::BrokenOff, TIME, &mut full_budget());
     let resumed = Decision::Retry {
         attempt: 2,
         resume_from: 3,
@@ -46,33 +46,33 @@
         left_ms: 100,
         needed_ms: 100,
     };
-    let decision = decide(0, &journal, BadEnd::BrokenOff, late, &mut full());
+    let decision = decide(0, &journal, BadEnd::BrokenOff, late, &mut full_budget());
     expect_that!(decision, eq(Decision::GiveUp(GiveUp::Deadline)));
 }
 
 #[gtest]
-fn a_non_idempotent_call_is_tried_again_only_where_nothing_ran() {
+fn a_non_idempotent_call_is_retried_only_if_nothing_ran() {
     let mut journal = Journal::open("r".into(), Repeat::NonIdempotent, 0);
     handed(&mut journal, 1);
     journal
         .record(0, Event::RefusedByUpstream { attempt: 1 })
         .unwrap();
     let refused = BadEnd::Refused { retry_after_ms: 0 };
-    let decision = decide(0, &journal, refused, TIME, &mut full());
+    let decision = decide(0, &journal, refused, TIME, &mut full_budget());
     expect_that!(
         decision,
         matches_pattern!(Decision::Retry { attempt: eq(2), .. })
     );
     handed(&mut journal, 2);
     lost(&mut journal, 2);
-    let decision = decide(0, &journal, BadEnd::BrokenOff, TIME, &mut full());
+    let decision = decide(0, &journal, BadEnd::BrokenOff, TIME, &mut full_budget());
     expect_that!(decision, eq(Decision::GiveUp(GiveUp::NonIdempotent)));
 }
 
-/// A failure domain is dead: every request that goes there fails, and its retries as well. The
-/// callers see refusals; the upstreams that are left must not see twice the load.
+/// Every request to a lost failure domain fails, and so do its retries. Without the bound the
+/// remaining upstreams would receive twice the load.
 #[gtest]
-fn retries_stay_within_the_share_of_successes() {
+fn retries_stay_within_the_budget() {
     let cfg = RetryBudgetConfig::default();
     let mut budget = RetryBudget::new(cfg, 0);
     let (mut successes, mut retries) = (0_u64, 0_u64);
@@ -86,27 +86,27 @@
             }
         }
     }
-    let bound = cfg.least_size + cfg.share * successes as f64 + cfg.trickle_per_s * 30.0;
+    let bound = cfg.min_size + cfg.share * successes as f64 + cfg.idle_refill_per_s * 30.0;
     expect_that!(retries as f64, le(bound));
     expect_that!(retries as f64, ge(0.9 * bound));
     expect_that!(budget.taken() + budget.refused(), eq(10_000));
 }
 
-/// A failure domain with a third of 300 streams dies at once: each of them is resumed.
+/// A failure domain with a third of 300 streams fails at once, and each of them can be resumed.
 #[gtest]
-fn every_stream_in_flight_may_be_resumed_once() {
-    let mut budget = full();
+fn every_stream_in_flight_can_be_resumed_once() {
+    let mut budget = full_budget();
     budget.set_in_flight(300);
     let resumed = (0..100).filter(|_| budget.take(0, Need::Owed)).count();
     expect_that!(resumed, eq(100));
 }
 
-/// A failure domain is full and refuses every new request that comes; then a runner elsewhere dies. The
-/// refused ones can be told the truth, that nothing ran. The streams that ran on the dead one can only
-/// be cut, and are if the refused ones have taken every retry.
+/// A failure domain is full and refuses every new request; then a runner elsewhere fails. The
+/// refused requests can be refused truthfully, since nothing ran. The streams of the failed runner
+/// would be cut if the refused requests had used up the retry budget.
 #[gtest]
-fn requests_that_can_be_refused_leave_retries_to_streams_that_cannot() {
-    let mut budget = full();
+fn refusable_requests_leave_retries_to_streams() {
+    let mut budget = full_budget();
     budget.set_in_flight(20);
     let refused = BadEnd::Refused { retry_after_ms: 0 };
     let new = |budget: &mut RetryBudget| {
@@ -135,7 +135,7 @@
 }
 
 #[gtest]
-fn a_stall_is_measured_against_the_links_own_history() {
+fn the_stall_threshold_adapts_to_the_history_of_the_link() {
     let mut fast = StallDetector::new(StallConfig::default());
     let mut slow = StallDetector::new(StallConfig::default());
     for i in 0..200_u64 {
@@ -148,7 +148,7 @@
 }
 
 #[gtest]
-fn a_false_suspicion_makes_the_detector_more_patient_for_a_while() {
+fn a_false_suspicion_raises_the_threshold_temporarily() {
     let mut detector = StallDetector::new(StallConfig::default());
     for i in 0..200_u64 {
         detector.seen(100 + 20 * (i % 5));
