--- a/policy/src/entity.rs
+++ b/policy/src/entity.rs
@@ -1,7 +1,7 @@
 //! Dense indices of the entities of a compiled schema.
 //!
-//! A name is looked up once, when a request or report comes in; from there on the code uses
-//! these indices, which print as `org3` or `model0` in logs and dumps.
+//! A name is resolved once, when a request or report arrives; after that the code uses these
+//! indices, which print as `org3` or `model0` in logs and dumps.
 
 use cranelift_entity::entity_impl;
 
@@ -20,7 +20,7 @@
     "domain"
 );
 entity!(
-    /// An organisation: a tenant with keys, a priority and a weight.
+    /// An organisation, with API keys, a priority and a weight.
     OrgId,
     "org"
 );
@@ -40,7 +40,7 @@
     "service"
 );
 entity!(
-    /// A model runner, as an instance numbers those it has seen.
+    /// A model runner; each instance numbers the runners in the order of their first report.
     RunnerId,
     "runner"
 );
--- a/policy/src/layers.rs
+++ b/policy/src/layers.rs
@@ -25,22 +25,22 @@
 }
 
 impl LayerRange {
-    /// `[start, end)`.
+    /// Creates the range `[start, end)`.
     pub fn new(start: u32, end: u32) -> Self {
         Self { start, end }
     }
 
-    /// Number of layers.
+    /// Returns the number of layers.
     pub fn count(self) -> u32 {
         self.end.saturating_sub(self.start)
     }
 
-    /// Whether there is no layer in it.
+    /// Returns whether the range contains no layers.
     pub fn is_empty(self) -> bool {
         self.end <= self.start
     }
 
-    /// Whether every layer of `other` is in it.
+    /// Returns whether the range contains every layer of `other`.
     pub fn covers(self, other: Self) -> bool {
         self.start <= other.start && other.end <= self.end
     }
--- a/policy/src/load.rs
+++ b/policy/src/load.rs
@@ -1,17 +1,17 @@
-//! What a model runner reports of itself; it lags behind.
+//! Load reports of model runners.
 
 use crate::layers::LayerRange;
 use crate::time::Name;
 use serde::{Deserialize, Serialize};
 
-/// Load of a runner; lags behind.
+/// Load report of a runner; lags behind its actual state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Runner's name.
+    /// Name of the runner.
     pub runner: Name,
-    /// Runner's incarnation.
+    /// Incarnation of the runner.
     pub incarnation: u64,
-    /// Report number, growing within an incarnation.
+    /// Report number; increases within an incarnation.
     pub number: u64,
     /// Age of the figures, in milliseconds.
     pub age_ms: u64,
@@ -19,19 +19,19 @@
     pub accelerator: Name,
     /// Layers held.
     pub holds: Vec<HeldLayers>,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests queued.
+    /// Number of queued requests.
     pub queued: u32,
-    /// Token-layers a second this runner can do.
+    /// Maximum speed, in token-layers per second.
     pub token_layers_per_s: f64,
-    /// Token-layers a second it did lately.
+    /// Recent throughput, in token-layers per second.
     pub busy_token_layers_per_s: f64,
-    /// Whether it is leaving.
+    /// Whether the runner is shutting down.
     pub leaving: bool,
-    /// Whether it refuses an old fencing number.
+    /// Whether the runner rejects outdated fencing tokens.
     pub checks_fencing: bool,
-    /// Greatest fencing number seen.
+    /// Highest fencing token received.
     pub fencing: u64,
 }
 
--- a/policy/src/need.rs
+++ b/policy/src/need.rs
@@ -1,28 +1,29 @@
-//! What a further attempt of a request is needed for.
+//! Priority of a request in the use of a limited retry capacity.
 //!
-//! Attempts beyond the first are bounded, and full upstreams refuse many new requests. Each of those
-//! can be told the truth, that it has not run, and its caller comes back. One that may have run, or
-//! whose answer has begun, can only fail. So the last of what there is goes to the latter: otherwise the
-//! former leave nothing for the streams of the next upstream that dies.
+//! Attempts beyond the first are limited, and full upstreams refuse many new requests. A request
+//! that has certainly not run can be refused truthfully, and its caller retries it. One that may
+//! have run, or whose answer has begun, can only fail without another attempt. Part of the
+//! capacity is therefore reserved for the latter. Otherwise refusable requests would use it up, and
+//! none would be left for the streams of the next upstream that fails.
 
-/// Who needs a further attempt.
+/// Priority of a further attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
-    /// A request that has certainly not run: a refusal would be true.
+    /// The request has certainly not run, so it can be refused truthfully.
     Refusable,
-    /// One that may have run, or whose answer has begun: without the attempt it fails.
+    /// The request may have run, or its answer has begun; without another attempt it fails.
     Owed,
 }
 
-/// Part of what there is that requests which can be refused leave to the others.
-const KEPT_SHARE: f64 = 0.3;
+/// Fraction of the capacity that refusable requests leave to the others.
+const RESERVED_FRACTION: f64 = 0.3;
 
 impl Need {
-    /// What one who needs an attempt leaves of `all`.
+    /// Returns the part of `all` that a request of this priority has to leave untouched.
     #[must_use]
     pub fn leaves(self, all: f64) -> f64 {
         match self {
-            Need::Refusable => KEPT_SHARE * all,
+            Need::Refusable => RESERVED_FRACTION * all,
             Need::Owed => 0.0,
         }
     }
