--- a/policy/tests/route_cases.rs
+++ b/policy/tests/route_cases.rs
@@ -1,4 +1,4 @@
-//! Case files of routes: what the verifier says of a route, and bounds worked out by hand.
+//! Case-file tests: results of the route verifier, and throughput bounds computed by hand.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
     verify_route,
 };
 
-/// Name, input lines and expected lines of each case below `tests/cases/{folder}`, in order.
+/// Returns the name, input lines and expected lines of each case in `tests/cases/{folder}`, sorted.
 fn cases(folder: &str) -> Vec<(String, Vec<String>, Vec<String>)> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/cases")
@@ -51,7 +51,7 @@
     }
 }
 
-fn verdict(input: &[String]) -> String {
+fn verify_case(input: &[String]) -> String {
     let (mut layers, mut held, mut stages) = (0, Vec::new(), Vec::new());
     for line in input {
         if let Some(count) = line.strip_prefix("layers ") {
@@ -74,13 +74,13 @@
 }
 
 #[gtest]
-fn verifier_names_the_fault() {
+fn verifier_reports_the_expected_fault() {
     for (name, input, expected) in cases("route") {
-        expect_that!(vec![verdict(&input)], eq(&expected), "{name}");
+        expect_that!(vec![verify_case(&input)], eq(&expected), "{name}");
     }
 }
 
-/// Size of a token's activations in the bound cases.
+/// Size of one token's activations in the bound cases, in bytes.
 const ACTIVATION_BYTES: u64 = 16_384;
 
 fn observe(router: &mut Router, words: &[&str]) {
@@ -92,7 +92,7 @@
             activation_bytes: ACTIVATION_BYTES,
         }]),
         ["runner", name, layers, "speed", speed, "in", domain] => {
-            let seen = RunnerSeen {
+            let report = RunnerSeen {
                 name: (*name).into(),
                 incarnation: 1,
                 number: 1,
@@ -109,7 +109,7 @@
                 leaving: false,
                 age_ms: 0,
             };
-            router.observe(0, &seen);
+            router.observe(0, &report);
         }
         ["link", a, b, bytes_per_s] => router.observe_link(
             0,
@@ -125,7 +125,7 @@
 }
 
 #[gtest]
-fn bounds_worked_out_by_hand() {
+fn bounds_match_hand_computed_values() {
     for (name, input, expected) in cases("bound") {
         let mut router = Router::new(RouterConfig::default());
         for line in &input {
--- a/policy/tests/route_fleet.rs
+++ b/policy/tests/route_fleet.rs
@@ -1,4 +1,4 @@
-//! Routes while runners fail, leave, come back and report late.
+//! Tests of routing while runners fail, leave, restart and report late.
 
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
@@ -11,17 +11,17 @@
 
 #[path = "support/route.rs"]
 mod support;
-use support::{model, model_id, seen, want};
+use support::{model, model_id, report, request};
 
-/// A planned router of a model with 8 layers, among `instances`.
+/// Creates a router for a model with 8 layers, configured for `instances`, and makes its plan.
 fn router(instances: u32, runners: &[RunnerSeen]) -> Router {
     let mut router = Router::new(RouterConfig {
         instances,
         ..RouterConfig::default()
     });
     router.set_models(&[model(8)]);
-    for seen in runners {
-        router.observe(0, seen);
+    for report in runners {
+        router.observe(0, report);
     }
     router.replan(0);
     router
@@ -35,12 +35,12 @@
     ChaCha8Rng::seed_from_u64(7)
 }
 
-/// Names of the runners that `picks` routes went through.
+/// Returns the names of the runners used by `picks` picked routes, sorted and without duplicates.
 fn used(router: &Router, now: Millis, picks: usize, avoid: &[RunnerId]) -> Vec<String> {
     let mut rng = rng();
     let mut all: Vec<String> = Vec::new();
     for _ in 0..picks {
-        let route = router.pick(now, &want(avoid), &mut rng).unwrap();
+        let route = router.pick(now, &request(avoid), &mut rng).unwrap();
         all.extend(names(&route).iter().map(ToString::to_string));
     }
     all.sort();
@@ -49,17 +49,17 @@
 }
 
 #[gtest]
-fn leaving_never_turns_back_in_one_incarnation() {
-    // The caller must see no request cut by a runner that is going down. The runner says that it
-    // leaves; then a report it made earlier arrives, and a later one that no longer says so. Both
-    // would reopen it if the newest report simply won.
-    let mut router = router(1, &[seen("a", 0, 8), seen("b", 0, 8)]);
+fn leaving_is_final_within_an_incarnation() {
+    // Guards against requests being cut by a runner that shuts down. After the runner announced
+    // that it leaves, an earlier report arrives, and then a later one without the announcement.
+    // Either would reopen the runner if the latest arrival simply won.
+    let mut router = router(1, &[report("a", 0, 8), report("b", 0, 8)]);
     router.observe(
         1,
         &RunnerSeen {
             number: 5,
             leaving: true,
-            ..seen("a", 0, 8)
+            ..report("a", 0, 8)
         },
     );
     for number in [4, 6] {
@@ -67,7 +67,7 @@
             2,
             &RunnerSeen {
                 number,
-                ..seen("a", 0, 8)
+                ..report("a", 0, 8)
             },
         );
         expect_that!(used(&router, 2, 50, &[]), elements_are![eq("b")]);
@@ -79,7 +79,7 @@
         5,
         &RunnerSeen {
             number: 7,
-            ..seen("a", 0, 8)
+            ..report("a", 0, 8)
         },
     );
     expect_that!(used(&router, 5, 50, &[]), elements_are![eq("b")]);
@@ -87,7 +87,7 @@
         6,
         &RunnerSeen {
             incarnation: 2,
-            ..seen("a", 0, 8)
+            ..report("a", 0, 8)
         },
     );
     router.replan(6);
@@ -95,22 +95,22 @@
 }
 
 #[gtest]
-fn an_old_incarnation_does_not_come_back() {
-    // A runner restarts and now holds other layers. A report of its earlier life arrives late; a
-    // route made from it would be refused by the runner.
-    let mut router = router(1, &[seen("a", 0, 8), seen("b", 0, 8)]);
+fn reports_of_an_old_incarnation_are_ignored() {
+    // A runner restarts with other layers, and a report of its earlier incarnation arrives late.
+    // The runner would refuse a route based on that report.
+    let mut router = router(1, &[report("a", 0, 8), report("b", 0, 8)]);
     router.observe(
         1,
         &RunnerSeen {
             incarnation: 2,
-            ..seen("a", 0, 4)
+            ..report("a", 0, 4)
         },
     );
     router.observe(
         2,
         &RunnerSeen {
             number: 99,
-            ..seen("a", 0, 8)
+            ..report("a", 0, 8)
         },
     );
     router.replan(3);
@@ -118,7 +118,7 @@
     expect_that!(router.fleet().runners[a].incarnation, eq(2));
     let mut rng = rng();
     for _ in 0..50 {
-        let route = router.pick(3, &want(&[]), &mut rng).unwrap();
+        let route = router.pick(3, &request(&[]), &mut rng).unwrap();
         let on_a = route.stages.iter().find(|s| s.runner == a);
         expect_that!(on_a.is_none_or(|s| s.layers.end <= 4), eq(true));
     }
@@ -126,8 +126,11 @@
 
 #[gtest]
 fn a_dead_runner_is_avoided_before_and_after_the_next_plan() {
-    // A runner dies; new requests must not go to it, although the plan still has chains through it.
-    let mut router = router(1, &[seen("a", 0, 4), seen("b", 0, 4), seen("c", 4, 8)]);
+    // New requests must not be routed to a dead runner while the plan still has chains through it.
+    let mut router = router(
+        1,
+        &[report("a", 0, 4), report("b", 0, 4), report("c", 4, 8)],
+    );
     router.close(1, "a", CloseReason::Gone);
     expect_that!(router.is_dirty(), eq(true));
     expect_that!(used(&router, 1, 50, &[]), elements_are![eq("b"), eq("c")]);
@@ -137,26 +140,29 @@
 }
 
 #[gtest]
-fn the_last_holder_is_used_even_soon_after_a_failure() {
-    // Of two holders one is gone and the other just failed an attempt. Refusing all work until the
-    // pause is over would turn one failure into an outage, so the last holder is tried again.
-    let mut router = router(1, &[seen("a", 0, 4), seen("b", 0, 4), seen("c", 4, 8)]);
+fn the_last_holder_is_used_during_its_cooldown() {
+    // One of two holders is gone and the other has just failed an attempt. Refusing all requests
+    // during its cooldown would turn one failure into an outage, so the last holder is still used.
+    let mut router = router(
+        1,
+        &[report("a", 0, 4), report("b", 0, 4), report("c", 4, 8)],
+    );
     router.close(1, "a", CloseReason::Gone);
     router.replan(1);
-    let route = router.pick(1, &want(&[]), &mut rng()).unwrap();
+    let route = router.pick(1, &request(&[]), &mut rng()).unwrap();
     router.sent(1, &route);
     router.failed(2, &route, router.runner("b"));
     expect_that!(used(&router, 3, 20, &[]), elements_are![eq("b"), eq("c")]);
     let avoid = [router.runner("b").unwrap()];
-    let refused = router.pick(3, &want(&avoid), &mut rng());
+    let refused = router.pick(3, &request(&avoid), &mut rng());
     expect_that!(refused, err(matches_pattern!(NoRoute::Uncovered { .. })));
 }
 
 #[gtest]
-fn a_failed_runner_rests_and_comes_back() {
-    let mut router = router(1, &[seen("a", 0, 8), seen("b", 0, 8)]);
+fn a_failed_runner_is_used_again_after_its_cooldown() {
+    let mut router = router(1, &[report("a", 0, 8), report("b", 0, 8)]);
     let mut rng = rng();
-    let route = router.pick(0, &want(&[]), &mut rng).unwrap();
+    let route = router.pick(0, &request(&[]), &mut rng).unwrap();
     let failed = route.stages[0].runner;
     let other = if names(&route) == ["a"] { "b" } else { "a" };
     router.sent(0, &route);
@@ -169,18 +175,18 @@
 }
 
 #[gtest]
-fn a_failure_of_the_last_incarnation_does_not_count_against_the_next() {
-    // A runner is restarted while a request runs on it, and the new incarnation reports before the
-    // request's failure is noticed. Resting it would halve what is left for no cause.
-    let mut router = router(1, &[seen("a", 0, 4), seen("b", 4, 8)]);
-    let route = router.pick(0, &want(&[]), &mut rng()).unwrap();
+fn a_failure_of_an_earlier_incarnation_does_not_count() {
+    // A runner restarts while a request runs on it, and the new incarnation reports before the
+    // failure of the request is detected. A cooldown would reduce the capacity without reason.
+    let mut router = router(1, &[report("a", 0, 4), report("b", 4, 8)]);
+    let route = router.pick(0, &request(&[]), &mut rng()).unwrap();
     let a = router.runner("a").unwrap();
     router.sent(0, &route);
     router.observe(
         5,
         &RunnerSeen {
             incarnation: 2,
-            ..seen("a", 0, 4)
+            ..report("a", 0, 4)
         },
     );
     router.failed(6, &route, Some(a));
@@ -192,9 +198,9 @@
 }
 
 #[gtest]
-fn own_sends_without_reports_take_bounded_memory_and_are_not_lost() {
-    let mut router = router(1, &[seen("a", 0, 8)]);
-    let route = router.pick(0, &want(&[]), &mut rng()).unwrap();
+fn own_requests_without_reports_use_bounded_memory_and_are_not_lost() {
+    let mut router = router(1, &[report("a", 0, 8)]);
+    let route = router.pick(0, &request(&[]), &mut rng()).unwrap();
     let a = router.runner("a").unwrap();
     for now in 1..=5_000 {
         router.sent(now, &route);
@@ -205,18 +211,18 @@
         &RunnerSeen {
             number: 2,
             running: 5_000,
-            ..seen("a", 0, 8)
+            ..report("a", 0, 8)
         },
     );
     expect_that!(router.fleet().runners[a].load(1.0), eq(5_000.0));
 }
 
 #[gtest]
-fn uncovered_layers_are_named() {
-    let mut router = router(1, &[seen("a", 0, 4), seen("b", 4, 8)]);
+fn the_error_states_the_uncovered_layers() {
+    let mut router = router(1, &[report("a", 0, 4), report("b", 4, 8)]);
     router.close(1, "b", CloseReason::Gone);
     router.replan(1);
-    let error = router.pick(1, &want(&[]), &mut rng()).unwrap_err();
+    let error = router.pick(1, &request(&[]), &mut rng()).unwrap_err();
     expect_that!(
         error.to_string(),
         eq("no open runner holds layers 4..8 of model0")
@@ -225,11 +231,11 @@
 }
 
 #[gtest]
-fn own_sends_count_until_a_report_covers_them() {
-    // Figures of time 100 come at time 300. What was sent at 50 is in them, what was sent at 200 is
-    // not; the other two instances are taken to have sent as much.
-    let mut router = router(3, &[seen("a", 0, 8)]);
-    let route = router.pick(0, &want(&[]), &mut rng()).unwrap();
+fn own_requests_count_until_a_report_includes_them() {
+    // A report sampled at 100 arrives at 300. It includes the request sent at 50 but not the one
+    // sent at 200. The other two instances are assumed to have sent as many.
+    let mut router = router(3, &[report("a", 0, 8)]);
+    let route = router.pick(0, &request(&[]), &mut rng()).unwrap();
     let a = router.runner("a").unwrap();
     router.sent(50, &route);
     router.sent(200, &route);
@@ -238,7 +244,7 @@
         number: 2,
         running: 4,
         age_ms: 200,
-        ..seen("a", 0, 8)
+        ..report("a", 0, 8)
     };
     router.observe(300, &report);
     expect_that!(router.fleet().runners[a].load(3.0), eq(7.0));
@@ -249,17 +255,17 @@
 }
 
 #[gtest]
-fn a_report_that_was_overtaken_changes_nothing() {
-    // Report 3 comes before report 2. Taking the older one in would bring back the load and the
-    // layers of before, and routes through layers that the runner dropped.
-    let mut router = router(1, &[seen("a", 0, 8), seen("b", 0, 8)]);
+fn an_outdated_report_has_no_effect() {
+    // Report 3 arrives before report 2. Applying the older one would restore outdated load and
+    // layers, and produce routes through layers that the runner has dropped.
+    let mut router = router(1, &[report("a", 0, 8), report("b", 0, 8)]);
     let a = router.runner("a").unwrap();
     router.observe(
         1,
         &RunnerSeen {
             number: 3,
             running: 9,
-            ..seen("a", 0, 4)
+            ..report("a", 0, 4)
         },
     );
     router.observe(
@@ -267,7 +273,7 @@
         &RunnerSeen {
             number: 2,
             running: 1,
-            ..seen("a", 0, 8)
+            ..report("a", 0, 8)
         },
     );
     expect_that!(router.fleet().runners[a].reported, eq(9));
@@ -279,16 +285,16 @@
 }
 
 #[gtest]
-fn a_suspected_runner_comes_back_with_a_newer_report_only() {
-    let mut router = router(1, &[seen("a", 0, 8), seen("b", 0, 8)]);
+fn a_suspected_runner_is_reopened_only_by_a_newer_report() {
+    let mut router = router(1, &[report("a", 0, 8), report("b", 0, 8)]);
     router.close(1, "a", CloseReason::Suspected);
-    router.observe(2, &seen("a", 0, 8));
+    router.observe(2, &report("a", 0, 8));
     expect_that!(used(&router, 2, 50, &[]), elements_are![eq("b")]);
     router.observe(
         3,
         &RunnerSeen {
             number: 2,
-            ..seen("a", 0, 8)
+            ..report("a", 0, 8)
         },
     );
     router.replan(3);
@@ -296,15 +302,15 @@
 }
 
 #[gtest]
-fn no_herd_on_the_runner_that_looked_idle() {
-    // Callers see long delays when all instances, on the same late report, send to the one runner
-    // that looked idle: by the time the next report comes it has a queue and the others stand
-    // idle. Eight equal runners, one reported idle and the others with 12 requests; six instances
-    // send 10 requests each before any further report.
+fn instances_do_not_herd_on_a_runner_reported_idle() {
+    // Guards against herd behaviour: if all instances act on the same late report and send to the
+    // one runner that looked idle, it has a long queue by the next report while the others are
+    // idle. Of eight equal runners one is reported idle and the others with 12 requests; six
+    // instances send 10 requests each before the next report.
     let runners: Vec<RunnerSeen> = (0..8)
         .map(|i| RunnerSeen {
             running: if i == 0 { 0 } else { 12 },
-            ..seen(&format!("r{i}"), 0, 8)
+            ..report(&format!("r{i}"), 0, 8)
         })
         .collect();
     let mut rng = rng();
@@ -312,7 +318,7 @@
     for _ in 0..6 {
         let mut router = router(6, &runners);
         for _ in 0..10 {
-            let route = router.pick(1, &want(&[]), &mut rng).unwrap();
+            let route = router.pick(1, &request(&[]), &mut rng).unwrap();
             on_idle += usize::from(names(&route) == ["r0"]);
             router.sent(1, &route);
         }
@@ -321,19 +327,19 @@
 }
 
 #[gtest]
-fn a_link_that_slows_loses_its_work_at_once_and_wins_it_back_by_steps() {
-    // Streams over a link between two domains stall when it slows a hundredfold. One observation
-    // has to be enough to plan round it; one good observation later must not bring all back, for
-    // the link may come and go.
-    let there = RunnerSeen {
+fn a_slow_link_loses_traffic_at_once_and_regains_it_gradually() {
+    // Streams over a link between two domains stall when it slows down a hundredfold, so a single
+    // observation has to be enough to plan around it. A single good observation afterwards must not
+    // restore all traffic, since the link may be unstable.
+    let remote = RunnerSeen {
         domain: "e".into(),
-        ..seen("b", 4, 8)
+        ..report("b", 4, 8)
     };
     let slow = RunnerSeen {
         token_layers_per_s: 400.0,
-        ..seen("c", 4, 8)
+        ..report("c", 4, 8)
     };
-    let mut router = router(1, &[seen("a", 0, 4), there, slow]);
+    let mut router = router(1, &[report("a", 0, 4), remote, slow]);
     let mut planned = |bytes_per_s: f64| {
         let ends = LinkEnds::Domains("d".into(), "e".into());
         router.observe_link(
@@ -363,10 +369,10 @@
 }
 
 #[gtest]
-fn a_gap_in_cache_events_drops_the_hints() {
-    // Events 3 and 4 are lost; one of them may have been the eviction of prefix 11. Holding on to
-    // the hint would go on drawing requests to a runner that has to prefill them.
-    let mut router = router(1, &[seen("a", 0, 8)]);
+fn a_gap_in_cache_events_invalidates_the_hints() {
+    // Events 3 and 4 are lost, and one of them may be the eviction of prefix 11. A kept hint would
+    // continue to attract requests to a runner that has to prefill them.
+    let mut router = router(1, &[report("a", 0, 8)]);
     let a = router.runner("a").unwrap();
     router.observe_cache(0, &cached(1, 11, true));
     router.observe_cache(0, &cached(2, 12, true));
@@ -382,12 +388,13 @@
 }
 
 #[gtest]
-fn affinity_is_used_but_does_not_pile_up() {
-    // Every request has the prefix that one of four equal runners has cached. It should get more
-    // than its part, but not so much that its queue costs more than the prefill saves.
+fn cache_affinity_does_not_overload_a_runner() {
+    // All requests have a prefix that one of four equal runners has cached. That runner should
+    // receive more than a quarter of them, but not so many that its queue costs more than the saved
+    // prefill.
     let runners: Vec<RunnerSeen> = ["a", "b", "c", "d"]
         .iter()
-        .map(|name| seen(name, 0, 8))
+        .map(|name| report(name, 0, 8))
         .collect();
     let mut router = router(1, &runners);
     router.observe_cache(0, &cached(1, 11, true));
@@ -396,7 +403,7 @@
     for _ in 0..200 {
         let pick = Pick {
             prefix_hash: Some(11),
-            ..want(&[])
+            ..request(&[])
         };
         let route = router.pick(1, &pick, &mut rng).unwrap();
         on_holder += usize::from(names(&route) == ["a"]);
@@ -406,14 +413,14 @@
 }
 
 #[gtest]
-fn instances_reach_the_same_plan_from_the_same_runners() {
+fn the_plan_does_not_depend_on_the_order_of_arrival() {
     let runners: Vec<RunnerSeen> = (0..12)
         .map(|i| {
             let start = i % 4 * 2;
             let speed = 100.0 + f64::from(i * 37 % 11) * 10.0;
             RunnerSeen {
                 token_layers_per_s: speed,
-                ..seen(&format!("r{i:02}"), start, (start + 4).min(8))
+                ..report(&format!("r{i:02}"), start, (start + 4).min(8))
             }
         })
         .collect();
@@ -432,17 +439,17 @@
             .collect()
     };
     let forward = router(1, &runners);
-    let mut turned = runners.clone();
-    turned.reverse();
-    turned.swap(2, 7);
-    let backward = router(1, &turned);
+    let mut reordered = runners.clone();
+    reordered.reverse();
+    reordered.swap(2, 7);
+    let backward = router(1, &reordered);
     expect_that!(chains(&forward).len(), ge(2));
     expect_that!(chains(&backward), eq(&chains(&forward)));
 }
 
 #[gtest]
-fn the_dump_tells_bound_and_runners() {
-    let mut router = router(1, &[seen("a", 0, 4), seen("b", 4, 8)]);
+fn the_dump_contains_the_bound_and_the_runners() {
+    let mut router = router(1, &[report("a", 0, 4), report("b", 4, 8)]);
     router.close(1, "b", CloseReason::Leaving);
     let dump = router.state().to_string();
     expect_that!(
--- a/policy/tests/route_props.rs
+++ b/policy/tests/route_props.rs
@@ -1,4 +1,4 @@
-//! Properties of plans and routes over random fleets.
+//! Property tests of plans and routes over random fleets.
 
 use googletest::prelude::*;
 use jacinthweir_policy::layers::LayerRange;
@@ -14,7 +14,7 @@
 
 #[path = "support/route.rs"]
 mod support;
-use support::{model, model_id, seen, want};
+use support::{model, model_id, report, request};
 
 const LAYERS: u32 = 24;
 
@@ -37,12 +37,12 @@
         let make =
             |(i, (start, count, speed, domain, closed)): (usize, (u32, u32, u32, u32, bool))| {
                 let name: String = format!("r{i:02}");
-                let seen = RunnerSeen {
+                let report = RunnerSeen {
                     token_layers_per_s: f64::from(speed),
                     domain: format!("d{domain}").into(),
-                    ..seen(&name, start, (start + count).min(LAYERS))
+                    ..report(&name, start, (start + count).min(LAYERS))
                 };
-                (seen, closed)
+                (report, closed)
             };
         all.into_iter().enumerate().map(make).collect::<Vec<_>>()
     });
@@ -62,15 +62,15 @@
 fn planned(case: &Case) -> Router {
     let mut router = Router::new(Default::default());
     router.set_models(&[model(LAYERS)]);
-    for (seen, _) in &case.runners {
-        router.observe(0, seen);
+    for (report, _) in &case.runners {
+        router.observe(0, report);
     }
     for link in &case.links {
         router.observe_link(0, link);
     }
-    for (seen, closed) in &case.runners {
+    for (report, closed) in &case.runners {
         if *closed {
-            router.close(0, &seen.name, CloseReason::Leaving);
+            router.close(0, &report.name, CloseReason::Leaving);
         }
     }
     router.replan(0);
@@ -99,7 +99,7 @@
 }
 
 #[gtest]
-fn every_route_passes_the_verifier_and_leaves_out_what_it_must() {
+fn every_route_is_valid_and_skips_closed_and_excluded_runners() {
     check(|case| {
         let mut router = planned(case);
         let mut rng = ChaCha8Rng::seed_from_u64(case.seed);
@@ -107,7 +107,7 @@
             (case.seed % case.runners.len() as u64) as u32,
         )];
         for now in 0..20 {
-            let Ok(route) = router.pick(now, &want(&avoid), &mut rng) else {
+            let Ok(route) = router.pick(now, &request(&avoid), &mut rng) else {
                 continue;
             };
             let verdict = verify_route(LAYERS, &route.stages, |r, l| holds(&router, r, l));
@@ -126,7 +126,7 @@
 }
 
 #[gtest]
-fn plans_fit_runners_links_and_the_bound() {
+fn plans_respect_the_limits_of_runners_and_links_and_the_bound() {
     check(|case| {
         let router = planned(case);
         let plan = router.plan(model_id()).unwrap();
@@ -157,13 +157,13 @@
     });
 }
 
-/// Twin of the first property: a route changed in one place is rejected.
+/// Counterpart of the first property: a valid route altered in one place is rejected.
 #[gtest]
 fn a_route_with_a_gap_or_an_overlap_is_rejected() {
     check(|case| {
         let router = planned(case);
         let mut rng = ChaCha8Rng::seed_from_u64(case.seed);
-        let Ok(route) = router.pick(0, &want(&[]), &mut rng) else {
+        let Ok(route) = router.pick(0, &request(&[]), &mut rng) else {
             return;
         };
         for i in 0..route.stages.len() {
--- a/policy/tests/support/route.rs
+++ b/policy/tests/support/route.rs
@@ -1,4 +1,4 @@
-//! Made-up runners for tests of routes.
+//! Models and runner reports for routing tests.
 
 use jacinthweir_policy::layers::LayerRange;
 use jacinthweir_policy::prelude::*;
@@ -17,8 +17,9 @@
     }
 }
 
-/// First report of a runner with speed 1,000 in domain `d`.
-pub fn seen(name: &str, start: u32, end: u32) -> RunnerSeen {
+/// Returns the first report of a runner in domain `d` with a speed of 1,000 token-layers per
+/// second.
+pub fn report(name: &str, start: u32, end: u32) -> RunnerSeen {
     RunnerSeen {
         name: name.into(),
         incarnation: 1,
@@ -38,7 +39,8 @@
     }
 }
 
-pub fn want(avoid: &[RunnerId]) -> Pick<'_> {
+/// Returns a request for a route that excludes the runners in `avoid`.
+pub fn request(avoid: &[RunnerId]) -> Pick<'_> {
     Pick {
         model: model_id(),
         prefix_hash: None,
