--- a/policy/tests/support/fleet.rs
+++ b/policy/tests/support/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of memberships in memory: every message is delivered at once or lost, by a seed.
+//! In-memory fleet of instances with seeded randomness: each message is delivered immediately or
+//! lost.
 
 use jacinthweir_policy::member::{MemberState, Phase};
 use jacinthweir_policy::membership::*;
@@ -14,7 +15,7 @@
 
 use runners::Runner;
 
-/// Whether a process runs.
+/// State of an instance's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Run {
     Up,
@@ -29,7 +30,7 @@
     pub run: Run,
 }
 
-/// What travels, for those who count bytes.
+/// Message between instances, as passed to a [`Meter`].
 pub enum Message<'a> {
     Digest(&'a MemberDigest),
     Delta(&'a MemberDelta),
@@ -37,20 +38,21 @@
     UpstreamDelta(&'a UpstreamDelta),
 }
 
-/// Called with sender, receiver and message.
+/// Callback invoked with the sender, the receiver and each message sent.
 pub type Meter = Box<dyn FnMut(usize, usize, &Message<'_>)>;
 
 pub struct Fleet {
     pub nodes: Vec<Node>,
     pub runners: Vec<Runner>,
-    /// Polls of runners so far.
+    /// Number of runner polls so far.
     pub polls: usize,
     pub cfg: MembershipConfig,
     pub now: Now,
+    /// Probability that a message is lost.
     pub loss: f64,
-    /// Region cut off from all others.
+    /// Region partitioned from all others.
     pub cut: Option<usize>,
-    /// Instance cut off from all others and from all runners.
+    /// Instance partitioned from all other instances and all runners.
     pub isolated: Option<usize>,
     pub regions: usize,
     pub meter: Option<Meter>,
@@ -89,7 +91,7 @@
 }
 
 impl Fleet {
-    /// `count` instances that each know the address of the first.
+    /// Creates `count` instances whose only seed is the address of the first.
     pub fn new(count: usize, regions: usize, seed: u64, cfg: &MembershipConfig) -> Fleet {
         let now = Now {
             mono_ms: 1_000,
@@ -125,14 +127,14 @@
         }
     }
 
-    /// A fleet that runs for `rounds` before anything is done to it.
+    /// Creates a fleet that has already run for `rounds`.
     pub fn settled(count: usize, regions: usize, seed: u64, rounds: usize) -> Fleet {
         let mut fleet = Fleet::new(count, regions, seed, &MembershipConfig::default());
         fleet.rounds(rounds);
         fleet
     }
 
-    /// Starts instance `i` anew, knowing nothing but the seed address.
+    /// Restarts the membership of instance `i` with only a seed address.
     pub fn restart(&mut self, i: usize, seed_address: usize) {
         let own = state(i, self.regions, self.now.unix_ms);
         let seeds = vec![address(seed_address)];
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Every running instance ticks once, in random order.
+    /// Runs one round: each running instance ticks once, in random order.
     pub fn round(&mut self) {
         let start = self.now;
         let mut order: Vec<usize> = (0..self.nodes.len()).collect();
@@ -254,7 +256,7 @@
             && self.nodes[from].run == Run::Up
     }
 
-    /// Whether no cut stands between the regions of two indices.
+    /// Returns whether the regions of two instances are not partitioned from each other.
     fn connected(&self, from: usize, to: usize) -> bool {
         let (a, b) = (from % self.regions, to % self.regions);
         self.cut.is_none_or(|r| (a == r) == (b == r))
@@ -270,7 +272,7 @@
         }
     }
 
-    /// Pairs of running instances of which the first suspects the second.
+    /// Returns the number of pairs of running instances of which the first suspects the second.
     pub fn wrongly_suspected(&self) -> usize {
         let up = |i: usize| self.nodes[i].run == Run::Up;
         let pairs = (0..self.nodes.len()).filter(|i| up(*i));
@@ -283,26 +285,26 @@
         member.is_some_and(Member::suspected)
     }
 
-    /// How many running instances suspect `j`.
+    /// Returns the number of running instances that suspect `j`.
     pub fn suspecting(&self, j: usize) -> usize {
         let up = |i: &usize| self.nodes[*i].run == Run::Up;
         let all = (0..self.nodes.len()).filter(up);
         all.filter(|i| self.suspects(*i, j)).count()
     }
 
-    /// How many instances are known, summed over running instances.
+    /// Returns the number of members known, summed over the running instances.
     pub fn known(&self) -> usize {
         let up = self.nodes.iter().filter(|n| n.run == Run::Up);
         up.map(|n| n.membership.members().count()).sum()
     }
 
-    /// Suspicions that instances came to by themselves, with or without confirmation.
+    /// Returns the number of suspicions raised by the instances themselves, confirmed or not.
     pub fn suspicions(&self) -> u64 {
         let counts = self.nodes.iter().map(|n| n.membership.counts());
         counts.map(|c| c.suspicions + c.unconfirmed).sum()
     }
 
-    /// False alarms counted by all instances.
+    /// Returns the total number of false alarms counted by all instances.
     pub fn false_alarms(&self) -> u64 {
         let counts = self.nodes.iter().map(|n| n.membership.counts());
         counts.map(|c| c.false_alarms).sum()
