--- a/plugins/callers/src/driver.rs
+++ b/plugins/callers/src/driver.rs
@@ -10,7 +10,7 @@
 use jacinthweir_policy::admission::{self, Work};
 use jacinthweir_policy::journal::{End, Event, Journal, Repeat};
 use jacinthweir_policy::retry::{BadEnd, Decision, GiveUp};
-use jacinthweir_policy::route::{Pick, Route};
+use jacinthweir_policy::route::{Route, RouteRequest};
 use jacinthweir_wire::caller::ErrorCode;
 use jacinthweir_wire::runner::{EndFrame, Refused, RefusedCode, prefix_hash};
 use tokio::sync::mpsc;
@@ -228,7 +228,7 @@
         let name = self.model_name();
         let model = router.model(&name);
         let model = model.ok_or_else(|| Stop::NoRoute(format!("model {name} is not planned")))?;
-        let pick = Pick {
+        let pick = RouteRequest {
             model,
             prefix_hash: prefix_hash(&self.accepted.prompt.text),
             prompt_tokens: self.prompt_tokens(),
--- a/plugins/upstreams/src/cache.rs
+++ b/plugins/upstreams/src/cache.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, PoisonError};
 
 use jacinthweir_kernel::prelude::*;
-use jacinthweir_policy::route::CacheSeen;
+use jacinthweir_policy::route::PrefixCacheEvent;
 use jacinthweir_policy::upstreams::Poll;
 use jacinthweir_wire::runner::CacheEvent;
 
@@ -40,8 +40,8 @@
     }
 }
 
-fn seen(poll: &Poll, incarnation: u64, event: &CacheEvent) -> CacheSeen {
-    CacheSeen {
+fn seen(poll: &Poll, incarnation: u64, event: &CacheEvent) -> PrefixCacheEvent {
+    PrefixCacheEvent {
         runner: poll.name.clone(),
         incarnation,
         number: event.number,
--- a/plugins/upstreams/src/feed.rs
+++ b/plugins/upstreams/src/feed.rs
@@ -5,7 +5,7 @@
 
 use jacinthweir_kernel::config::InForce;
 use jacinthweir_kernel::prelude::*;
-use jacinthweir_policy::route::{CloseReason, Held, ModelSpec, RunnerSeen};
+use jacinthweir_policy::route::{CloseReason, HeldRange, ModelSpec, RunnerReport};
 use jacinthweir_policy::schema::compiled::GroupServes;
 use jacinthweir_policy::upstreams::{Availability, PollKind, Upstream};
 
@@ -94,15 +94,15 @@
 }
 
 /// What is known of a runner; `None` before its first report, and for plain services.
-fn seen(now: Millis, upstream: &Upstream) -> Option<RunnerSeen> {
+fn seen(now: Millis, upstream: &Upstream) -> Option<RunnerReport> {
     let profile = upstream.record.profile.as_ref()?;
     let listed = upstream.listed();
-    let held = |h: &jacinthweir_wire::runner::HeldLayers| Held {
+    let held = |h: &jacinthweir_wire::runner::HeldLayers| HeldRange {
         model: h.model.clone(),
         layers: h.layers,
     };
     let load = upstream.load;
-    Some(RunnerSeen {
+    Some(RunnerReport {
         name: listed.name.clone(),
         incarnation: listed.incarnation,
         number: load.map_or(0, |l| l.number).max(upstream.record.number),
--- a/policy/src/route.rs
+++ b/policy/src/route.rs
@@ -28,8 +28,8 @@
 pub use link::{Link, Links};
 pub use plan::{Chain, Hop, ModelPlan};
 pub use records::{
-    CacheSeen, CloseReason, Held, LinkEnds, LinkSeen, ModelSpec, NoRoute, Pick, Route, RouteStage,
-    RunnerSeen,
+    CloseReason, HeldRange, LinkEnds, LinkObservation, ModelSpec, NoRoute, PrefixCacheEvent, Route,
+    RouteRequest, RouteStage, RunnerReport,
 };
 pub use router::{MAX_MODELS_PER_REPLAN, Router, RouterConfig};
 pub use state::{ModelState, RouterState, RunnerState};
--- a/policy/src/route/cache.rs
+++ b/policy/src/route/cache.rs
@@ -7,7 +7,7 @@
 //! Hints are invalidated by advancing the runner's epoch. Entries of older epochs are removed once
 //! they outnumber the live ones, so a gap is cheap and memory stays within twice the live entries.
 
-use super::records::CacheSeen;
+use super::records::PrefixCacheEvent;
 use crate::prelude::*;
 use cranelift_entity::SecondaryMap;
 use std::collections::BTreeMap;
@@ -33,7 +33,7 @@
 
 impl CacheIndex {
     /// Applies a cache event of runner `id`; duplicates and late events have no effect.
-    pub fn observe(&mut self, id: RunnerId, event: &CacheSeen) {
+    pub fn observe(&mut self, id: RunnerId, event: &PrefixCacheEvent) {
         let newest_event = self.runners[id].newest_event;
         if event.number <= newest_event {
             return;
--- a/policy/src/route/fleet.rs
+++ b/policy/src/route/fleet.rs
@@ -5,7 +5,9 @@
 //! assumed to have behaved alike, so the adjustment is scaled by the number of instances.
 
 use super::cache::CacheIndex;
-use super::records::{CacheSeen, CloseReason, Held, ModelSpec, RouteStage, RunnerSeen};
+use super::records::{
+    CloseReason, HeldRange, ModelSpec, PrefixCacheEvent, RouteStage, RunnerReport,
+};
 use crate::layers::LayerRange;
 use crate::prelude::*;
 use cranelift_entity::PrimaryMap;
@@ -48,7 +50,7 @@
     pub failures: u32,
     /// End of the cooldown after a failure; new work avoids the runner until then.
     pub avoid_until: Millis,
-    declared: Vec<Held>,
+    declared: Vec<HeldRange>,
     recent_changes: VecDeque<(Millis, i32)>,
     own_since_report: i32,
 }
@@ -218,7 +220,7 @@
 
     /// Applies a load report. Reports of an older incarnation or with a lower number have no
     /// effect; a repeated newest number may carry other layers or announce that the runner leaves.
-    pub fn observe(&mut self, now: Millis, report: &RunnerSeen) -> PlanEffect {
+    pub fn observe(&mut self, now: Millis, report: &RunnerReport) -> PlanEffect {
         let Some(id) = self.runner(&report.name) else {
             self.add(now, report);
             return PlanEffect::Invalidated;
@@ -241,14 +243,14 @@
         self.update(id, now, report)
     }
 
-    fn add(&mut self, now: Millis, report: &RunnerSeen) {
+    fn add(&mut self, now: Millis, report: &RunnerReport) {
         let runner = self.new_runner(now, report);
         let id = self.runners.push(runner);
         self.by_name.insert(report.name.clone(), id);
         self.mark_stale(id);
     }
 
-    fn new_runner(&mut self, now: Millis, report: &RunnerSeen) -> Runner {
+    fn new_runner(&mut self, now: Millis, report: &RunnerReport) -> Runner {
         let domain = self.domain(&report.domain);
         let mut runner = Runner {
             name: report.name.clone(),
@@ -273,7 +275,7 @@
         runner
     }
 
-    fn update(&mut self, id: RunnerId, now: Millis, report: &RunnerSeen) -> PlanEffect {
+    fn update(&mut self, id: RunnerId, now: Millis, report: &RunnerReport) -> PlanEffect {
         let domain = self.domain(&report.domain);
         let runner = &mut self.runners[id];
         let closed = match runner.closed {
@@ -329,7 +331,7 @@
     }
 
     /// Applies a cache event; one of another incarnation has no effect.
-    pub fn observe_cache(&mut self, event: &CacheSeen) {
+    pub fn observe_cache(&mut self, event: &PrefixCacheEvent) {
         let Some(id) = self.runner(&event.runner) else {
             return;
         };
--- a/policy/src/route/link.rs
+++ b/policy/src/route/link.rs
@@ -5,7 +5,7 @@
 //! [`DEFAULT_LATENCY_US`].
 
 use super::fleet::Fleet;
-use super::records::{LinkEnds, LinkSeen};
+use super::records::{LinkEnds, LinkObservation};
 use crate::prelude::*;
 use std::collections::BTreeMap;
 
@@ -50,7 +50,7 @@
     /// If worse figures were smoothed as well, a link that slows down a hundredfold would take
     /// seven observations to show it, while streams wait on it. If better figures were not
     /// smoothed, one good observation of an unstable link would restore all of its traffic.
-    fn update(&mut self, observation: &LinkSeen) {
+    fn update(&mut self, observation: &LinkObservation) {
         let latency_us = observation.latency_us as f64;
         let smoothed_us = self.latency_us + IMPROVEMENT_WEIGHT * (latency_us - self.latency_us);
         self.latency_us = latency_us.max(smoothed_us);
@@ -74,7 +74,7 @@
 
 impl Links {
     /// Applies an observation; returns whether the plan has to be recomputed.
-    pub fn observe(&mut self, fleet: &mut Fleet, observation: &LinkSeen) -> bool {
+    pub fn observe(&mut self, fleet: &mut Fleet, observation: &LinkObservation) -> bool {
         let first = Link {
             latency_us: observation.latency_us as f64,
             bytes_per_s: observation.bytes_per_s,
--- a/policy/src/route/pick.rs
+++ b/policy/src/route/pick.rs
@@ -17,7 +17,7 @@
 use super::fleet::{Fleet, Runner};
 use super::link::Links;
 use super::plan::{Chain, ModelPlan};
-use super::records::{NoRoute, Pick};
+use super::records::{NoRoute, RouteRequest};
 use super::router::RouterConfig;
 use crate::layers::LayerRange;
 use crate::prelude::*;
@@ -47,7 +47,7 @@
     /// Current time.
     pub now: Millis,
     /// The request to route.
-    pub request: &'a Pick<'a>,
+    pub request: &'a RouteRequest<'a>,
 }
 
 impl RouteSelector<'_> {
--- a/policy/src/route/records.rs
+++ b/policy/src/route/records.rs
@@ -22,7 +22,7 @@
 
 /// Layers of a model that a runner holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldRange {
     /// Model name.
     pub model: Name,
     /// Layers.
@@ -31,7 +31,7 @@
 
 /// Load report of a runner. Reports may be late, duplicated or out of order.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RunnerSeen {
+pub struct RunnerReport {
     /// Name of the runner; stable across restarts.
     pub name: Name,
     /// Incarnation; increases with each start under the same name.
@@ -45,7 +45,7 @@
     /// Accelerator kind.
     pub accelerator: Name,
     /// Layers held.
-    pub holds: Vec<Held>,
+    pub holds: Vec<HeldRange>,
     /// Speed, in token-layers per second.
     pub token_layers_per_s: f64,
     /// Number of running requests.
@@ -83,7 +83,7 @@
 
 /// Observed latency and capacity of a link.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LinkSeen {
+pub struct LinkObservation {
     /// Endpoints.
     pub ends: LinkEnds,
     /// One-way latency, in microseconds.
@@ -95,7 +95,7 @@
 
 /// Prefix cache event of a runner. Events may be late or missing, which leaves gaps in `number`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CacheSeen {
+pub struct PrefixCacheEvent {
     /// Name of the runner.
     pub runner: Name,
     /// Incarnation of the runner.
@@ -110,10 +110,10 @@
 
 /// Request for a route.
 #[derive(Clone, Copy, Debug)]
-pub struct Pick<'a> {
+pub struct RouteRequest<'a> {
     /// Model, as its index in the list given to the router.
     pub model: ModelId,
-    /// Hash of the prompt's prefix, comparable with [`CacheSeen::prefix`].
+    /// Hash of the prompt's prefix, comparable with [`PrefixCacheEvent::prefix`].
     pub prefix_hash: Option<u64>,
     /// Number of prompt tokens.
     pub prompt_tokens: u32,
--- a/policy/src/route/router.rs
+++ b/policy/src/route/router.rs
@@ -5,7 +5,8 @@
 use super::pick::{RouteSelector, Stages};
 use super::plan::{ModelPlan, plan_model};
 use super::records::{
-    CacheSeen, CloseReason, LinkSeen, ModelSpec, NoRoute, Pick, Route, RouteStage, RunnerSeen,
+    CloseReason, LinkObservation, ModelSpec, NoRoute, PrefixCacheEvent, Route, RouteRequest,
+    RouteStage, RunnerReport,
 };
 use super::verify::verify_route;
 use crate::prelude::*;
@@ -112,17 +113,17 @@
     }
 
     /// Applies a load report.
-    pub fn observe(&mut self, now: Millis, report: &RunnerSeen) -> PlanEffect {
+    pub fn observe(&mut self, now: Millis, report: &RunnerReport) -> PlanEffect {
         self.fleet.observe(now, report)
     }
 
     /// Applies a cache event.
-    pub fn observe_cache(&mut self, _now: Millis, event: &CacheSeen) {
+    pub fn observe_cache(&mut self, _now: Millis, event: &PrefixCacheEvent) {
         self.fleet.observe_cache(event);
     }
 
     /// Applies a link observation.
-    pub fn observe_link(&mut self, _now: Millis, observation: &LinkSeen) {
+    pub fn observe_link(&mut self, _now: Millis, observation: &LinkObservation) {
         if self.links.observe(&mut self.fleet, observation) {
             self.fleet.stale = self.fleet.models.keys().collect();
         }
@@ -205,7 +206,7 @@
     pub fn pick(
         &self,
         now: Millis,
-        request: &Pick<'_>,
+        request: &RouteRequest<'_>,
         rng: &mut impl Rng,
     ) -> Result<Route, NoRoute> {
         let model = request.model;
--- a/policy/tests/route_cases.rs
+++ b/policy/tests/route_cases.rs
@@ -6,8 +6,8 @@
 use jacinthweir_policy::layers::LayerRange;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::route::{
-    CloseReason, Held, LinkEnds, LinkSeen, ModelSpec, RouteStage, Router, RouterConfig, RunnerSeen,
-    verify_route,
+    CloseReason, HeldRange, LinkEnds, LinkObservation, ModelSpec, RouteStage, Router, RouterConfig,
+    RunnerReport, verify_route,
 };
 
 /// Returns the name, input lines and expected lines of each case in `tests/cases/{folder}`, sorted.
@@ -92,14 +92,14 @@
             activation_bytes: ACTIVATION_BYTES,
         }]),
         ["runner", name, layers, "speed", speed, "in", domain] => {
-            let report = RunnerSeen {
+            let report = RunnerReport {
                 name: (*name).into(),
                 incarnation: 1,
                 number: 1,
                 address: ([127, 0, 0, 1], 1).into(),
                 domain: (*domain).into(),
                 accelerator: "kind".into(),
-                holds: vec![Held {
+                holds: vec![HeldRange {
                     model: "m".into(),
                     layers: range(layers),
                 }],
@@ -113,7 +113,7 @@
         }
         ["link", a, b, bytes_per_s] => router.observe_link(
             0,
-            &LinkSeen {
+            &LinkObservation {
                 ends: LinkEnds::Domains((*a).into(), (*b).into()),
                 latency_us: 300,
                 bytes_per_s: bytes_per_s.parse().unwrap(),
--- a/policy/tests/route_fleet.rs
+++ b/policy/tests/route_fleet.rs
@@ -3,8 +3,8 @@
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::route::{
-    CacheSeen, CloseReason, LinkEnds, LinkSeen, NoRoute, Pick, Route, Router, RouterConfig,
-    RunnerSeen,
+    CloseReason, LinkEnds, LinkObservation, NoRoute, PrefixCacheEvent, Route, RouteRequest, Router,
+    RouterConfig, RunnerReport,
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -14,7 +14,7 @@
 use support::{model, model_id, report, request};
 
 /// Creates a router for a model with 8 layers, configured for `instances`, and makes its plan.
-fn router(instances: u32, runners: &[RunnerSeen]) -> Router {
+fn router(instances: u32, runners: &[RunnerReport]) -> Router {
     let mut router = Router::new(RouterConfig {
         instances,
         ..RouterConfig::default()
@@ -56,7 +56,7 @@
     let mut router = router(1, &[report("a", 0, 8), report("b", 0, 8)]);
     router.observe(
         1,
-        &RunnerSeen {
+        &RunnerReport {
             number: 5,
             leaving: true,
             ..report("a", 0, 8)
@@ -65,7 +65,7 @@
     for number in [4, 6] {
         router.observe(
             2,
-            &RunnerSeen {
+            &RunnerReport {
                 number,
                 ..report("a", 0, 8)
             },
@@ -77,7 +77,7 @@
     router.close(4, "a", CloseReason::Suspected);
     router.observe(
         5,
-        &RunnerSeen {
+        &RunnerReport {
             number: 7,
             ..report("a", 0, 8)
         },
@@ -85,7 +85,7 @@
     expect_that!(used(&router, 5, 50, &[]), elements_are![eq("b")]);
     router.observe(
         6,
-        &RunnerSeen {
+        &RunnerReport {
             incarnation: 2,
             ..report("a", 0, 8)
         },
@@ -101,14 +101,14 @@
     let mut router = router(1, &[report("a", 0, 8), report("b", 0, 8)]);
     router.observe(
         1,
-        &RunnerSeen {
+        &RunnerReport {
             incarnation: 2,
             ..report("a", 0, 4)
         },
     );
     router.observe(
         2,
-        &RunnerSeen {
+        &RunnerReport {
             number: 99,
             ..report("a", 0, 8)
         },
@@ -184,7 +184,7 @@
     router.sent(0, &route);
     router.observe(
         5,
-        &RunnerSeen {
+        &RunnerReport {
             incarnation: 2,
             ..report("a", 0, 4)
         },
@@ -208,7 +208,7 @@
     expect_that!(router.fleet().runners[a].load(1.0), eq(5_000.0));
     router.observe(
         6_000,
-        &RunnerSeen {
+        &RunnerReport {
             number: 2,
             running: 5_000,
             ..report("a", 0, 8)
@@ -240,7 +240,7 @@
     router.sent(50, &route);
     router.sent(200, &route);
     expect_that!(router.fleet().runners[a].load(3.0), eq(6.0));
-    let report = RunnerSeen {
+    let report = RunnerReport {
         number: 2,
         running: 4,
         age_ms: 200,
@@ -262,7 +262,7 @@
     let a = router.runner("a").unwrap();
     router.observe(
         1,
-        &RunnerSeen {
+        &RunnerReport {
             number: 3,
             running: 9,
             ..report("a", 0, 4)
@@ -270,7 +270,7 @@
     );
     router.observe(
         2,
-        &RunnerSeen {
+        &RunnerReport {
             number: 2,
             running: 1,
             ..report("a", 0, 8)
@@ -292,7 +292,7 @@
     expect_that!(used(&router, 2, 50, &[]), elements_are![eq("b")]);
     router.observe(
         3,
-        &RunnerSeen {
+        &RunnerReport {
             number: 2,
             ..report("a", 0, 8)
         },
@@ -307,8 +307,8 @@
     // one runner that looked idle, it has a long queue by the next report while the others are
     // idle. Of eight equal runners one is reported idle and the others with 12 requests; six
     // instances send 10 requests each before the next report.
-    let runners: Vec<RunnerSeen> = (0..8)
-        .map(|i| RunnerSeen {
+    let runners: Vec<RunnerReport> = (0..8)
+        .map(|i| RunnerReport {
             running: if i == 0 { 0 } else { 12 },
             ..report(&format!("r{i}"), 0, 8)
         })
@@ -331,11 +331,11 @@
     // Streams over a link between two domains stall when it slows down a hundredfold, so a single
     // observation has to be enough to plan around it. A single good observation afterwards must not
     // restore all traffic, since the link may be unstable.
-    let remote = RunnerSeen {
+    let remote = RunnerReport {
         domain: "e".into(),
         ..report("b", 4, 8)
     };
-    let slow = RunnerSeen {
+    let slow = RunnerReport {
         token_layers_per_s: 400.0,
         ..report("c", 4, 8)
     };
@@ -344,7 +344,7 @@
         let ends = LinkEnds::Domains("d".into(), "e".into());
         router.observe_link(
             0,
-            &LinkSeen {
+            &LinkObservation {
                 ends,
                 latency_us: 300,
                 bytes_per_s,
@@ -358,8 +358,8 @@
     expect_that!(planned(200_000.0), near(201.0, 0.1));
 }
 
-fn cached(number: u64, prefix: u64, cached: bool) -> CacheSeen {
-    CacheSeen {
+fn cached(number: u64, prefix: u64, cached: bool) -> PrefixCacheEvent {
+    PrefixCacheEvent {
         runner: "a".into(),
         incarnation: 1,
         number,
@@ -392,7 +392,7 @@
     // All requests have a prefix that one of four equal runners has cached. That runner should
     // receive more than a quarter of them, but not so many that its queue costs more than the saved
     // prefill.
-    let runners: Vec<RunnerSeen> = ["a", "b", "c", "d"]
+    let runners: Vec<RunnerReport> = ["a", "b", "c", "d"]
         .iter()
         .map(|name| report(name, 0, 8))
         .collect();
@@ -401,7 +401,7 @@
     let mut rng = rng();
     let mut on_holder = 0;
     for _ in 0..200 {
-        let pick = Pick {
+        let pick = RouteRequest {
             prefix_hash: Some(11),
             ..request(&[])
         };
@@ -414,11 +414,11 @@
 
 #[gtest]
 fn the_plan_does_not_depend_on_the_order_of_arrival() {
-    let runners: Vec<RunnerSeen> = (0..12)
+    let runners: Vec<RunnerReport> = (0..12)
         .map(|i| {
             let start = i % 4 * 2;
             let speed = 100.0 + f64::from(i * 37 % 11) * 10.0;
-            RunnerSeen {
+            RunnerReport {
                 token_layers_per_s: speed,
                 ..report(&format!("r{i:02}"), start, (start + 4).min(8))
             }
--- a/policy/tests/route_props.rs
+++ b/policy/tests/route_props.rs
@@ -4,7 +4,8 @@
 use jacinthweir_policy::layers::LayerRange;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::route::{
-    CloseReason, Hop, LinkEnds, LinkSeen, RouteFault, RouteStage, Router, RunnerSeen, verify_route,
+    CloseReason, Hop, LinkEnds, LinkObservation, RouteFault, RouteStage, Router, RunnerReport,
+    verify_route,
 };
 use proptest::prelude::{Strategy, any, prop};
 use proptest::test_runner::{Config, RngSeed, TestRunner};
@@ -20,8 +21,8 @@
 
 #[derive(Clone, Debug)]
 struct Case {
-    runners: Vec<(RunnerSeen, bool)>,
-    links: Vec<LinkSeen>,
+    runners: Vec<(RunnerReport, bool)>,
+    links: Vec<LinkObservation>,
     seed: u64,
 }
 
@@ -37,7 +38,7 @@
         let make =
             |(i, (start, count, speed, domain, closed)): (usize, (u32, u32, u32, u32, bool))| {
                 let name: String = format!("r{i:02}");
-                let report = RunnerSeen {
+                let report = RunnerReport {
                     token_layers_per_s: f64::from(speed),
                     domain: format!("d{domain}").into(),
                     ..report(&name, start, (start + count).min(LAYERS))
@@ -46,7 +47,7 @@
             };
         all.into_iter().enumerate().map(make).collect::<Vec<_>>()
     });
-    let link = (0..3_u32, 0..3_u32, 1..100_u32).prop_map(|(a, b, tokens)| LinkSeen {
+    let link = (0..3_u32, 0..3_u32, 1..100_u32).prop_map(|(a, b, tokens)| LinkObservation {
         ends: LinkEnds::Domains(format!("d{a}").into(), format!("d{b}").into()),
         latency_us: 300,
         bytes_per_s: f64::from(tokens) * 1_000.0,
--- a/policy/tests/support/route.rs
+++ b/policy/tests/support/route.rs
@@ -2,7 +2,7 @@
 
 use jacinthweir_policy::layers::LayerRange;
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::route::{Held, ModelSpec, Pick, RunnerSeen};
+use jacinthweir_policy::route::{HeldRange, ModelSpec, RouteRequest, RunnerReport};
 
 pub fn model_id() -> ModelId {
     ModelId::from_u32(0)
@@ -19,15 +19,15 @@
 
 /// Returns the first report of a runner in domain `d` with a speed of 1,000 token-layers per
 /// second.
-pub fn report(name: &str, start: u32, end: u32) -> RunnerSeen {
-    RunnerSeen {
+pub fn report(name: &str, start: u32, end: u32) -> RunnerReport {
+    RunnerReport {
         name: name.into(),
         incarnation: 1,
         number: 1,
         address: ([127, 0, 0, 1], 1).into(),
         domain: "d".into(),
         accelerator: "kind".into(),
-        holds: vec![Held {
+        holds: vec![HeldRange {
             model: "m".into(),
             layers: LayerRange::new(start, end),
         }],
@@ -40,8 +40,8 @@
 }
 
 /// Returns a request for a route that excludes the runners in `avoid`.
-pub fn request(avoid: &[RunnerId]) -> Pick<'_> {
-    Pick {
+pub fn request(avoid: &[RunnerId]) -> RouteRequest<'_> {
+    RouteRequest {
         model: model_id(),
         prefix_hash: None,
         prompt_tokens: 100,
--- a/testkit/examples/measure_decisions.rs
+++ b/testkit/examples/measure_decisions.rs
@@ -2,7 +2,7 @@
 
 use argh::FromArgs;
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::route::{CloseReason, Pick, Router, RouterConfig, RunnerSeen};
+use jacinthweir_policy::route::{CloseReason, RouteRequest, Router, RouterConfig, RunnerReport};
 use jacinthweir_testkit::bench::counting;
 use jacinthweir_testkit::bench::fleet::{Fleet, FleetSize};
 use jacinthweir_testkit::bench::route_run::router;
@@ -142,7 +142,7 @@
     });
     let (report_ns, report_allocations) = time(args.calls, |i| {
         let seen = &fleet.runners[i as usize % fleet.runners.len()];
-        let newer = RunnerSeen {
+        let newer = RunnerReport {
             number: 2 + u64::from(i),
             ..seen.clone()
         };
@@ -181,7 +181,7 @@
 }
 
 fn pick(router: &Router, size: FleetSize, i: u32, prefix: Option<u64>, rng: &mut ChaCha8Rng) {
-    let pick = Pick {
+    let pick = RouteRequest {
         model: ModelId::from_u32(i % size.models as u32),
         prefix_hash: prefix,
         prompt_tokens: 128,
@@ -198,7 +198,7 @@
         for (n, prefix) in prefixes.enumerate() {
             router.observe_cache(
                 0,
-                &jacinthweir_policy::route::CacheSeen {
+                &jacinthweir_policy::route::PrefixCacheEvent {
                     runner: seen.name.clone(),
                     incarnation: seen.incarnation,
                     number: n as u64 + 1,
--- a/testkit/src/bench/fleet.rs
+++ b/testkit/src/bench/fleet.rs
@@ -6,7 +6,7 @@
 
 use jacinthweir_policy::layers::LayerRange;
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::route::{Held, LinkEnds, LinkSeen, ModelSpec, RunnerSeen};
+use jacinthweir_policy::route::{HeldRange, LinkEnds, LinkObservation, ModelSpec, RunnerReport};
 use rand::{Rng, RngExt};
 
 /// Speed and memory of an accelerator kind.
@@ -110,9 +110,9 @@
     /// Models.
     pub models: Vec<ModelSpec>,
     /// First report of each runner.
-    pub runners: Vec<RunnerSeen>,
+    pub runners: Vec<RunnerReport>,
     /// Links between domains.
-    pub links: Vec<LinkSeen>,
+    pub links: Vec<LinkObservation>,
 }
 
 impl Fleet {
@@ -132,7 +132,7 @@
             let model = i % size.models;
             let layers = next_range(kind, size.layers, &mut reach[model], rng);
             let domain = rng.random_range(0..size.domains);
-            let held = Held {
+            let held = HeldRange {
                 model: models[model].name.clone(),
                 layers,
             };
@@ -170,8 +170,8 @@
     LayerRange::new(start, end)
 }
 
-fn runner(i: usize, kind: Kind, domain: usize, held: Held) -> RunnerSeen {
-    RunnerSeen {
+fn runner(i: usize, kind: Kind, domain: usize, held: HeldRange) -> RunnerReport {
+    RunnerReport {
         name: format!("r{i:04}").into(),
         incarnation: 1,
         number: 1,
@@ -191,7 +191,7 @@
     format!("domain{domain}").into()
 }
 
-fn links(domains: usize) -> Vec<LinkSeen> {
+fn links(domains: usize) -> Vec<LinkObservation> {
     let mut links = Vec::new();
     for a in 0..domains {
         for b in a..domains {
@@ -201,7 +201,7 @@
                 _ => FAST,
             };
             let ends = LinkEnds::Domains(domain_name(a), domain_name(b));
-            links.push(LinkSeen {
+            links.push(LinkObservation {
                 ends,
                 latency_us,
                 bytes_per_s,
--- a/testkit/src/bench/route_run.rs
+++ b/testkit/src/bench/route_run.rs
@@ -11,7 +11,7 @@
 use super::fleet::Fleet;
 use hdrhistogram::Histogram;
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::route::{Pick, Route, Router, RouterConfig, RunnerSeen};
+use jacinthweir_policy::route::{Route, RouteRequest, Router, RouterConfig, RunnerReport};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -288,7 +288,7 @@
         let model = ModelId::from_u32(0);
         let router = &self.routers[instance];
         if let Choice::Flow(_) | Choice::FlowUnscaled(_) = self.cfg.choice {
-            let pick = Pick {
+            let pick = RouteRequest {
                 model,
                 prefix_hash: None,
                 prompt_tokens,
@@ -463,7 +463,7 @@
 
     fn report(&mut self, instance: usize, runner: usize, figures: u32, taken_ms: u64) {
         let now_ms = self.now_ms();
-        let seen = RunnerSeen {
+        let seen = RunnerReport {
             number: 1 + taken_ms / self.cfg.report_every_ms,
             running: figures,
             age_ms: now_ms - taken_ms,
