--- a/plugins/callers/src/attempt.rs
+++ b/plugins/callers/src/attempt.rs
@@ -198,7 +198,7 @@
         self.running.note(event);
         self.token_came();
         self.paces.token(route);
-        self.cx.router().token(self.cx.clock.now(), route);
+        self.cx.router().record_token(self.cx.clock.now(), route);
         self.tokens.push(token.text.clone());
         fault_point::reach(Step::Streaming).await;
         let sent = self.tx.send(Told::Token(token.text)).await;
--- a/plugins/callers/src/driver.rs
+++ b/plugins/callers/src/driver.rs
@@ -168,7 +168,7 @@
             }
             let route = self.find_route().await?;
             let number = self.running.journal().next_attempt();
-            self.cx.router().sent(self.cx.clock.now(), &route);
+            self.cx.router().record_sent(self.cx.clock.now(), &route);
             let end = self.attempt(number, &route).await;
             self.count_route(&route, &end);
             match end {
@@ -245,21 +245,21 @@
         match end {
             AttemptEnd::Broken(runner) => {
                 let runner = runner.as_ref().and_then(|name| router.runner(name));
-                router.failed(now, route, runner);
+                router.record_failure(now, route, runner);
             }
             AttemptEnd::NeverSent => {
                 let first = route.stages.first().map(|s| s.runner);
-                router.failed(now, route, first);
+                router.record_failure(now, route, first);
             }
-            AttemptEnd::Stalled => router.failed(now, route, None),
+            AttemptEnd::Stalled => router.record_failure(now, route, None),
             AttemptEnd::Refused(refused) if refused.code == RefusedCode::Unreachable => {
                 let runner = refused.runner.as_ref().and_then(|name| router.runner(name));
-                router.failed(now, route, runner);
+                router.record_failure(now, route, runner);
             }
             AttemptEnd::Whole(_)
             | AttemptEnd::Refused(_)
             | AttemptEnd::DeadlinePassed
-            | AttemptEnd::CallerLeft => router.finished(now, route),
+            | AttemptEnd::CallerLeft => router.record_finished(now, route),
         }
     }
 
--- a/policy/src/route/router.rs
+++ b/policy/src/route/router.rs
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Picks a route according to the plan. The caller reports its use with [`Router::sent`].
+    /// Picks a route according to the plan. The caller reports its use with [`Router::record_sent`].
     ///
     /// # Errors
     /// Returns [`NoRoute`] if the open runners do not cover the model.
@@ -255,25 +255,25 @@
     }
 
     /// Records that a request was sent over a route and is in flight.
-    pub fn sent(&mut self, now: Millis, route: &Route) {
+    pub fn record_sent(&mut self, now: Millis, route: &Route) {
         self.add_in_flight(now, route, 1);
     }
 
     /// Records a token received over a route, which shows that its runners work. The cooldown of a
     /// runner that failed is not cut short, since the token may have been in transit before the
     /// failure.
-    pub fn token(&mut self, _now: Millis, route: &Route) {
+    pub fn record_token(&mut self, _now: Millis, route: &Route) {
         self.clear_failures(route);
     }
 
     /// Records that a request sent over a route ended for any reason other than a runner's failure.
-    pub fn finished(&mut self, now: Millis, route: &Route) {
+    pub fn record_finished(&mut self, now: Millis, route: &Route) {
         self.add_in_flight(now, route, -1);
         self.clear_failures(route);
     }
 
     /// Records that a request sent over a route failed; `runner` is the cause if known.
-    pub fn failed(&mut self, now: Millis, route: &Route, runner: Option<RunnerId>) {
+    pub fn record_failure(&mut self, now: Millis, route: &Route, runner: Option<RunnerId>) {
         self.add_in_flight(now, route, -1);
         let Some(id) = runner else { return };
         // A failure of an earlier incarnation does not count against a restarted runner.
--- a/policy/tests/route_fleet.rs
+++ b/policy/tests/route_fleet.rs
@@ -150,8 +150,8 @@
     router.close(1, "a", CloseReason::Gone);
     router.replan(1);
     let route = router.pick(1, &request(&[]), &mut rng()).unwrap();
-    router.sent(1, &route);
-    router.failed(2, &route, router.runner("b"));
+    router.record_sent(1, &route);
+    router.record_failure(2, &route, router.runner("b"));
     expect_that!(used(&router, 3, 20, &[]), elements_are![eq("b"), eq("c")]);
     let avoid = [router.runner("b").unwrap()];
     let refused = router.pick(3, &request(&avoid), &mut rng());
@@ -165,8 +165,8 @@
     let route = router.pick(0, &request(&[]), &mut rng).unwrap();
     let failed = route.stages[0].runner;
     let other = if names(&route) == ["a"] { "b" } else { "a" };
-    router.sent(0, &route);
-    router.failed(10, &route, Some(failed));
+    router.record_sent(0, &route);
+    router.record_failure(10, &route, Some(failed));
     expect_that!(used(&router, 11, 50, &[]), elements_are![eq(other)]);
     expect_that!(
         used(&router, 10_000, 50, &[]),
@@ -181,7 +181,7 @@
     let mut router = router(1, &[report("a", 0, 4), report("b", 4, 8)]);
     let route = router.pick(0, &request(&[]), &mut rng()).unwrap();
     let a = router.runner("a").unwrap();
-    router.sent(0, &route);
+    router.record_sent(0, &route);
     router.observe(
         5,
         &RunnerReport {
@@ -189,7 +189,7 @@
             ..report("a", 0, 4)
         },
     );
-    router.failed(6, &route, Some(a));
+    router.record_failure(6, &route, Some(a));
     let runner = &router.fleet().runners[a];
     expect_that!(
         (runner.failures, runner.avoid_until, runner.own),
@@ -203,7 +203,7 @@
     let route = router.pick(0, &request(&[]), &mut rng()).unwrap();
     let a = router.runner("a").unwrap();
     for now in 1..=5_000 {
-        router.sent(now, &route);
+        router.record_sent(now, &route);
     }
     expect_that!(router.fleet().runners[a].load(1.0), eq(5_000.0));
     router.observe(
@@ -237,8 +237,8 @@
     let mut router = router(3, &[report("a", 0, 8)]);
     let route = router.pick(0, &request(&[]), &mut rng()).unwrap();
     let a = router.runner("a").unwrap();
-    router.sent(50, &route);
-    router.sent(200, &route);
+    router.record_sent(50, &route);
+    router.record_sent(200, &route);
     expect_that!(router.fleet().runners[a].load(3.0), eq(6.0));
     let report = RunnerReport {
         number: 2,
@@ -248,9 +248,9 @@
     };
     router.observe(300, &report);
     expect_that!(router.fleet().runners[a].load(3.0), eq(7.0));
-    router.finished(310, &route);
+    router.record_finished(310, &route);
     expect_that!(router.fleet().runners[a].load(3.0), eq(4.0));
-    router.finished(311, &route);
+    router.record_finished(311, &route);
     expect_that!(router.fleet().runners[a].load(3.0), eq(1.0));
 }
 
@@ -320,7 +320,7 @@
         for _ in 0..10 {
             let route = router.pick(1, &request(&[]), &mut rng).unwrap();
             on_idle += usize::from(names(&route) == ["r0"]);
-            router.sent(1, &route);
+            router.record_sent(1, &route);
         }
     }
     expect_that!(on_idle, all!(ge(8), le(24)));
@@ -407,7 +407,7 @@
         };
         let route = router.pick(1, &pick, &mut rng).unwrap();
         on_holder += usize::from(names(&route) == ["a"]);
-        router.sent(1, &route);
+        router.record_sent(1, &route);
     }
     expect_that!(on_holder, all!(ge(55), le(65)));
 }
--- a/policy/tests/route_props.rs
+++ b/policy/tests/route_props.rs
@@ -118,9 +118,9 @@
                 assert!(!avoid.contains(&stage.runner));
             }
             assert!(route.first_token_ms.is_finite() && route.per_token_ms > 0.0);
-            router.sent(now, &route);
+            router.record_sent(now, &route);
             if now % 3 == 0 {
-                router.failed(now, &route, Some(route.stages[0].runner));
+                router.record_failure(now, &route, Some(route.stages[0].runner));
             }
         }
     });
--- a/testkit/src/bench/route_run.rs
+++ b/testkit/src/bench/route_run.rs
@@ -279,7 +279,7 @@
         }
         let route = self.choose(instance, prompt as u32, tokens);
         let now_ms = self.now_ms();
-        self.routers[instance].sent(now_ms, &route);
+        self.routers[instance].record_sent(now_ms, &route);
         self.own[instance] += 1;
         self.start(instance, route, prompt, tokens);
     }
@@ -438,7 +438,7 @@
         let instance = flight.instance as usize;
         self.own[instance] -= 1;
         let now_ms = self.now_ms();
-        self.routers[instance].finished(now_ms, &flight.route);
+        self.routers[instance].record_finished(now_ms, &flight.route);
     }
 
     /// Takes the figures of each runner and sends them to each instance.
