--- a/plugins/callers/src/driver.rs
+++ b/plugins/callers/src/driver.rs
@@ -9,7 +9,7 @@
 use jacinthweir_kernel::reply::Refusal;
 use jacinthweir_policy::admission::{self, Work};
 use jacinthweir_policy::journal::{End, Event, Journal, Repeat};
-use jacinthweir_policy::retry::{BadEnd, Decision, GiveUp};
+use jacinthweir_policy::retry::{AttemptFailure, Decision, GiveUp};
 use jacinthweir_policy::route::{Route, RouteRequest};
 use jacinthweir_wire::caller::ErrorCode;
 use jacinthweir_wire::runner::{EndFrame, Refused, RefusedCode, prefix_hash};
@@ -268,8 +268,8 @@
         // Taken from the budget, a lost failure domain used it up on dead runners, and the streams
         // that had run there could not be resumed.
         let end = match refused.code {
-            RefusedCode::Unreachable => BadEnd::NeverSent,
-            _ => BadEnd::Refused {
+            RefusedCode::Unreachable => AttemptFailure::NeverSent,
+            _ => AttemptFailure::Refused {
                 retry_after_ms: refused.retry_after_ms,
             },
         };
@@ -287,13 +287,13 @@
 
     fn after_never_sent(&mut self, route: &Route) -> Result<(), Stop> {
         self.avoid_first(route);
-        self.may_retry(BadEnd::NeverSent)
+        self.may_retry(AttemptFailure::NeverSent)
     }
 
     fn after_break(&mut self, route: &Route, runner: Option<&Name>) -> Result<(), Stop> {
         metrics::counter!("jacinthweir_attempts_broken_total").increment(1);
         self.avoid_named_or_first(route, runner);
-        self.may_retry(BadEnd::BrokenOff)
+        self.may_retry(AttemptFailure::BrokenOff)
     }
 
     /// A stall does not say which stage is at fault: the next attempt avoids all that were not
@@ -305,10 +305,10 @@
             blamed = route.stages.iter().map(|s| s.runner).collect();
         }
         blamed.into_iter().for_each(|runner| self.avoid(runner));
-        self.may_retry(BadEnd::BrokenOff)
+        self.may_retry(AttemptFailure::BrokenOff)
     }
 
-    fn may_retry(&self, end: BadEnd) -> Result<(), Stop> {
+    fn may_retry(&self, end: AttemptFailure) -> Result<(), Stop> {
         let pipeline = &self.accepted.prompt.pipeline;
         let in_flight = u32::try_from(self.cx.gate.in_flight()).unwrap_or(u32::MAX);
         let left_ms = self.remaining_ms();
--- a/plugins/callers/src/pace.rs
+++ b/plugins/callers/src/pace.rs
@@ -9,7 +9,7 @@
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_policy::journal::Journal;
 use jacinthweir_policy::retry::{
-    BadEnd, Decision, RetryBudget, RetryBudgetConfig, Silences, StallConfig, StallDetector,
+    AttemptFailure, Decision, RetryBudget, RetryBudgetConfig, Silences, StallConfig, StallDetector,
     TimeLeft, decide,
 };
 use jacinthweir_policy::route::Route;
@@ -82,12 +82,12 @@
 
     /// A token came after `gap_ms`.
     pub(crate) fn seen(&self, pipeline: &Name, awaited: Awaited, gap_ms: u64) {
-        self.with(pipeline, |p| p.detector(awaited).seen(gap_ms));
+        self.with(pipeline, |p| p.detector(awaited).record_gap(gap_ms));
     }
 
     /// An attempt was given up as stalled.
     pub(crate) fn stalled(&self, pipeline: &Name, awaited: Awaited) {
-        self.with(pipeline, |p| p.detector(awaited).suspected());
+        self.with(pipeline, |p| p.detector(awaited).record_suspicion());
     }
 
     /// A token came over a route.
@@ -112,7 +112,7 @@
 
     /// A request was answered.
     pub(crate) fn answered(&self, pipeline: &Name) {
-        self.with(pipeline, |p| p.budget.succeeded());
+        self.with(pipeline, |p| p.budget.record_success());
     }
 
     /// Whether a request whose attempt ended badly gets another one.
@@ -120,7 +120,7 @@
         &self,
         pipeline: &Name,
         journal: &Journal,
-        end: BadEnd,
+        end: AttemptFailure,
         left_ms: u64,
         in_flight: u32,
     ) -> Decision {
--- a/plugins/services/src/dispatch.rs
+++ b/plugins/services/src/dispatch.rs
@@ -9,7 +9,7 @@
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_policy::journal::{Event, Repeat};
 use jacinthweir_policy::listed::ListedInstance;
-use jacinthweir_policy::retry::{self, BadEnd, Decision, GiveUp, TimeLeft};
+use jacinthweir_policy::retry::{self, AttemptFailure, Decision, GiveUp, TimeLeft};
 use jacinthweir_policy::schema::compiled::GroupServes;
 use jacinthweir_wire::caller::ErrorCode;
 use rand::seq::IndexedRandom;
@@ -39,7 +39,7 @@
 /// How one attempt ended.
 enum AttemptEnd {
     Replied(ServiceReply),
-    Bad(BadEnd, String),
+    Bad(AttemptFailure, String),
 }
 
 impl Driver {
@@ -56,7 +56,7 @@
             let name = upstream.name.clone();
             let (end, cause) = match self.attempt(attempt, &upstream).await {
                 AttemptEnd::Replied(reply) => {
-                    self.shared.budget().succeeded();
+                    self.shared.budget().record_success();
                     let upstream = name;
                     return Sent::Replied { upstream, reply };
                 }
@@ -72,7 +72,7 @@
         }
     }
 
-    fn decide(&self, end: BadEnd) -> Decision {
+    fn decide(&self, end: AttemptFailure) -> Decision {
         let time = TimeLeft {
             left_ms: self.remaining_ms(),
             needed_ms: LEAST_TIME_MS,
@@ -104,7 +104,7 @@
         };
         if let Err(fault) = self.running.record(handed) {
             error!(request = self.running.request.as_ref(); "not sent: {fault}");
-            return AttemptEnd::Bad(BadEnd::BrokenOff, fault.to_string());
+            return AttemptEnd::Bad(AttemptFailure::BrokenOff, fault.to_string());
         }
         fault_point::reach(Step::CallHanded).await;
         // The time left is read after the hand-over was recorded, on both clocks: an instance that
@@ -112,7 +112,7 @@
         let call = self.service_call(attempt, upstream);
         if call.timeout.is_zero() {
             self.running.note(Event::NeverSent { attempt });
-            return AttemptEnd::Bad(BadEnd::NeverSent, "deadline passed".to_owned());
+            return AttemptEnd::Bad(AttemptFailure::NeverSent, "deadline passed".to_owned());
         }
         let result = self.cx.services.call(&call).await;
         self.settle(attempt, result)
@@ -149,13 +149,16 @@
             }
             Ok(ServiceAnswer::Refused { retry_after_ms }) => {
                 let retry_after_ms = retry_after_ms.unwrap_or(0);
-                let end = BadEnd::Refused { retry_after_ms };
+                let end = AttemptFailure::Refused { retry_after_ms };
                 let refused = Event::RefusedByUpstream { attempt };
                 (refused, AttemptEnd::Bad(end, "refused".to_owned()))
             }
             Err(e @ ClientError::NoEffect { .. }) => {
                 let never = Event::NeverSent { attempt };
-                (never, AttemptEnd::Bad(BadEnd::NeverSent, e.to_string()))
+                (
+                    never,
+                    AttemptEnd::Bad(AttemptFailure::NeverSent, e.to_string()),
+                )
             }
             Err(e) => {
                 let cause = e.to_string();
@@ -163,24 +166,24 @@
                     attempt,
                     cause: cause.as_str().into(),
                 };
-                (lost, AttemptEnd::Bad(BadEnd::BrokenOff, cause))
+                (lost, AttemptEnd::Bad(AttemptFailure::BrokenOff, cause))
             }
         };
         self.running.note(event);
         end
     }
 
-    fn no_reply_after(&self, end: BadEnd, upstream: &Name, cause: &str) -> NoReply {
+    fn no_reply_after(&self, end: AttemptFailure, upstream: &Name, cause: &str) -> NoReply {
         match end {
-            BadEnd::Refused { retry_after_ms } => {
+            AttemptFailure::Refused { retry_after_ms } => {
                 let after = Some(retry_after_ms).filter(|ms| *ms > 0);
                 NoReply::new(ErrorCode::NoCapacity, "the service refused the call").come_back(after)
             }
-            BadEnd::NeverSent => {
+            AttemptFailure::NeverSent => {
                 NoReply::new(ErrorCode::NoCapacity, format!("{upstream} is not reached"))
                     .come_back(None)
             }
-            BadEnd::BrokenOff => match (self.accepted.repeat, self.remaining_ms()) {
+            AttemptFailure::BrokenOff => match (self.accepted.repeat, self.remaining_ms()) {
                 (Repeat::NonIdempotent, _) => {
                     let instance = &self.cx.settings.name;
                     let msg = format!(
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -22,7 +22,7 @@
 
 /// How an attempt ended without a complete answer.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum BadEnd {
+pub enum AttemptFailure {
     /// The upstream refused the attempt before anything ran.
     #[display("refused")]
     Refused {
@@ -81,7 +81,7 @@
 pub fn decide(
     now: Millis,
     journal: &Journal,
-    end: BadEnd,
+    failure: AttemptFailure,
     time: TimeLeft,
     budget: &mut RetryBudget,
 ) -> Decision {
@@ -99,7 +99,7 @@
         return Decision::GiveUp(GiveUp::Deadline);
     }
     // An attempt that was never sent put no load on any upstream.
-    if end != BadEnd::NeverSent && !budget.take(now, need(journal)) {
+    if failure != AttemptFailure::NeverSent && !budget.take(now, need(journal)) {
         return Decision::GiveUp(GiveUp::Budget);
     }
     Decision::Retry {
--- a/policy/src/retry/budget.rs
+++ b/policy/src/retry/budget.rs
@@ -67,7 +67,7 @@
     }
 
     /// Records a successful request.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.tokens = (self.tokens + self.cfg.share).min(self.size);
     }
 
--- a/policy/src/retry/stall.rs
+++ b/policy/src/retry/stall.rs
@@ -66,7 +66,7 @@
     }
 
     /// Records a token that arrived after this gap, in milliseconds.
-    pub fn seen(&mut self, gap_ms: u64) {
+    pub fn record_gap(&mut self, gap_ms: u64) {
         let gap = gap_ms as f64;
         let Some(mean) = self.mean_ms else {
             self.mean_ms = Some(gap);
@@ -96,15 +96,15 @@
     }
 
     /// Records that an attempt was abandoned as stalled.
-    pub fn suspected(&mut self) {
+    pub fn record_suspicion(&mut self) {
         self.suspicions += 1;
     }
 
     /// Records that a suspected attempt delivered a token after this gap, in milliseconds.
-    pub fn was_false(&mut self, gap_ms: u64) {
+    pub fn record_false_suspicion(&mut self, gap_ms: u64) {
         self.false_suspicions += 1;
         self.factor = (self.factor * 2.0).min(MAX_FACTOR);
-        self.seen(gap_ms);
+        self.record_gap(gap_ms);
     }
 
     /// Returns the number of suspicions since the start.
--- a/policy/tests/retry.rs
+++ b/policy/tests/retry.rs
@@ -36,7 +36,13 @@
             .unwrap();
     }
     lost(&mut journal, 1);
-    let decision = decide(0, &journal, BadEnd::BrokenOff, TIME, &mut full_budget());
+    let decision = decide(
+        0,
+        &journal,
+        AttemptFailure::BrokenOff,
+        TIME,
+        &mut full_budget(),
+    );
     let resumed = Decision::Retry {
         attempt: 2,
         resume_from: 3,
@@ -46,7 +52,13 @@
         left_ms: 100,
         needed_ms: 100,
     };
-    let decision = decide(0, &journal, BadEnd::BrokenOff, late, &mut full_budget());
+    let decision = decide(
+        0,
+        &journal,
+        AttemptFailure::BrokenOff,
+        late,
+        &mut full_budget(),
+    );
     expect_that!(decision, eq(Decision::GiveUp(GiveUp::Deadline)));
 }
 
@@ -57,7 +69,7 @@
     journal
         .record(0, Event::RefusedByUpstream { attempt: 1 })
         .unwrap();
-    let refused = BadEnd::Refused { retry_after_ms: 0 };
+    let refused = AttemptFailure::Refused { retry_after_ms: 0 };
     let decision = decide(0, &journal, refused, TIME, &mut full_budget());
     expect_that!(
         decision,
@@ -65,7 +77,13 @@
     );
     handed(&mut journal, 2);
     lost(&mut journal, 2);
-    let decision = decide(0, &journal, BadEnd::BrokenOff, TIME, &mut full_budget());
+    let decision = decide(
+        0,
+        &journal,
+        AttemptFailure::BrokenOff,
+        TIME,
+        &mut full_budget(),
+    );
     expect_that!(decision, eq(Decision::GiveUp(GiveUp::NonIdempotent)));
 }
 
@@ -82,7 +100,7 @@
             0 => retries += u64::from(budget.take(now, Need::Owed)),
             _ => {
                 successes += 1;
-                budget.succeeded();
+                budget.record_success();
             }
         }
     }
@@ -108,7 +126,7 @@
 fn refusable_requests_leave_retries_to_streams() {
     let mut budget = full_budget();
     budget.set_in_flight(20);
-    let refused = BadEnd::Refused { retry_after_ms: 0 };
+    let refused = AttemptFailure::Refused { retry_after_ms: 0 };
     let new = |budget: &mut RetryBudget| {
         let mut journal = Journal::open("new".into(), Repeat::Idempotent, 0);
         handed(&mut journal, 1);
@@ -126,7 +144,7 @@
     };
     journal.record(0, token).unwrap();
     lost(&mut journal, 1);
-    let decision = decide(0, &journal, BadEnd::BrokenOff, TIME, &mut budget);
+    let decision = decide(0, &journal, AttemptFailure::BrokenOff, TIME, &mut budget);
     let resumed = Decision::Retry {
         attempt: 2,
         resume_from: 1,
@@ -139,8 +157,8 @@
     let mut fast = StallDetector::new(StallConfig::default());
     let mut slow = StallDetector::new(StallConfig::default());
     for i in 0..200_u64 {
-        fast.seen(20 + i % 3);
-        slow.seen(300 + 10 * (i % 7));
+        fast.record_gap(20 + i % 3);
+        slow.record_gap(300 + 10 * (i % 7));
     }
     expect_that!(fast.is_stall(500), eq(true));
     expect_that!(slow.is_stall(500), eq(false));
@@ -151,16 +169,16 @@
 fn a_false_suspicion_raises_the_threshold_temporarily() {
     let mut detector = StallDetector::new(StallConfig::default());
     for i in 0..200_u64 {
-        detector.seen(100 + 20 * (i % 5));
+        detector.record_gap(100 + 20 * (i % 5));
     }
     let before = detector.threshold_ms();
-    detector.suspected();
-    detector.was_false(before + 50);
+    detector.record_suspicion();
+    detector.record_false_suspicion(before + 50);
     let after = detector.threshold_ms();
     expect_that!(after, gt(2 * before));
     expect_that!(detector.false_suspicions(), eq(1));
     for i in 0..10_000_u64 {
-        detector.seen(100 + 20 * (i % 5));
+        detector.record_gap(100 + 20 * (i % 5));
     }
     expect_that!(detector.threshold_ms(), le(before + before / 10));
 }
