--- a/plugins/callers/src/pace.rs
+++ b/plugins/callers/src/pace.rs
@@ -9,8 +9,8 @@
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_policy::journal::Journal;
 use jacinthweir_policy::retry::{
-    AttemptFailure, Decision, RetryBudget, RetryBudgetConfig, Silences, StallConfig, StallDetector,
-    TimeLeft, decide,
+    AttemptFailure, Decision, RetryBudget, RetryBudgetConfig, StallConfig, StallDetector,
+    StallSuspects, TimeLeft, decide,
 };
 use jacinthweir_policy::route::Route;
 
@@ -27,7 +27,7 @@
 pub(crate) struct Paces {
     clock: Clock,
     by_pipeline: Mutex<BTreeMap<Name, Pace>>,
-    silences: Mutex<Silences>,
+    silences: Mutex<StallSuspects>,
 }
 
 struct Pace {
@@ -93,21 +93,22 @@
     /// A token came over a route.
     pub(crate) fn token(&self, route: &Route) {
         let runners = route.stages.iter().map(|s| s.runner);
-        self.silences().token(self.clock.now(), runners);
+        self.silences().record_token(self.clock.now(), runners);
     }
 
     /// A route was silent from `since` until now; returns the runners to blame.
     pub(crate) fn blame(&self, route: &Route, since: Millis) -> Vec<RunnerId> {
         let stages = route.stages.iter();
         let runners = stages.map(|s| (s.runner, s.name.clone()));
-        self.silences().stalled(self.clock.now(), since, runners)
+        self.silences()
+            .record_stall(self.clock.now(), since, runners)
     }
 
     /// Runners that new work avoids where it can, as they are blamed for stalls.
     pub(crate) fn blamed(&self, cx: &Kernel) -> Vec<RunnerId> {
         let upstreams = cx.upstreams();
         let reported = |name: &Name| Some(upstreams.get(name)?.load?.true_ms);
-        self.silences().avoided(self.clock.now(), reported)
+        self.silences().suspects(self.clock.now(), reported)
     }
 
     /// A request was answered.
@@ -158,7 +159,7 @@
         act(pace)
     }
 
-    fn silences(&self) -> MutexGuard<'_, Silences> {
+    fn silences(&self) -> MutexGuard<'_, StallSuspects> {
         self.silences.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -4,7 +4,7 @@
 //! work is retried only if nothing of it ran. A stream resumes after the tokens that its caller
 //! already has and never restarts from the beginning.
 //!
-//! [`StallDetector`] decides when an open attempt has been silent for too long, and [`Silences`]
+//! [`StallDetector`] decides when an open attempt has been silent for too long, and [`StallSuspects`]
 //! which runners of its route are suspected of causing the stall.
 
 mod budget;
@@ -12,7 +12,7 @@
 mod stall;
 
 pub use budget::{RetryBudget, RetryBudgetConfig};
-pub use silence::{Blame, Silences};
+pub use silence::{StallSuspects, Suspicion};
 pub use stall::{StallConfig, StallDetector};
 
 use crate::journal::{Journal, MAX_ATTEMPTS, Repeat};
--- a/policy/src/retry/silence.rs
+++ b/policy/src/retry/silence.rs
@@ -14,38 +14,38 @@
 
 /// Maximum duration of a suspicion, in milliseconds; longer than the failure detector needs to
 /// suspect an unresponsive runner.
-const BLAME_MS: Millis = 6_000;
+const SUSPICION_MS: Millis = 6_000;
 
 /// Suspicion against a runner, which new work avoids.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Blame {
+pub struct Suspicion {
     /// Name of the runner.
     pub name: Name,
     /// Time in milliseconds; a later load report clears the suspicion.
-    pub silent_from: Millis,
+    pub silence_middle: Millis,
     /// Expiry of the suspicion, in milliseconds.
     pub until: Millis,
 }
 
 /// Time of this instance's latest token through each runner, and the runners suspected of stalls.
 #[derive(Clone, Debug, Default)]
-pub struct Silences {
-    token_at: BTreeMap<RunnerId, Millis>,
-    blamed: BTreeMap<RunnerId, Blame>,
+pub struct StallSuspects {
+    last_token_at: BTreeMap<RunnerId, Millis>,
+    suspects: BTreeMap<RunnerId, Suspicion>,
 }
 
-impl Silences {
+impl StallSuspects {
     /// Records a token received over a route with these runners.
-    pub fn token(&mut self, now: Millis, runners: impl Iterator<Item = RunnerId>) {
+    pub fn record_token(&mut self, now: Millis, runners: impl Iterator<Item = RunnerId>) {
         for id in runners {
-            self.token_at.insert(id, now);
-            self.blamed.remove(&id);
+            self.last_token_at.insert(id, now);
+            self.suspects.remove(&id);
         }
     }
 
     /// Records that a route with these runners was silent from `since` until now and was abandoned;
     /// returns the runners that become suspects.
-    pub fn stalled(
+    pub fn record_stall(
         &mut self,
         now: Millis,
         since: Millis,
@@ -53,32 +53,36 @@
     ) -> Vec<RunnerId> {
         // Tokens of other streams shortly after this stream's last one are no proof: the runner
         // may have stopped after them.
-        let silent_from = since + now.saturating_sub(since) / 2;
-        let alive = |id: &RunnerId| self.token_at.get(id).is_some_and(|at| *at > silent_from);
-        let blamed: Vec<_> = runners.filter(|(id, _)| !alive(id)).collect();
-        let ids = blamed.iter().map(|(id, _)| *id).collect();
-        for (id, name) in blamed {
-            let blame = Blame {
+        let silence_middle = since + now.saturating_sub(since) / 2;
+        let alive = |id: &RunnerId| {
+            self.last_token_at
+                .get(id)
+                .is_some_and(|at| *at > silence_middle)
+        };
+        let suspects: Vec<_> = runners.filter(|(id, _)| !alive(id)).collect();
+        let ids = suspects.iter().map(|(id, _)| *id).collect();
+        for (id, name) in suspects {
+            let suspicion = Suspicion {
                 name,
-                silent_from,
-                until: now + BLAME_MS,
+                silence_middle,
+                until: now + SUSPICION_MS,
             };
-            self.blamed.insert(id, blame);
+            self.suspects.insert(id, suspicion);
         }
         ids
     }
 
     /// Returns the runners that new work should avoid where possible. `reported` returns the time
     /// at which a runner's newest load report was sampled.
-    pub fn avoided(
+    pub fn suspects(
         &mut self,
         now: Millis,
         reported: impl Fn(&Name) -> Option<Millis>,
     ) -> Vec<RunnerId> {
-        self.blamed.retain(|_, blame| {
-            let alive = reported(&blame.name).is_some_and(|at| at > blame.silent_from);
-            now < blame.until && !alive
+        self.suspects.retain(|_, suspicion| {
+            let alive = reported(&suspicion.name).is_some_and(|at| at > suspicion.silence_middle);
+            now < suspicion.until && !alive
         });
-        self.blamed.keys().copied().collect()
+        self.suspects.keys().copied().collect()
     }
 }
--- a/policy/tests/silence.rs
+++ b/policy/tests/silence.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::retry::Silences;
+use jacinthweir_policy::retry::StallSuspects;
 
 fn id(n: u32) -> RunnerId {
     RunnerId::from_u32(n)
@@ -20,14 +20,14 @@
 // this one's last proves nothing, since the runner stopped after it.
 #[gtest]
 fn a_runner_that_went_on_meanwhile_is_not_blamed() {
-    let mut silences = Silences::default();
-    silences.token(1_000, [id(0), id(1)].into_iter());
-    silences.token(1_010, [id(1), id(2)].into_iter());
-    silences.token(1_390, [id(0), id(2)].into_iter());
-    let blamed = silences.stalled(1_400, 1_000, route(&[0, 1]).into_iter());
+    let mut silences = StallSuspects::default();
+    silences.record_token(1_000, [id(0), id(1)].into_iter());
+    silences.record_token(1_010, [id(1), id(2)].into_iter());
+    silences.record_token(1_390, [id(0), id(2)].into_iter());
+    let blamed = silences.record_stall(1_400, 1_000, route(&[0, 1]).into_iter());
     expect_that!(blamed, elements_are![eq(&id(1))]);
     expect_that!(
-        silences.avoided(1_401, NO_REPORT),
+        silences.suspects(1_401, NO_REPORT),
         elements_are![eq(&id(1))]
     );
 }
@@ -36,22 +36,22 @@
 // clears it, an older one does not; a token clears runner 1.
 #[gtest]
 fn blame_ends_by_a_report_or_a_token() {
-    let mut silences = Silences::default();
-    let blamed = silences.stalled(1_400, 1_000, route(&[0, 1]).into_iter());
+    let mut silences = StallSuspects::default();
+    let blamed = silences.record_stall(1_400, 1_000, route(&[0, 1]).into_iter());
     expect_that!(blamed, elements_are![eq(&id(0)), eq(&id(1))]);
     let old = |_: &Name| Some(1_150);
-    expect_that!(silences.avoided(1_500, old).len(), eq(2));
+    expect_that!(silences.suspects(1_500, old).len(), eq(2));
     let of_0 = |name: &Name| (**name == *"runner-0").then_some(1_300);
-    expect_that!(silences.avoided(1_600, of_0), elements_are![eq(&id(1))]);
-    silences.token(1_700, [id(1)].into_iter());
-    expect_that!(silences.avoided(1_700, NO_REPORT).len(), eq(0));
+    expect_that!(silences.suspects(1_600, of_0), elements_are![eq(&id(1))]);
+    silences.record_token(1_700, [id(1)].into_iter());
+    expect_that!(silences.suspects(1_700, NO_REPORT).len(), eq(0));
 }
 
 // A runner that nobody hears of is tried again after a while: its observers may be cut off.
 #[gtest]
 fn blame_ends_by_itself() {
-    let mut silences = Silences::default();
-    let _ = silences.stalled(1_400, 1_000, route(&[0]).into_iter());
-    expect_that!(silences.avoided(7_399, NO_REPORT).len(), eq(1));
-    expect_that!(silences.avoided(7_400, NO_REPORT).len(), eq(0));
+    let mut silences = StallSuspects::default();
+    let _ = silences.record_stall(1_400, 1_000, route(&[0]).into_iter());
+    expect_that!(silences.suspects(7_399, NO_REPORT).len(), eq(1));
+    expect_that!(silences.suspects(7_400, NO_REPORT).len(), eq(0));
 }
