--- a/plugins/relay/src/answer.rs
+++ b/plugins/relay/src/answer.rs
@@ -14,7 +14,7 @@
 use http::{HeaderValue, Response, StatusCode};
 use http_body::{Body, Frame, SizeHint};
 use jacinthweir_platform::header;
-use jacinthweir_policy::need::Need;
+use jacinthweir_policy::need::RetryPriority;
 use jacinthweir_policy::prelude::*;
 
 use crate::node::Node;
@@ -172,10 +172,10 @@
     }
 
     /// What a further send of the request is for.
-    pub(crate) fn need(&self) -> Need {
+    pub(crate) fn need(&self) -> RetryPriority {
         match self.may_have_run() {
-            true => Need::Owed,
-            false => Need::Refusable,
+            true => RetryPriority::Committed,
+            false => RetryPriority::Refusable,
         }
     }
 
--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -9,7 +9,7 @@
 use jacinthweir_platform::store::Store;
 use jacinthweir_policy::member::{MemberState, Phase};
 use jacinthweir_policy::membership::{Membership, MembershipConfig};
-use jacinthweir_policy::need::Need;
+use jacinthweir_policy::need::RetryPriority;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::fingerprint::Fingerprint;
 use jacinthweir_policy::relay::following::{Behind, Outdated};
@@ -291,7 +291,7 @@
     }
 
     /// Whether the common budget has a further send for a service.
-    pub(crate) fn has_repeat(&self, service: &Name, need: Need) -> bool {
+    pub(crate) fn has_repeat(&self, service: &Name, need: RetryPriority) -> bool {
         let cfg = self.spending_config();
         let instances = self.most_instances();
         let mut spending = self.spending.borrow_mut();
@@ -300,7 +300,7 @@
     }
 
     /// Takes one further send for a service out of the common budget.
-    pub(crate) fn take_repeat(&self, service: &Name, need: Need) -> bool {
+    pub(crate) fn take_repeat(&self, service: &Name, need: RetryPriority) -> bool {
         let cfg = self.spending_config();
         let instances = self.most_instances();
         let now = self.now();
--- a/plugins/relay/src/stream.rs
+++ b/plugins/relay/src/stream.rs
@@ -12,7 +12,7 @@
 use http::{Response, StatusCode};
 use jacinthweir_clients::direct::AnswerBody;
 use jacinthweir_platform::{header, runner};
-use jacinthweir_policy::need::Need;
+use jacinthweir_policy::need::RetryPriority;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::rooms;
 use tokio::time::{sleep, timeout};
@@ -311,7 +311,10 @@
     }
 
     fn may_run_again(&self) -> bool {
-        self.rq.class.repeatable() && self.node.has_repeat(&self.rq.service, Need::Owed)
+        self.rq.class.repeatable()
+            && self
+                .node
+                .has_repeat(&self.rq.service, RetryPriority::Committed)
     }
 
     /// A share of the caller's patience, in milliseconds.
@@ -391,7 +394,10 @@
     async fn try_on(&mut self) -> Result<(Passage, Response<AnswerBody>), GivenUp> {
         let live = self.next_chain().ok_or(GivenUp::NoChain)?;
         // Each send counts, also one that a runner refuses.
-        if !self.node.take_repeat(&self.rq.service, Need::Owed) {
+        if !self
+            .node
+            .take_repeat(&self.rq.service, RetryPriority::Committed)
+        {
             return Err(GivenUp::NoRepeat);
         }
         let after = self.events.last();
--- a/policy/src/need.rs
+++ b/policy/src/need.rs
@@ -8,23 +8,23 @@
 
 /// Priority of a further attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum RetryPriority {
     /// The request has certainly not run, so it can be refused truthfully.
     Refusable,
     /// The request may have run, or its answer has begun; without another attempt it fails.
-    Owed,
+    Committed,
 }
 
 /// Fraction of the capacity that refusable requests leave to the others.
 const RESERVED_FRACTION: f64 = 0.3;
 
-impl Need {
-    /// Returns the part of `all` that a request of this priority has to leave untouched.
+impl RetryPriority {
+    /// Returns the part of `capacity` that an attempt of this priority has to leave untouched.
     #[must_use]
-    pub fn leaves(self, all: f64) -> f64 {
+    pub fn reserved(self, capacity: f64) -> f64 {
         match self {
-            Need::Refusable => RESERVED_FRACTION * all,
-            Need::Owed => 0.0,
+            RetryPriority::Refusable => RESERVED_FRACTION * capacity,
+            RetryPriority::Committed => 0.0,
         }
     }
 }
--- a/policy/src/relay/spending.rs
+++ b/policy/src/relay/spending.rs
@@ -12,13 +12,13 @@
 //! What is lent comes out of the others' parts, which are as much smaller: spent twice, it is beyond the
 //! bound when their turn comes.
 //!
-//! What can be refused truthfully leaves the last of it to what cannot: see [`Need`].
+//! What can be refused truthfully leaves the last of it to what cannot: see [`RetryPriority`].
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-use crate::need::Need;
+use crate::need::RetryPriority;
 use crate::prelude::*;
 
 /// Bound over all instances.
@@ -123,9 +123,15 @@
     }
 
     /// Whether there is a further send among `instances` instances.
-    pub fn has(&mut self, now: Millis, cfg: &SpendingConfig, instances: usize, need: Need) -> bool {
+    pub fn has(
+        &mut self,
+        now: Millis,
+        cfg: &SpendingConfig,
+        instances: usize,
+        need: RetryPriority,
+    ) -> bool {
         let certain = self.certain(now, cfg, instances);
-        let kept = need.leaves(certain.all);
+        let kept = need.reserved(certain.all);
         let there_is = certain.left >= 1.0 || self.lent >= 1.0;
         there_is && certain.left.max(0.0) + self.lent >= 1.0 + kept
     }
@@ -136,7 +142,7 @@
         now: Millis,
         cfg: &SpendingConfig,
         instances: usize,
-        need: Need,
+        need: RetryPriority,
     ) -> bool {
         if !self.has(now, cfg, instances, need) {
             return false;
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -16,7 +16,7 @@
 pub use stall::{StallConfig, StallDetector};
 
 use crate::journal::{Journal, MAX_ATTEMPTS, Repeat};
-use crate::need::Need;
+use crate::need::RetryPriority;
 use crate::prelude::*;
 use derive_more::Display;
 
@@ -99,7 +99,7 @@
         return Decision::GiveUp(GiveUp::Deadline);
     }
     // An attempt that was never sent put no load on any upstream.
-    if failure != AttemptFailure::NeverSent && !budget.take(now, need(journal)) {
+    if failure != AttemptFailure::NeverSent && !budget.take(now, priority(journal)) {
         return Decision::GiveUp(GiveUp::Budget);
     }
     Decision::Retry {
@@ -108,9 +108,9 @@
     }
 }
 
-fn need(journal: &Journal) -> Need {
+fn priority(journal: &Journal) -> RetryPriority {
     match journal.nothing_ran() {
-        true => Need::Refusable,
-        false => Need::Owed,
+        true => RetryPriority::Refusable,
+        false => RetryPriority::Committed,
     }
 }
--- a/policy/src/retry/budget.rs
+++ b/policy/src/retry/budget.rs
@@ -6,11 +6,11 @@
 //!
 //! The size of the bucket is at least the number of requests in flight, so that each stream on a
 //! lost failure domain can be resumed once. That adds no load, since those streams were running
-//! before, and requests that can be refused leave part of the bucket to them ([`Need`]). Repeated
-//! failures stay bounded: while `s` requests succeed, at most `size + share * s` retries are made,
-//! besides the idle refill.
+//! before, and requests that can be refused leave part of the bucket to them ([`RetryPriority`]).
+//! Repeated failures stay bounded: while `s` requests succeed, at most `size + share * s` retries
+//! are made, besides the idle refill.
 
-use crate::need::Need;
+use crate::need::RetryPriority;
 use crate::prelude::*;
 
 /// Settings of a retry budget.
@@ -71,12 +71,12 @@
         self.tokens = (self.tokens + self.cfg.share).min(self.size);
     }
 
-    /// Takes a token for a retry; returns whether one was available for this need.
-    pub fn take(&mut self, now: Millis, need: Need) -> bool {
+    /// Takes a token for a retry; returns whether one was available at this priority.
+    pub fn take(&mut self, now: Millis, priority: RetryPriority) -> bool {
         let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1_000.0;
         self.refilled_at = now;
         self.tokens = (self.tokens + elapsed_s * self.cfg.idle_refill_per_s).min(self.size);
-        if self.tokens < 1.0 + need.leaves(self.size) {
+        if self.tokens < 1.0 + priority.reserved(self.size) {
             self.refused += 1;
             return false;
         }
--- a/policy/tests/relay_rules.rs
+++ b/policy/tests/relay_rules.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use googletest::prelude::*;
-use jacinthweir_policy::need::Need;
+use jacinthweir_policy::need::RetryPriority;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::attempts::Attempts;
 use jacinthweir_policy::relay::intent::{
@@ -274,7 +274,7 @@
         let one = &mut instances[(now / 10 % 6) as usize];
         one.request(now, &cfg);
         requests.push(now);
-        if one.take(now, &cfg, 6, Need::Owed) {
+        if one.take(now, &cfg, 6, RetryPriority::Committed) {
             repeats.push(now);
         }
     }
@@ -313,9 +313,11 @@
         for (at, burst) in [(5_000, 0), (9_000, 1)] {
             // Sixty streams of each broke, and are resumed within 100 ms.
             if (at..at + 100).contains(&now) {
-                let wanted = two
-                    .iter_mut()
-                    .map(|s| (0..6).filter(|_| s.take(now, &cfg, 6, Need::Owed)).count());
+                let wanted = two.iter_mut().map(|s| {
+                    (0..6)
+                        .filter(|_| s.take(now, &cfg, 6, RetryPriority::Committed))
+                        .count()
+                });
                 taken[burst] += wanted.sum::<usize>();
             }
         }
@@ -349,7 +351,7 @@
     for s in &mut all {
         s.lend(10_000, &cfg, others, 70);
         sent += (0..100)
-            .filter(|_| s.take(10_000, &cfg, 70, Need::Owed))
+            .filter(|_| s.take(10_000, &cfg, 70, RetryPriority::Committed))
             .count();
     }
     let bound = 0.2 * f64::from(own.requests * 70) + 326.0;
@@ -386,7 +388,7 @@
                 requests += 1;
             }
             let breaks = now >= if i < 2 { 3_000 } else { 9_000 };
-            let sent = breaks && one.take(now, &cfg, INSTANCES, Need::Owed);
+            let sent = breaks && one.take(now, &cfg, INSTANCES, RetryPriority::Committed);
             repeats += u32::from(sent);
         }
     }
@@ -410,7 +412,7 @@
     };
     one.lend(0, &cfg, spent, 6);
     let taken = (0..100)
-        .filter(|_| one.take(0, &cfg, 6, Need::Owed))
+        .filter(|_| one.take(0, &cfg, 6, RetryPriority::Committed))
         .count();
     // Its own part of the fixed number, and no more.
     expect_that!(taken, eq(8));
@@ -475,21 +477,21 @@
     };
     let mut one = Spending::default();
     (0..100).for_each(|_| one.request(0, &cfg));
-    let refusable = (0..1_000).filter(|_| one.take(0, &cfg, 6, Need::Refusable));
+    let refusable = (0..1_000).filter(|_| one.take(0, &cfg, 6, RetryPriority::Refusable));
     let refusable = refusable.count();
-    let owed = (0..1_000).filter(|_| one.take(0, &cfg, 6, Need::Owed));
+    let owed = (0..1_000).filter(|_| one.take(0, &cfg, 6, RetryPriority::Committed));
     let owed = owed.count();
     let mut other = Spending::default();
     (0..100).for_each(|_| other.request(0, &cfg));
-    let all = (0..1_000).filter(|_| other.take(0, &cfg, 6, Need::Owed));
+    let all = (0..1_000).filter(|_| other.take(0, &cfg, 6, RetryPriority::Committed));
     expect_that!(refusable + owed, eq(all.count()));
     expect_that!(owed, ge(10));
     expect_that!(refusable, ge(owed));
 
     // What others have left is for both as well, down to what is kept.
     other.lend(0, &cfg, Counts::default(), 6);
-    let refusable = (0..1_000).filter(|_| other.take(0, &cfg, 6, Need::Refusable));
+    let refusable = (0..1_000).filter(|_| other.take(0, &cfg, 6, RetryPriority::Refusable));
     expect_that!(refusable.count(), gt(0));
-    let owed = (0..1_000).filter(|_| other.take(0, &cfg, 6, Need::Owed));
+    let owed = (0..1_000).filter(|_| other.take(0, &cfg, 6, RetryPriority::Committed));
     expect_that!(owed.count(), gt(0));
 }
--- a/policy/tests/retry.rs
+++ b/policy/tests/retry.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use jacinthweir_policy::journal::{Event, Journal, Repeat};
-use jacinthweir_policy::need::Need;
+use jacinthweir_policy::need::RetryPriority;
 use jacinthweir_policy::retry::*;
 
 const TIME: TimeLeft = TimeLeft {
@@ -97,7 +97,7 @@
     for request in 0..30_000_u64 {
         let now = request;
         match request % 3 {
-            0 => retries += u64::from(budget.take(now, Need::Owed)),
+            0 => retries += u64::from(budget.take(now, RetryPriority::Committed)),
             _ => {
                 successes += 1;
                 budget.record_success();
@@ -115,7 +115,9 @@
 fn every_stream_in_flight_can_be_resumed_once() {
     let mut budget = full_budget();
     budget.set_in_flight(300);
-    let resumed = (0..100).filter(|_| budget.take(0, Need::Owed)).count();
+    let resumed = (0..100)
+        .filter(|_| budget.take(0, RetryPriority::Committed))
+        .count();
     expect_that!(resumed, eq(100));
 }
 
