--- a/plugins/relay/src/answer.rs
+++ b/plugins/relay/src/answer.rs
@@ -14,8 +14,8 @@
 use http::{HeaderValue, Response, StatusCode};
 use http_body::{Body, Frame, SizeHint};
 use jacinthweir_platform::header;
-use jacinthweir_policy::need::RetryPriority;
 use jacinthweir_policy::prelude::*;
+use jacinthweir_policy::retry_priority::RetryPriority;
 
 use crate::node::Node;
 
--- a/plugins/relay/src/stream.rs
+++ b/plugins/relay/src/stream.rs
@@ -12,9 +12,9 @@
 use http::{Response, StatusCode};
 use jacinthweir_clients::direct::AnswerBody;
 use jacinthweir_platform::{header, runner};
-use jacinthweir_policy::need::RetryPriority;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::rooms;
+use jacinthweir_policy::retry_priority::RetryPriority;
 use tokio::time::{sleep, timeout};
 
 use crate::admit::{self, Place};
--- a/policy/src/relay/spending.rs
+++ b/policy/src/relay/spending.rs
@@ -18,8 +18,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::need::RetryPriority;
 use crate::prelude::*;
+use crate::retry_priority::RetryPriority;
 
 /// Bound over all instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -8,16 +8,16 @@
 //! which runners of its route are suspected of causing the stall.
 
 mod budget;
-mod silence;
 mod stall;
+mod stall_suspects;
 
 pub use budget::{RetryBudget, RetryBudgetConfig};
-pub use silence::{StallSuspects, Suspicion};
 pub use stall::{StallConfig, StallDetector};
+pub use stall_suspects::{StallSuspects, Suspicion};
 
 use crate::journal::{Journal, MAX_ATTEMPTS, Repeat};
-use crate::need::RetryPriority;
 use crate::prelude::*;
+use crate::retry_priority::RetryPriority;
 use derive_more::Display;
 
 /// How an attempt ended without a complete answer.
--- a/policy/src/retry/budget.rs
+++ b/policy/src/retry/budget.rs
@@ -10,8 +10,8 @@
 //! Repeated failures stay bounded: while `s` requests succeed, at most `size + share * s` retries
 //! are made, besides the idle refill.
 
-use crate::need::RetryPriority;
 use crate::prelude::*;
+use crate::retry_priority::RetryPriority;
 
 /// Settings of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/policy/src/route.rs
+++ b/policy/src/route.rs
@@ -8,7 +8,7 @@
 //! and benchmark results.
 
 mod cache;
-mod cheapest;
+mod cheapest_chain;
 mod fleet;
 mod flow;
 mod link;
--- a/policy/src/route/planner.rs
+++ b/policy/src/route/planner.rs
@@ -3,11 +3,11 @@
 //! The program maximises the total rate, less small charges for each change of runner and of
 //! failure domain. No runner gets more token-layers per second than its speed, and no limited link
 //! more tokens than its capacity. Each generated column ([`super::packing`]) is the chain that is
-//! cheapest at the current prices of runners and links ([`super::cheapest`]). Generation stops
+//! cheapest at the current prices of runners and links ([`super::cheapest_chain`]). Generation stops
 //! when no chain improves the objective or at the limit of columns; the result is then a valid but
 //! possibly suboptimal plan.
 
-use super::cheapest::Prices;
+use super::cheapest_chain::Prices;
 use super::packing::{ColumnUses, Packing};
 use super::plan::{Chain, Hop};
 use super::pool::Pool;
--- a/policy/tests/relay_rules.rs
+++ b/policy/tests/relay_rules.rs
@@ -5,7 +5,6 @@
 mod support;
 
 use googletest::prelude::*;
-use jacinthweir_policy::need::RetryPriority;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::attempts::Attempts;
 use jacinthweir_policy::relay::intent::{
@@ -15,6 +14,7 @@
 use jacinthweir_policy::relay::runners::Runners;
 use jacinthweir_policy::relay::spending::{Counts, Spending, SpendingConfig};
 use jacinthweir_policy::relay::vouch::Vouch;
+use jacinthweir_policy::retry_priority::RetryPriority;
 use support::runner;
 
 fn route(name: &str, prefix: &str) -> Route {
--- a/policy/tests/retry.rs
+++ b/policy/tests/retry.rs
@@ -2,8 +2,8 @@
 
 use googletest::prelude::*;
 use jacinthweir_policy::journal::{Event, Journal, Repeat};
-use jacinthweir_policy::need::RetryPriority;
 use jacinthweir_policy::retry::*;
+use jacinthweir_policy::retry_priority::RetryPriority;
 
 const TIME: TimeLeft = TimeLeft {
     left_ms: 1_000,
