--- a/plugins/callers/src/driver.rs
+++ b/plugins/callers/src/driver.rs
@@ -9,8 +9,8 @@
 use jacinthweir_kernel::reply::Refusal;
 use jacinthweir_policy::admission::{self, Work};
 use jacinthweir_policy::journal::{End, Event, Journal, Repeat};
-use jacinthweir_policy::retry::{BadEnd, Decision, GiveUp};
-use jacinthweir_policy::route::{Pick, Route};
+use jacinthweir_policy::retry::{AttemptFailure, Decision, GiveUp};
+use jacinthweir_policy::route::{Route, RouteRequest};
 use jacinthweir_wire::caller::ErrorCode;
 use jacinthweir_wire::runner::{EndFrame, Refused, RefusedCode, prefix_hash};
 use tokio::sync::mpsc;
@@ -168,7 +168,7 @@
             }
             let route = self.find_route().await?;
             let number = self.running.journal().next_attempt();
-            self.cx.router().sent(self.cx.clock.now(), &route);
+            self.cx.router().record_sent(self.cx.clock.now(), &route);
             let end = self.attempt(number, &route).await;
             self.count_route(&route, &end);
             match end {
@@ -228,7 +228,7 @@
         let name = self.model_name();
         let model = router.model(&name);
         let model = model.ok_or_else(|| Stop::NoRoute(format!("model {name} is not planned")))?;
-        let pick = Pick {
+        let pick = RouteRequest {
             model,
             prefix_hash: prefix_hash(&self.accepted.prompt.text),
             prompt_tokens: self.prompt_tokens(),
@@ -245,21 +245,21 @@
         match end {
             AttemptEnd::Broken(runner) => {
                 let runner = runner.as_ref().and_then(|name| router.runner(name));
-                router.failed(now, route, runner);
+                router.record_failure(now, route, runner);
             }
             AttemptEnd::NeverSent => {
                 let first = route.stages.first().map(|s| s.runner);
-                router.failed(now, route, first);
+                router.record_failure(now, route, first);
             }
-            AttemptEnd::Stalled => router.failed(now, route, None),
+            AttemptEnd::Stalled => router.record_failure(now, route, None),
             AttemptEnd::Refused(refused) if refused.code == RefusedCode::Unreachable => {
                 let runner = refused.runner.as_ref().and_then(|name| router.runner(name));
-                router.failed(now, route, runner);
+                router.record_failure(now, route, runner);
             }
             AttemptEnd::Whole(_)
             | AttemptEnd::Refused(_)
             | AttemptEnd::DeadlinePassed
-            | AttemptEnd::CallerLeft => router.finished(now, route),
+            | AttemptEnd::CallerLeft => router.record_finished(now, route),
         }
     }
 
@@ -268,8 +268,8 @@
         // Taken from the budget, a lost failure domain used it up on dead runners, and the streams
         // that had run there could not be resumed.
         let end = match refused.code {
-            RefusedCode::Unreachable => BadEnd::NeverSent,
-            _ => BadEnd::Refused {
+            RefusedCode::Unreachable => AttemptFailure::NeverSent,
+            _ => AttemptFailure::Refused {
                 retry_after_ms: refused.retry_after_ms,
             },
         };
@@ -287,13 +287,13 @@
 
     fn after_never_sent(&mut self, route: &Route) -> Result<(), Stop> {
         self.avoid_first(route);
-        self.may_retry(BadEnd::NeverSent)
+        self.may_retry(AttemptFailure::NeverSent)
     }
 
     fn after_break(&mut self, route: &Route, runner: Option<&Name>) -> Result<(), Stop> {
         metrics::counter!("jacinthweir_attempts_broken_total").increment(1);
         self.avoid_named_or_first(route, runner);
-        self.may_retry(BadEnd::BrokenOff)
+        self.may_retry(AttemptFailure::BrokenOff)
     }
 
     /// A stall does not say which stage is at fault: the next attempt avoids all that were not
@@ -305,10 +305,10 @@
             blamed = route.stages.iter().map(|s| s.runner).collect();
         }
         blamed.into_iter().for_each(|runner| self.avoid(runner));
-        self.may_retry(BadEnd::BrokenOff)
+        self.may_retry(AttemptFailure::BrokenOff)
     }
 
-    fn may_retry(&self, end: BadEnd) -> Result<(), Stop> {
+    fn may_retry(&self, end: AttemptFailure) -> Result<(), Stop> {
         let pipeline = &self.accepted.prompt.pipeline;
         let in_flight = u32::try_from(self.cx.gate.in_flight()).unwrap_or(u32::MAX);
         let left_ms = self.remaining_ms();
--- a/plugins/relay/src/stream.rs
+++ b/plugins/relay/src/stream.rs
@@ -12,9 +12,9 @@
 use http::{Response, StatusCode};
 use jacinthweir_clients::direct::AnswerBody;
 use jacinthweir_platform::{header, runner};
-use jacinthweir_policy::need::Need;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::chain_selection;
+use jacinthweir_policy::retry_priority::RetryPriority;
 use tokio::time::{sleep, timeout};
 
 use crate::admit::{self, Place};
@@ -314,7 +314,10 @@
     }
 
     fn may_run_again(&self) -> bool {
-        self.rq.class.repeatable() && self.node.has_repeat(&self.rq.service, Need::Owed)
+        self.rq.class.repeatable()
+            && self
+                .node
+                .has_repeat(&self.rq.service, RetryPriority::Committed)
     }
 
     /// A share of the caller's patience, in milliseconds.
@@ -394,7 +397,10 @@
     async fn try_on(&mut self) -> Result<(Passage, Response<AnswerBody>), GivenUp> {
         let live = self.next_chain().ok_or(GivenUp::NoChain)?;
         // Each send counts, also one that a runner refuses.
-        if !self.node.take_repeat(&self.rq.service, Need::Owed) {
+        if !self
+            .node
+            .take_repeat(&self.rq.service, RetryPriority::Committed)
+        {
             return Err(GivenUp::NoRepeat);
         }
         let after = self.events.last();
--- a/policy/src/relay/shared_retry_budget.rs
+++ b/policy/src/relay/shared_retry_budget.rs
@@ -13,14 +13,14 @@
 //! Borrowed retries are subtracted from the guaranteed parts of the other instances. Otherwise they
 //! would be spent twice, and exceed the bound once the others need their parts.
 //!
-//! Requests that can be refused truthfully leave the last retries to those that cannot: see [`Need`].
+//! Requests that can be refused truthfully leave the last retries to those that cannot: see [`RetryPriority`].
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-use crate::need::Need;
 use crate::prelude::*;
+use crate::retry_priority::RetryPriority;
 
 /// Bound on the retries of all instances together.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -137,10 +137,10 @@
         now: Millis,
         cfg: &SharedRetryBudgetConfig,
         instances: usize,
-        need: Need,
+        need: RetryPriority,
     ) -> bool {
         let guaranteed = self.guaranteed(now, cfg, instances);
-        let reserved = need.leaves(guaranteed.total);
+        let reserved = need.reserved(guaranteed.total);
         let available = guaranteed.left >= 1.0 || self.loan >= 1.0;
         available && guaranteed.left.max(0.0) + self.loan >= 1.0 + reserved
     }
@@ -151,7 +151,7 @@
         now: Millis,
         cfg: &SharedRetryBudgetConfig,
         instances: usize,
-        need: Need,
+        need: RetryPriority,
     ) -> bool {
         if !self.has_retry(now, cfg, instances, need) {
             return false;
--- a/policy/tests/relay_rules.rs
+++ b/policy/tests/relay_rules.rs
@@ -5,7 +5,6 @@
 mod support;
 
 use googletest::prelude::*;
-use jacinthweir_policy::need::Need;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::attempts::Attempts;
 use jacinthweir_policy::relay::chain_selection::{
@@ -19,6 +18,7 @@
     RetryCounts, SharedRetryBudget, SharedRetryBudgetConfig,
 };
 use jacinthweir_policy::relay::vouch::Vouch;
+use jacinthweir_policy::retry_priority::RetryPriority;
 use support::runner;
 
 fn route(name: &str, prefix: &str) -> Route {
@@ -280,7 +280,7 @@
         let one = &mut instances[(now / 10 % 6) as usize];
         one.record_request(now, &cfg);
         requests.push(now);
-        if one.take_retry(now, &cfg, 6, Need::Owed) {
+        if one.take_retry(now, &cfg, 6, RetryPriority::Committed) {
             repeats.push(now);
         }
     }
@@ -321,7 +321,7 @@
             if (at..at + 100).contains(&now) {
                 let wanted = two.iter_mut().map(|s| {
                     (0..6)
-                        .filter(|_| s.take_retry(now, &cfg, 6, Need::Owed))
+                        .filter(|_| s.take_retry(now, &cfg, 6, RetryPriority::Committed))
                         .count()
                 });
                 taken[burst] += wanted.sum::<usize>();
@@ -357,7 +357,7 @@
     for s in &mut all {
         s.update_loan(10_000, &cfg, others, 70);
         sent += (0..100)
-            .filter(|_| s.take_retry(10_000, &cfg, 70, Need::Owed))
+            .filter(|_| s.take_retry(10_000, &cfg, 70, RetryPriority::Committed))
             .count();
     }
     let bound = 0.2 * f64::from(own.requests * 70) + 326.0;
@@ -394,7 +394,7 @@
                 requests += 1;
             }
             let breaks = now >= if i < 2 { 3_000 } else { 9_000 };
-            let sent = breaks && one.take_retry(now, &cfg, INSTANCES, Need::Owed);
+            let sent = breaks && one.take_retry(now, &cfg, INSTANCES, RetryPriority::Committed);
             repeats += u32::from(sent);
         }
     }
@@ -418,7 +418,7 @@
     };
     one.update_loan(0, &cfg, spent, 6);
     let taken = (0..100)
-        .filter(|_| one.take_retry(0, &cfg, 6, Need::Owed))
+        .filter(|_| one.take_retry(0, &cfg, 6, RetryPriority::Committed))
         .count();
     // Its own part of the slack, and no more.
     expect_that!(taken, eq(8));
@@ -483,21 +483,21 @@
     };
     let mut one = SharedRetryBudget::default();
     (0..100).for_each(|_| one.record_request(0, &cfg));
-    let refusable = (0..1_000).filter(|_| one.take_retry(0, &cfg, 6, Need::Refusable));
+    let refusable = (0..1_000).filter(|_| one.take_retry(0, &cfg, 6, RetryPriority::Refusable));
     let refusable = refusable.count();
-    let owed = (0..1_000).filter(|_| one.take_retry(0, &cfg, 6, Need::Owed));
+    let owed = (0..1_000).filter(|_| one.take_retry(0, &cfg, 6, RetryPriority::Committed));
     let owed = owed.count();
     let mut other = SharedRetryBudget::default();
     (0..100).for_each(|_| other.record_request(0, &cfg));
-    let all = (0..1_000).filter(|_| other.take_retry(0, &cfg, 6, Need::Owed));
+    let all = (0..1_000).filter(|_| other.take_retry(0, &cfg, 6, RetryPriority::Committed));
     expect_that!(refusable + owed, eq(all.count()));
     expect_that!(owed, ge(10));
     expect_that!(refusable, ge(owed));
 
     // A loan is available to both as well, except for the reserved part.
     other.update_loan(0, &cfg, RetryCounts::default(), 6);
-    let refusable = (0..1_000).filter(|_| other.take_retry(0, &cfg, 6, Need::Refusable));
+    let refusable = (0..1_000).filter(|_| other.take_retry(0, &cfg, 6, RetryPriority::Refusable));
     expect_that!(refusable.count(), gt(0));
-    let owed = (0..1_000).filter(|_| other.take_retry(0, &cfg, 6, Need::Owed));
+    let owed = (0..1_000).filter(|_| other.take_retry(0, &cfg, 6, RetryPriority::Committed));
     expect_that!(owed.count(), gt(0));
 }
--- a/policy/tests/support/route.rs
+++ b/policy/tests/support/route.rs
@@ -1,8 +1,8 @@
-//! Made-up runners for tests of routes.
+//! Models and runner reports for routing tests.
 
 use jacinthweir_policy::layers::LayerRange;
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::route::{Held, ModelSpec, Pick, RunnerSeen};
+use jacinthweir_policy::route::{HeldRange, ModelSpec, RouteRequest, RunnerReport};
 
 pub fn model_id() -> ModelId {
     ModelId::from_u32(0)
@@ -17,16 +17,17 @@
     }
 }
 
-/// First report of a runner with speed 1,000 in domain `d`.
-pub fn seen(name: &str, start: u32, end: u32) -> RunnerSeen {
-    RunnerSeen {
+/// Returns the first report of a runner in domain `d` with a speed of 1,000 token-layers per
+/// second.
+pub fn report(name: &str, start: u32, end: u32) -> RunnerReport {
+    RunnerReport {
         name: name.into(),
         incarnation: 1,
         number: 1,
         address: ([127, 0, 0, 1], 1).into(),
         domain: "d".into(),
         accelerator: "kind".into(),
-        holds: vec![Held {
+        holds: vec![HeldRange {
             model: "m".into(),
             layers: LayerRange::new(start, end),
         }],
@@ -38,8 +39,9 @@
     }
 }
 
-pub fn want(avoid: &[RunnerId]) -> Pick<'_> {
-    Pick {
+/// Returns a request for a route that excludes the runners in `avoid`.
+pub fn request(avoid: &[RunnerId]) -> RouteRequest<'_> {
+    RouteRequest {
         model: model_id(),
         prefix_hash: None,
         prompt_tokens: 100,
--- a/testkit/src/bench/route_run.rs
+++ b/testkit/src/bench/route_run.rs
@@ -11,7 +11,7 @@
 use super::fleet::Fleet;
 use hdrhistogram::Histogram;
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::route::{Pick, Route, Router, RouterConfig, RunnerSeen};
+use jacinthweir_policy::route::{Route, RouteRequest, Router, RouterConfig, RunnerReport};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -279,7 +279,7 @@
         }
         let route = self.choose(instance, prompt as u32, tokens);
         let now_ms = self.now_ms();
-        self.routers[instance].sent(now_ms, &route);
+        self.routers[instance].record_sent(now_ms, &route);
         self.own[instance] += 1;
         self.start(instance, route, prompt, tokens);
     }
@@ -288,7 +288,7 @@
         let model = ModelId::from_u32(0);
         let router = &self.routers[instance];
         if let Choice::Flow(_) | Choice::FlowUnscaled(_) = self.cfg.choice {
-            let pick = Pick {
+            let pick = RouteRequest {
                 model,
                 prefix_hash: None,
                 prompt_tokens,
@@ -438,7 +438,7 @@
         let instance = flight.instance as usize;
         self.own[instance] -= 1;
         let now_ms = self.now_ms();
-        self.routers[instance].finished(now_ms, &flight.route);
+        self.routers[instance].record_finished(now_ms, &flight.route);
     }
 
     /// Takes the figures of each runner and sends them to each instance.
@@ -463,7 +463,7 @@
 
     fn report(&mut self, instance: usize, runner: usize, figures: u32, taken_ms: u64) {
         let now_ms = self.now_ms();
-        let seen = RunnerSeen {
+        let seen = RunnerReport {
             number: 1 + taken_ms / self.cfg.report_every_ms,
             running: figures,
             age_ms: now_ms - taken_ms,
