--- a/policy/src/claim.rs
+++ b/policy/src/claim.rs
@@ -1,11 +1,12 @@
-//! At most once: the claim of one submission of a non-idempotent call that carries a key.
+//! At-most-once execution of non-idempotent calls that carry an idempotency key.
 //!
-//! Before the first byte goes to the upstream, the claimant creates `claims/{organisation}/{key}`
-//! in the platform if nothing stands there, with a nonce of its own. Only the holder of that
-//! nonce dispatches. The machine here is driven with one platform answer at a time:
+//! Before the first byte is sent to the upstream, the claimant creates
+//! `claims/{organisation}/{key}` in the platform with a create-if-absent write that carries a
+//! unique nonce. Only the holder of that nonce dispatches. [`Claim`] is a state machine that the
+//! driver feeds with one platform response at a time:
 //!
 //! ```text
-//!            written                     may go     over
+//!            written             granted           ended
 //! Creating ----------> Claimed ---------> Running -------> Recording -> Over
 //!   |  ^                  ^                (dispatched)     (outcome written to the claim)
 //!   |  | absent           | own nonce
@@ -13,18 +14,18 @@
 //! ReadingBack ------------+
 //!   |  \--> foreign, finished: its recorded answer, or a conflict if the body differs
 //!   |   \-> foreign, open: Waiting, then "still running", or "unknown" if the claimant is dead
-//!   |    \> foreign, released: Reclaiming (compare-and-set), as its holder says it never ran
+//!   |    \> foreign, released: Reclaiming (compare-and-set); its holder will never run it
 //!   v
-//! given up: fenced, "not run" -> Abandoning (stop the write that may still land) -> Over
+//! given up: fenced, "not run" -> Abandoning (invalidate an unresolved write) -> Over
 //! ```
 //!
 //! Invariants:
-//! - [`Claim::begin_dispatch`] grants at most once, only with the claim seen to be held, and never
-//!   after "not run" was answered: the fence is set before the answer is given out;
-//! - an open claim is never taken over: whoever finds it waits, and if the claimant is dead the
-//!   outcome is unknown;
+//! - [`Claim::begin_dispatch`] grants at most once, only after the claim is known to be held, and
+//!   never after "not run" was answered: the fence is set before the answer is returned;
+//! - an open claim is never taken over: other submissions wait for it, and if the claimant is dead
+//!   the outcome is unknown;
 //! - only the holder of a claim releases it, after which it can't dispatch; every later write is
-//!   conditional on the version it saw, so that a late one can't undo a newer claim;
+//!   conditional on the version that was read, so that a delayed write can't undo a newer claim;
 //! - every write of one submission carries the same nonce.
 
 mod key;
@@ -38,28 +39,27 @@
 
 use crate::prelude::*;
 
-/// The longest time that a submission with a claim may wait or run, in milliseconds. The margin
-/// of deletion has to be longer.
+/// Maximum time that a submission with a claim may wait or run, in milliseconds.
+/// [`ClaimConfig::margin_ms`] has to be longer.
 pub const LONGEST_DEADLINE_MS: u64 = 3_600_000;
 
-/// Settings of claims.
+/// Configuration of claims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ClaimConfig {
-    /// Age of a key from which it is refused, in milliseconds.
+    /// Age of a key at which it is refused as expired, in milliseconds.
     pub retention_ms: u64,
-    /// Time that an expired claim is kept beyond [`Self::retention_ms`], in milliseconds. Must be
-    /// above [`LONGEST_DEADLINE_MS`] plus the greatest difference between two instances' clocks.
+    /// Time that an expired claim is kept beyond [`Self::retention_ms`], in milliseconds. Must
+    /// exceed [`LONGEST_DEADLINE_MS`] plus the maximum clock skew between two instances.
     pub margin_ms: u64,
-    /// How long the platform may fail to answer before a claim is given up, in milliseconds.
-    pub patience_ms: u64,
-    /// How long a finished claim's outcome, or a given-up claim's release, is tried to be
-    /// written, in milliseconds.
-    pub record_patience_ms: u64,
-    /// First pause between two tries, in milliseconds; it doubles.
-    pub first_pause_ms: u64,
-    /// Longest pause between two tries, in milliseconds.
-    pub longest_pause_ms: u64,
-    /// Time after an open claim's own deadline from which its claimant counts as dead, in
+    /// Time without a usable platform response after which claiming is given up, in milliseconds.
+    pub platform_timeout_ms: u64,
+    /// Time for which writing the outcome or the release of a claim is retried, in milliseconds.
+    pub record_timeout_ms: u64,
+    /// Initial delay of the exponential backoff between retries, in milliseconds.
+    pub initial_backoff_ms: u64,
+    /// Maximum delay between retries, in milliseconds.
+    pub max_backoff_ms: u64,
+    /// Time past an open claim's own deadline after which its claimant is considered dead, in
     /// milliseconds.
     pub grace_ms: u64,
 }
@@ -69,135 +69,135 @@
         Self {
             retention_ms: 24 * 3_600_000,
             margin_ms: 2 * 3_600_000,
-            patience_ms: 2_000,
-            record_patience_ms: 120_000,
-            first_pause_ms: 20,
-            longest_pause_ms: 1_000,
+            platform_timeout_ms: 2_000,
+            record_timeout_ms: 120_000,
+            initial_backoff_ms: 20,
+            max_backoff_ms: 1_000,
             grace_ms: 10_000,
         }
     }
 }
 
-/// One submission that wants to run.
+/// One submission of a call that requests execution.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Submission {
-    /// Where its claim stands.
+    /// Key of its claim in the platform.
     pub key: ClaimKey,
-    /// This instance.
+    /// Name of this instance.
     pub claimant: Name,
     /// This instance's incarnation.
     pub incarnation: u64,
-    /// Random, never used for another submission.
+    /// Random value that identifies this submission; never reused.
     pub nonce: Name,
     /// Request id.
     pub request: Name,
     /// `service/call`.
     pub call: Name,
-    /// SHA-256 of call and body, as hexadecimal digits: tells the same key with another body.
+    /// SHA-256 of call and body, as hexadecimal digits: detects reuse of a key with another body.
     pub body_sha256: Name,
-    /// When the caller no longer waits.
+    /// Deadline of the caller.
     pub deadline: Now,
 }
 
-/// What the driver saw.
+/// Input from the driver to the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// Answer to [`Action::Create`] or [`Action::Update`].
+    /// Result of [`Action::Create`] or [`Action::Update`].
     Write(WriteAnswer),
-    /// Answer to [`Action::Read`].
+    /// Result of [`Action::Read`].
     Read(ReadAnswer),
-    /// The pause is over.
+    /// The time of an [`Action::Pause`] was reached.
     Timer,
-    /// The dispatch that [`Claim::begin_dispatch`] granted is over.
+    /// The dispatch that [`Claim::begin_dispatch`] granted has ended.
     Dispatched(DispatchEnd),
 }
 
-/// How a conditional write went.
+/// Result of a conditional write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WriteAnswer {
-    /// It took effect and gave this version.
+    /// It took effect and produced this version.
     Written(u64),
-    /// The condition did not hold; it had and will have no effect.
+    /// The condition did not hold: the write had and will have no effect.
     Stale,
-    /// The platform refused it (rate exceeded, out of service): no effect.
+    /// The platform refused it (rate limit exceeded, out of service): no effect.
     NoEffect,
-    /// No answer: it may have taken effect, or may still.
+    /// No response: it may have taken effect, or may still do so.
     Lost,
 }
 
-/// How a read went.
+/// Result of a read.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ReadAnswer {
-    /// This stands.
+    /// A readable record is present.
     Found {
-        /// The claim.
+        /// The record.
         record: Box<ClaimRecord>,
         /// Its version.
         version: u64,
-        /// Whether its claimant, in that incarnation, is known to be gone.
+        /// Whether this incarnation of its claimant is known to be gone.
         claimant_gone: bool,
     },
-    /// What stands can't be understood (a newer instance's format, or damage).
+    /// The stored value can't be parsed (the format of a newer release, or corruption).
     Unreadable,
-    /// Nothing stands.
+    /// No record is present.
     Absent,
-    /// No answer.
+    /// No response.
     Failed,
 }
 
-/// How the dispatch ended.
+/// Result of the dispatch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum DispatchEnd {
-    /// The journal says "not run": the upstream refused, or no connection was opened.
+    /// It certainly did not run: the upstream refused, or no connection was opened.
     NotRun,
-    /// It ran, or may have.
+    /// It ran, or may have run.
     Ran(Finished),
 }
 
-/// What the driver is to do. Each but the last two is answered by an [`Event`].
+/// Operation for the driver to carry out. Each but the last two results in an [`Event`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Write the record if nothing stands at the key.
+    /// Write the record if none is present at the key.
     Create(Box<ClaimRecord>),
-    /// Write the record if this version stands at the key.
+    /// Write the record if the key has this version.
     Update {
-        /// What to write.
+        /// Record to write.
         record: Box<ClaimRecord>,
-        /// The version that has to stand.
+        /// Required current version.
         version: u64,
     },
-    /// Read what stands at the key.
+    /// Read the record at the key.
     Read,
-    /// Wait until this time, then [`Event::Timer`].
+    /// Wait until this time, then send [`Event::Timer`].
     Pause(Now),
     /// Call [`Claim::begin_dispatch`] and, if it grants, dispatch.
     Dispatch,
-    /// Give this answer to the caller and go on.
+    /// Return this answer to the caller and continue with the next action.
     Answer(Answer),
-    /// Nothing is left to do.
+    /// The state machine has terminated.
     Over,
 }
 
-/// What the caller of this submission is told.
+/// Answer to the caller of this submission.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
-    /// Nothing of it ran, and nothing of it will.
+    /// It did not run and never will.
     NotRun(NotRunCause),
-    /// What an earlier submission with the same key ended with.
+    /// Recorded outcome of an earlier submission with the same key.
     Recorded(Box<Recorded>),
-    /// The key was used for another call or body; this one did not run.
+    /// The key was used for another call or body; this submission did not run.
     KeyConflict,
-    /// An earlier submission with the same key still runs.
+    /// An earlier submission with the same key is still running.
     StillRunning,
     /// An earlier submission with the same key may have run; its claimant is gone, or its claim
-    /// can't be read.
+    /// is unreadable.
     Unknown(Option<Earlier>),
 }
 
 /// An earlier submission with the same key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Earlier {
-    /// Instance that held the claim.
+    /// Instance that held its claim.
     pub claimant: Name,
     /// Its request id.
     pub request: Name,
@@ -207,19 +207,19 @@
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq, Hash)]
 #[display(rename_all = "snake_case")]
 pub enum NotRunCause {
-    /// The key is older than the retention of claims.
+    /// The key is older than [`ClaimConfig::retention_ms`].
     KeyExpired,
-    /// The platform did not answer.
+    /// The platform did not respond in time.
     PlatformDown,
     /// The caller's deadline passed before the dispatch.
     DeadlinePassed,
-    /// The caller left, or the instance shuts down.
+    /// The caller disconnected, or the instance is shutting down.
     Cancelled,
-    /// The dispatch was refused before anything ran; the driver knows the cause.
+    /// The dispatch failed before anything ran; the driver knows the cause.
     NotDispatched,
 }
 
-/// Where the machine stands.
+/// State of a [`Claim`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     Creating,
@@ -233,7 +233,7 @@
     Over,
 }
 
-/// Writing the end of a held claim.
+/// Retries of the write that ends a held claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Recording {
     state: ClaimState,
@@ -241,71 +241,75 @@
     until: Now,
 }
 
-/// Stopping a write that may still land.
+/// Retries to invalidate an unresolved write.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Abandoning {
     until: Now,
 }
 
-/// The claim of one submission.
+/// State machine for the claim of one submission.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Claim {
     cfg: ClaimConfig,
     submission: Submission,
     phase: Phase,
-    /// What the pause leads to: a read, or the write of the phase.
-    after_pause_read: bool,
-    /// Whether a write of this nonce may have landed, or may still.
-    may_land: bool,
-    /// Whether something was seen to stand at the key that is not of this nonce.
-    foreign_seen: bool,
-    /// Whether that one may have run, as far as is known.
+    /// Whether a read follows the pause, rather than the write of the phase.
+    read_after_pause: bool,
+    /// Whether a write with this nonce may have taken effect, or may still do so.
+    write_unresolved: bool,
+    /// Whether a record with another nonce is known to have been at the key.
+    foreign_claim_seen: bool,
+    /// Whether the submission of that record may have run.
     earlier_may_have_run: bool,
-    /// The newest of what was seen to stand there.
+    /// Submission of the last such record that was read.
     earlier: Option<Earlier>,
-    /// Set before "not run" is answered; never dispatched from then on.
+    /// Set before an answer is returned; no dispatch is granted from then on.
     fenced: bool,
-    patience: Now,
-    pause_ms: u64,
+    /// Time at which claiming is given up without a usable platform response.
+    platform_deadline: Now,
+    backoff_ms: u64,
 }
 
 impl Claim {
-    /// Opens the claim of a submission; gives what to do first.
+    /// Starts claiming for a submission; returns the first actions.
     ///
-    /// A deadline beyond [`LONGEST_DEADLINE_MS`] is cut to it.
+    /// The deadline is capped at [`LONGEST_DEADLINE_MS`] from now.
     pub fn open(cfg: ClaimConfig, mut submission: Submission, now: Now) -> (Self, Vec<Action>) {
         submission.deadline = submission.deadline.earlier(now.plus(LONGEST_DEADLINE_MS));
-        let patience = now.plus(cfg.patience_ms).earlier(submission.deadline);
+        let platform_deadline = now
+            .plus(cfg.platform_timeout_ms)
+            .earlier(submission.deadline);
         let mut claim = Self {
             cfg,
             submission,
             phase: Phase::Creating,
-            after_pause_read: false,
-            may_land: false,
-            foreign_seen: false,
+            read_after_pause: false,
+            write_unresolved: false,
+            foreign_claim_seen: false,
             earlier_may_have_run: false,
             earlier: None,
             fenced: false,
-            patience,
-            pause_ms: cfg.first_pause_ms,
+            platform_deadline,
+            backoff_ms: cfg.initial_backoff_ms,
         };
-        let actions = match claim.refused_at_once(now) {
+        let actions = match claim.immediate_refusal(now) {
             Some(cause) => claim.refuse(cause),
             None => vec![claim.create(ClaimState::Open)],
         };
         (claim, actions)
     }
 
-    /// Asks to dispatch, right before the first byte goes out. Grants at most once.
+    /// Requests permission to dispatch, right before the first byte is sent. Grants at most once.
     ///
-    /// The instance may have been frozen since the claim was made. As a claim is never taken
-    /// over, dispatching late would still be at most once; but the caller's deadline may have
-    /// passed on a clock that ran on, and an expired claim may have been deleted. The margin of
-    /// deletion is longer than any deadline, so the deadline on both clocks covers both.
+    /// The process may have been suspended since the claim was created. As a claim is never taken
+    /// over, a late dispatch would still be the only one; but the caller's deadline may have
+    /// passed on a clock that kept running, and an expired claim may have been deleted. The
+    /// deletion margin exceeds any deadline, so checking the deadline on both clocks rules out
+    /// both.
     ///
     /// # Errors
     ///
-    /// What to do instead: the submission is fenced, and "not run" is its answer.
+    /// Returns the actions to take instead: the submission is fenced and answered with "not run".
     pub fn begin_dispatch(&mut self, now: Now) -> Result<(), Vec<Action>> {
         let Phase::Claimed { version } = self.phase else {
             return Err(Vec::new());
@@ -320,35 +324,37 @@
         Ok(())
     }
 
-    /// Gives up, as the caller left or the instance is shutting down: fences the submission if it
-    /// was not dispatched. A dispatched one goes on, as its outcome has to be recorded.
+    /// Cancels the submission, because the caller disconnected or the instance is shutting down.
+    ///
+    /// Fences it if it was not dispatched. A dispatched one continues, as its outcome has to be
+    /// recorded.
     pub fn cancel(&mut self, now: Now) -> Vec<Action> {
         match self.phase {
             Phase::Running { .. } | Phase::Recording(_) | Phase::Abandoning(_) | Phase::Over => {
                 Vec::new()
             }
             Phase::Claimed { version } => self.release(now, version, NotRunCause::Cancelled),
-            Phase::Waiting => self.finish(Answer::StillRunning),
+            Phase::Waiting => self.answer_and_terminate(Answer::StillRunning),
             _ => self.give_up(now, NotRunCause::Cancelled),
         }
     }
 
-    /// Whether nothing is left to do.
+    /// Whether the state machine has terminated.
     pub fn is_over(&self) -> bool {
         self.phase == Phase::Over
     }
 
-    /// Whether the dispatch was granted.
+    /// Whether the dispatch was granted and has not ended.
     pub fn was_dispatched(&self) -> bool {
         matches!(self.phase, Phase::Running { .. })
     }
 
-    /// The submission.
+    /// The submission that is claimed for.
     pub fn submission(&self) -> &Submission {
         &self.submission
     }
 
-    fn refused_at_once(&self, now: Now) -> Option<NotRunCause> {
+    fn immediate_refusal(&self, now: Now) -> Option<NotRunCause> {
         if self.submission.key.is_expired(now.unix_ms, &self.cfg) {
             return Some(NotRunCause::KeyExpired);
         }
--- a/policy/src/claim/key.rs
+++ b/policy/src/claim/key.rs
@@ -1,19 +1,19 @@
-//! Keys of claims: where a claim stands, and when its key expires.
+//! Keys of claims: their path in the platform and their expiry.
 
 use super::ClaimConfig;
 use crate::prelude::*;
 use derive_more::{Display, Error};
 
-/// The longest key that a caller may give, in bytes.
+/// Maximum length of a caller's idempotency key, in bytes.
 pub const MAX_KEY_BYTES: usize = 128;
-/// Hexadecimal digits of a UUID without its dashes.
+/// Number of hexadecimal digits of a UUID.
 const UUID_DIGITS: usize = 32;
-/// Digits of a UUIDv7 that hold its Unix time in milliseconds.
+/// Number of leading digits of a UUIDv7 that encode its Unix time in milliseconds.
 const UUID_TIME_DIGITS: usize = 12;
-/// Position of the digit that tells a UUID's version.
+/// Index of the digit that encodes a UUID's version.
 const UUID_VERSION_DIGIT: usize = 12;
 
-/// Why a caller's key is refused.
+/// Reason for refusing a caller's key.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum KeyFault {
     /// It is empty.
@@ -27,22 +27,22 @@
     BadCharacter,
 }
 
-/// Where a claim stands in the platform.
+/// Path of a claim in the platform.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("claims/{organisation}/{key}")]
 pub struct ClaimKey {
     organisation: Name,
     key: Name,
-    made_ms: Option<Millis>,
+    created_ms: Option<Millis>,
 }
 
 impl ClaimKey {
-    /// The key that a caller of an organisation gave. UUIDs are taken in lower case, so that one
-    /// UUID has one claim.
+    /// Validates a key given by a caller of an organisation. UUIDs are converted to lower case, so
+    /// that one UUID has one claim.
     ///
     /// # Errors
     ///
-    /// What is wrong with it.
+    /// Returns why the key is refused.
     pub fn new(organisation: Name, key: &str) -> Result<Self, KeyFault> {
         if key.is_empty() {
             return Err(KeyFault::Empty);
@@ -50,9 +50,9 @@
         if key.len() > MAX_KEY_BYTES {
             return Err(KeyFault::TooLong);
         }
-        // The key becomes a part of a path: `/` or `?` would make it another organisation's.
-        let fits = |b: u8| b.is_ascii_alphanumeric() || b"-_.~:".contains(&b);
-        if !key.bytes().all(fits) || key.bytes().all(|b| b == b'.') {
+        // The key becomes part of a path: with `/` or `?` it could name another organisation's.
+        let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.~:".contains(&b);
+        if !key.bytes().all(is_allowed) || key.bytes().all(|b| b == b'.') {
             return Err(KeyFault::BadCharacter);
         }
         let digits = uuid_digits(key);
@@ -63,44 +63,46 @@
         Ok(Self {
             organisation,
             key,
-            made_ms: digits.as_deref().and_then(uuid_time),
+            created_ms: digits.as_deref().and_then(uuid_time),
         })
     }
 
-    /// The key as the caller gave it; a UUID in lower case.
+    /// Returns the key as the caller gave it; a UUID in lower case.
     pub fn key(&self) -> &Name {
         &self.key
     }
 
-    /// When the key was made, in Unix milliseconds, where it says so (UUIDv7).
-    pub fn made_ms(&self) -> Option<Millis> {
-        self.made_ms
+    /// Returns the creation time of the key in Unix milliseconds, where it contains one (UUIDv7).
+    pub fn created_ms(&self) -> Option<Millis> {
+        self.created_ms
     }
 
     /// Whether the key is too old to be claimed.
     ///
-    /// A key that does not say when it was made never expires, and its claim is never deleted.
+    /// A key without a creation time never expires, and its claim is never deleted.
     pub fn is_expired(&self, unix_ms: Millis, cfg: &ClaimConfig) -> bool {
-        self.made_ms
-            .is_some_and(|made| made.saturating_add(cfg.retention_ms) <= unix_ms)
+        self.created_ms
+            .is_some_and(|created| created.saturating_add(cfg.retention_ms) <= unix_ms)
     }
 
-    /// Whether its claim may be deleted: the key is expired for every instance whose clock is
-    /// wrong by less than the margin, and no deadline of a submission made before reaches here.
+    /// Whether its claim may be deleted.
+    ///
+    /// From then on the key is expired for every instance whose clock is off by less than the
+    /// margin, and the deadlines of all submissions made before its expiry have passed.
     pub fn is_deletable(&self, unix_ms: Millis, cfg: &ClaimConfig) -> bool {
         let kept = cfg.retention_ms + cfg.margin_ms;
-        self.made_ms
-            .is_some_and(|made| made.saturating_add(kept) <= unix_ms)
+        self.created_ms
+            .is_some_and(|created| created.saturating_add(kept) <= unix_ms)
     }
 }
 
-/// The digits of a UUID in lower case, where `key` is one.
+/// Returns the digits in lower case if `key` is a UUID.
 fn uuid_digits(key: &str) -> Option<String> {
-    let dashes_fit = key
+    let dashes_match = key
         .bytes()
         .enumerate()
         .all(|(i, b)| (b == b'-') == matches!(i, 8 | 13 | 18 | 23));
-    if key.len() != UUID_DIGITS + 4 || !dashes_fit {
+    if key.len() != UUID_DIGITS + 4 || !dashes_match {
         return None;
     }
     let digits: String = key.chars().filter(|c| *c != '-').collect();
@@ -108,7 +110,7 @@
     all_hex.then(|| digits.to_ascii_lowercase())
 }
 
-/// The Unix time in milliseconds of a UUIDv7's digits.
+/// Returns the Unix time in milliseconds that a UUIDv7's digits encode.
 fn uuid_time(digits: &str) -> Option<Millis> {
     if digits.as_bytes().get(UUID_VERSION_DIGIT) != Some(&b'7') {
         return None;
--- a/policy/src/claim/record.rs
+++ b/policy/src/claim/record.rs
@@ -1,10 +1,10 @@
-//! What stands in the platform at a claim's key.
+//! The record that the platform stores at a claim's key.
 
 use crate::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// The longest body of an answer that is kept, in bytes. Hexadecimal digits double it; the
-/// platform holds values up to a megabyte.
+/// Maximum length of an answer's body that is recorded, in bytes. Hexadecimal encoding doubles
+/// it; the platform accepts values up to a megabyte.
 pub const MAX_RECORDED_BODY: usize = 256 * 1024;
 
 /// A claim, as JSON text in the platform.
@@ -14,7 +14,7 @@
     pub claimant: Name,
     /// Its incarnation.
     pub incarnation: u64,
-    /// Tells this submission from every other.
+    /// Nonce that identifies the submission.
     pub nonce: Name,
     /// Request id of the submission.
     pub request: Name,
@@ -24,66 +24,66 @@
     pub body_sha256: Name,
     /// Deadline of the submission, in Unix milliseconds.
     pub deadline_ms: Millis,
-    /// How far it is.
+    /// State of the claim.
     pub state: ClaimState,
 }
 
-/// How far a claim is.
+/// State of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum ClaimState {
-    /// Its holder may dispatch, or has.
+    /// Its holder may dispatch, or has dispatched.
     Open,
-    /// Its holder did not dispatch, or nothing ran, and it never will: may be claimed anew.
+    /// Its holder did not dispatch, or nothing ran, and it never will: may be claimed again.
     Released,
-    /// It ran, or may have: final.
+    /// It ran, or may have run: final.
     Finished(Finished),
 }
 
-/// How a submission that was dispatched ended.
+/// Result of a dispatched submission.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Finished {
     /// Final outcome; never "not run".
     pub outcome: Outcome,
-    /// Upstream that it was sent to.
+    /// Upstream to which it was sent.
     pub upstream: Name,
-    /// HTTP status of the upstream's answer; 0: none.
+    /// HTTP status of the upstream's answer; 0 if there was none.
     pub status: u16,
-    /// Its content type.
+    /// Content type of the answer.
     pub content_type: Option<Name>,
-    /// How `body` is written.
+    /// Encoding of `body`.
     pub encoding: Encoding,
-    /// Its body.
+    /// Body of the answer.
     pub body: String,
-    /// Unix time of the end, in milliseconds.
+    /// Unix time at which it ended, in milliseconds.
     pub at_ms: Millis,
 }
 
-/// How a recorded body is written.
+/// Encoding of a recorded body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Encoding {
-    /// As it is.
+    /// UTF-8 text, unchanged.
     Text,
-    /// As hexadecimal digits.
+    /// Hexadecimal digits.
     Hex,
-    /// Left out: longer than [`MAX_RECORDED_BODY`].
+    /// Not recorded: longer than [`MAX_RECORDED_BODY`].
     Omitted,
 }
 
-/// What an earlier submission with the same key ended with.
+/// Recorded outcome of an earlier submission with the same key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Recorded {
     /// Instance that ran it.
     pub claimant: Name,
     /// Its request id.
     pub request: Name,
-    /// How it ended.
+    /// Its result.
     pub finished: Finished,
 }
 
 impl Finished {
-    /// An end without an answer: "failed" or "unknown".
+    /// Creates a result without an answer: "failed" or "unknown".
     pub fn without_answer(outcome: Outcome, upstream: Name, at_ms: Millis) -> Self {
         Self {
             outcome,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Keeps the body of the upstream's answer, unless it is too long.
+    /// Records the body of the upstream's answer, unless it exceeds [`MAX_RECORDED_BODY`].
     pub fn set_body(&mut self, body: &[u8]) {
         let (encoding, text) = match std::str::from_utf8(body) {
             _ if body.len() > MAX_RECORDED_BODY => (Encoding::Omitted, String::new()),
@@ -107,7 +107,7 @@
         self.body = text;
     }
 
-    /// The body, whole; `None` where it was too long to be kept, or is damaged.
+    /// Returns the whole body; `None` if it was too long to be recorded or is corrupt.
     pub fn body(&self) -> Option<Vec<u8>> {
         match self.encoding {
             Encoding::Text => Some(self.body.clone().into_bytes()),
@@ -118,12 +118,12 @@
 }
 
 impl ClaimRecord {
-    /// Reads what stands in the platform.
+    /// Parses the text stored in the platform.
     pub fn parse(text: &str) -> Option<Self> {
         serde_json::from_str(text).ok()
     }
 
-    /// The text to write to the platform.
+    /// Serialises the record for the platform.
     pub fn to_text(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
--- a/policy/src/claim/step.rs
+++ b/policy/src/claim/step.rs
@@ -1,4 +1,4 @@
-//! The transitions of a claim.
+//! State transitions of a claim.
 
 use super::{
     Abandoning, Action, Answer, Claim, ClaimRecord, ClaimState, DispatchEnd, Earlier, Event,
@@ -7,76 +7,76 @@
 use crate::prelude::*;
 
 impl Claim {
-    /// Takes in what the driver saw; gives what to do next.
+    /// Processes an event from the driver; returns the next actions.
     pub fn step(&mut self, now: Now, event: Event) -> Vec<Action> {
         match (self.phase.clone(), event) {
             (Phase::Over, _) => Vec::new(),
-            (_, Event::Timer) => self.after_pause(now),
+            (_, Event::Timer) => self.on_timer(now),
             (Phase::Running { version }, Event::Dispatched(end)) => {
-                self.dispatched(now, version, end)
+                self.on_dispatched(now, version, end)
             }
-            (Phase::Creating, Event::Write(answer)) => self.created(now, answer),
-            (Phase::Reclaiming { .. }, Event::Write(answer)) => self.created(now, answer),
-            (Phase::ReadingBack, Event::Read(answer)) => self.read_back(now, answer),
-            (Phase::Waiting, Event::Read(answer)) => self.read_back(now, answer),
+            (Phase::Creating, Event::Write(answer)) => self.on_create_result(now, answer),
+            (Phase::Reclaiming { .. }, Event::Write(answer)) => self.on_create_result(now, answer),
+            (Phase::ReadingBack, Event::Read(answer)) => self.on_read_result(now, answer),
+            (Phase::Waiting, Event::Read(answer)) => self.on_read_result(now, answer),
             (Phase::Recording(recording), Event::Write(answer)) => {
-                self.recorded(now, &recording, answer)
+                self.on_record_result(now, &recording, answer)
             }
             (Phase::Abandoning(abandoning), Event::Write(answer)) => {
-                self.abandon_written(now, &abandoning, answer)
+                self.on_abandon_write_result(now, &abandoning, answer)
             }
             (Phase::Abandoning(abandoning), Event::Read(answer)) => {
-                self.abandon_read(now, &abandoning, answer)
+                self.on_abandon_read_result(now, &abandoning, answer)
             }
-            // An answer that no phase waits for: the driver asked for nothing, so nothing follows.
+            // A result that the current phase does not wait for: no action follows.
             _ => Vec::new(),
         }
     }
 
-    /// The write of an open record, as create or as reclaim, was answered.
-    fn created(&mut self, now: Now, answer: WriteAnswer) -> Vec<Action> {
+    /// Handles the result of writing an open record, when creating or reclaiming.
+    fn on_create_result(&mut self, now: Now, answer: WriteAnswer) -> Vec<Action> {
         match answer {
-            WriteAnswer::Written(version) => self.claimed(version),
+            WriteAnswer::Written(version) => self.on_claimed(version),
             WriteAnswer::Stale => {
-                self.foreign_seen |= !self.may_land;
-                self.earlier_may_have_run |= !self.may_land;
-                self.start_read_back()
+                self.foreign_claim_seen |= !self.write_unresolved;
+                self.earlier_may_have_run |= !self.write_unresolved;
+                self.read_back()
             }
-            WriteAnswer::NoEffect => self.pause(now, false),
+            WriteAnswer::NoEffect => self.back_off(now, false),
             WriteAnswer::Lost => {
-                self.may_land = true;
-                self.start_read_back()
+                self.write_unresolved = true;
+                self.read_back()
             }
         }
     }
 
-    fn claimed(&mut self, version: u64) -> Vec<Action> {
+    fn on_claimed(&mut self, version: u64) -> Vec<Action> {
         self.phase = Phase::Claimed { version };
         vec![Action::Dispatch]
     }
 
-    fn start_read_back(&mut self) -> Vec<Action> {
+    fn read_back(&mut self) -> Vec<Action> {
         self.phase = Phase::ReadingBack;
         vec![Action::Read]
     }
 
-    /// What stands at the key, as it concerns a submission that wants to run.
-    fn read_back(&mut self, now: Now, answer: ReadAnswer) -> Vec<Action> {
+    /// Handles the result of a read while the claim is not held yet.
+    fn on_read_result(&mut self, now: Now, answer: ReadAnswer) -> Vec<Action> {
         match answer {
             ReadAnswer::Found {
                 record,
                 version,
                 claimant_gone,
-            } => self.found(now, *record, version, claimant_gone),
-            // The write of this nonce may still land, so the same write is repeated: either it
-            // or the late one takes effect, and both carry this nonce.
-            ReadAnswer::Absent if !self.foreign_seen => {
+            } => self.on_found(now, *record, version, claimant_gone),
+            // An earlier write with this nonce may still take effect, so the same write is
+            // retried: whichever of the two succeeds carries this nonce.
+            ReadAnswer::Absent if !self.foreign_claim_seen => {
                 self.phase = Phase::Creating;
-                self.pause(now, false)
+                self.back_off(now, false)
             }
-            // A claim that was seen and is gone: a read that lags, or a platform that went back
-            // to an older copy. Claiming anew could run the call a second time.
-            ReadAnswer::Absent | ReadAnswer::Failed => self.pause(now, true),
+            // A known claim is missing: the read is stale, or the platform was restored from an
+            // older copy. Creating a new claim could run the call a second time.
+            ReadAnswer::Absent | ReadAnswer::Failed => self.back_off(now, true),
             ReadAnswer::Unreadable => {
                 self.earlier_may_have_run = true;
                 self.give_up(now, NotRunCause::PlatformDown)
@@ -84,7 +84,7 @@
         }
     }
 
-    fn found(
+    fn on_found(
         &mut self,
         now: Now,
         record: ClaimRecord,
@@ -93,14 +93,14 @@
     ) -> Vec<Action> {
         if record.nonce == self.submission.nonce {
             return match record.state {
-                ClaimState::Open => self.claimed(version),
+                ClaimState::Open => self.on_claimed(version),
                 _ => self.give_up(now, NotRunCause::PlatformDown),
             };
         }
-        self.foreign_seen = true;
+        self.foreign_claim_seen = true;
         self.earlier_may_have_run = record.state != ClaimState::Released;
-        // Over a foreign claim that is open or finished no late write of this nonce can land.
-        self.may_land &= record.state == ClaimState::Released;
+        // No delayed write with this nonce can replace a foreign claim that is open or finished.
+        self.write_unresolved &= record.state == ClaimState::Released;
         self.earlier = Some(Earlier {
             claimant: record.claimant.clone(),
             request: record.request.clone(),
@@ -108,69 +108,69 @@
         let same_body = record.body_sha256 == self.submission.body_sha256;
         match record.state {
             ClaimState::Released => self.reclaim(now, version),
-            _ if !same_body => self.settle(now, Answer::KeyConflict),
+            _ if !same_body => self.conclude(now, Answer::KeyConflict),
             ClaimState::Finished(finished) => {
                 let recorded = Recorded {
                     claimant: record.claimant,
                     request: record.request,
                     finished,
                 };
-                self.settle(now, Answer::Recorded(Box::new(recorded)))
+                self.conclude(now, Answer::Recorded(Box::new(recorded)))
             }
             ClaimState::Open => {
-                let over = now.unix_ms >= record.deadline_ms.saturating_add(self.cfg.grace_ms);
-                match claimant_gone || over {
-                    true => self.settle(now, Answer::Unknown(self.earlier.clone())),
-                    false => self.wait(now),
+                let expired = now.unix_ms >= record.deadline_ms.saturating_add(self.cfg.grace_ms);
+                match claimant_gone || expired {
+                    true => self.conclude(now, Answer::Unknown(self.earlier.clone())),
+                    false => self.wait_for_claimant(now),
                 }
             }
         }
     }
 
-    /// The holder of the standing claim says that it never ran and never will.
+    /// Claims a released key again: its last holder never ran the call and never will.
     fn reclaim(&mut self, now: Now, version: u64) -> Vec<Action> {
         if now.is_past(self.submission.deadline) {
             return self.give_up(now, NotRunCause::DeadlinePassed);
         }
-        self.patience = now
-            .plus(self.cfg.patience_ms)
+        self.platform_deadline = now
+            .plus(self.cfg.platform_timeout_ms)
             .earlier(self.submission.deadline);
         self.phase = Phase::Reclaiming { version };
         vec![self.update(ClaimState::Open, version)]
     }
 
-    fn wait(&mut self, now: Now) -> Vec<Action> {
+    fn wait_for_claimant(&mut self, now: Now) -> Vec<Action> {
         if now.is_past(self.submission.deadline) {
-            return self.settle(now, Answer::StillRunning);
+            return self.conclude(now, Answer::StillRunning);
         }
         self.phase = Phase::Waiting;
-        let pause = self.next_pause();
-        self.after_pause_read = true;
+        let backoff_ms = self.next_backoff_ms();
+        self.read_after_pause = true;
         vec![Action::Pause(
-            now.plus(pause).earlier(self.submission.deadline),
+            now.plus(backoff_ms).earlier(self.submission.deadline),
         )]
     }
 
-    /// Waits before the next try, or gives up.
-    fn pause(&mut self, now: Now, read: bool) -> Vec<Action> {
-        let waits = self.phase == Phase::Waiting;
-        let until = if waits {
+    /// Backs off before the next attempt, or gives up after the time-out.
+    fn back_off(&mut self, now: Now, then_read: bool) -> Vec<Action> {
+        let is_waiting = self.phase == Phase::Waiting;
+        let until = if is_waiting {
             self.submission.deadline
         } else {
-            self.patience
+            self.platform_deadline
         };
         if now.is_past(until) {
-            return self.out_of_patience(now);
+            return self.on_timeout(now);
         }
-        self.after_pause_read = read;
-        let pause = self.next_pause();
-        vec![Action::Pause(now.plus(pause).earlier(until))]
+        self.read_after_pause = then_read;
+        let backoff_ms = self.next_backoff_ms();
+        vec![Action::Pause(now.plus(backoff_ms).earlier(until))]
     }
 
-    fn out_of_patience(&mut self, now: Now) -> Vec<Action> {
+    fn on_timeout(&mut self, now: Now) -> Vec<Action> {
         if self.phase == Phase::Waiting {
-            // An earlier submission was seen to be running, so "not run" would mislead.
-            return self.settle(now, Answer::StillRunning);
+            // An earlier submission is known to be running, so "not run" would be wrong.
+            return self.conclude(now, Answer::StillRunning);
         }
         let cause = match now.is_past(self.submission.deadline) {
             true => NotRunCause::DeadlinePassed,
@@ -179,33 +179,35 @@
         self.give_up(now, cause)
     }
 
-    fn after_pause(&mut self, now: Now) -> Vec<Action> {
-        let read = self.after_pause_read;
+    fn on_timer(&mut self, now: Now) -> Vec<Action> {
+        let then_read = self.read_after_pause;
         match self.phase.clone() {
             Phase::Waiting => vec![Action::Read],
-            Phase::Creating | Phase::Reclaiming { .. } if now.is_past(self.patience) => {
-                self.out_of_patience(now)
+            Phase::Creating | Phase::Reclaiming { .. } if now.is_past(self.platform_deadline) => {
+                self.on_timeout(now)
             }
-            Phase::Creating if !read => vec![self.create(ClaimState::Open)],
-            Phase::Reclaiming { version } if !read => vec![self.update(ClaimState::Open, version)],
-            Phase::Creating | Phase::Reclaiming { .. } => self.start_read_back(),
+            Phase::Creating if !then_read => vec![self.create(ClaimState::Open)],
+            Phase::Reclaiming { version } if !then_read => {
+                vec![self.update(ClaimState::Open, version)]
+            }
+            Phase::Creating | Phase::Reclaiming { .. } => self.read_back(),
             Phase::ReadingBack => vec![Action::Read],
             Phase::Recording(recording) => vec![self.update(recording.state, recording.version)],
-            Phase::Abandoning(_) if !read => vec![self.create(ClaimState::Released)],
+            Phase::Abandoning(_) if !then_read => vec![self.create(ClaimState::Released)],
             Phase::Abandoning(_) => vec![Action::Read],
             Phase::Claimed { .. } | Phase::Running { .. } | Phase::Over => Vec::new(),
         }
     }
 
-    /// The dispatch is over: the caller is answered by the driver, the claim here.
-    fn dispatched(&mut self, now: Now, version: u64, end: DispatchEnd) -> Vec<Action> {
+    /// Handles the end of the dispatch: records it, or releases the claim if nothing ran.
+    fn on_dispatched(&mut self, now: Now, version: u64, end: DispatchEnd) -> Vec<Action> {
         match end {
             DispatchEnd::NotRun => self.release(now, version, NotRunCause::NotDispatched),
             DispatchEnd::Ran(finished) => self.record(now, version, ClaimState::Finished(finished)),
         }
     }
 
-    /// Fences a held claim that did not run, answers, and writes that it may be claimed anew.
+    /// Fences a held claim that did not run, answers "not run" and releases the claim.
     pub(super) fn release(&mut self, now: Now, version: u64, cause: NotRunCause) -> Vec<Action> {
         self.fenced = true;
         let mut actions = vec![Action::Answer(Answer::NotRun(cause))];
@@ -214,44 +216,49 @@
     }
 
     fn record(&mut self, now: Now, version: u64, state: ClaimState) -> Vec<Action> {
-        self.pause_ms = self.cfg.first_pause_ms;
+        self.backoff_ms = self.cfg.initial_backoff_ms;
         self.phase = Phase::Recording(Recording {
             state: state.clone(),
             version,
-            until: now.plus(self.cfg.record_patience_ms),
+            until: now.plus(self.cfg.record_timeout_ms),
         });
         vec![self.update(state, version)]
     }
 
-    fn recorded(&mut self, now: Now, recording: &Recording, answer: WriteAnswer) -> Vec<Action> {
+    fn on_record_result(
+        &mut self,
+        now: Now,
+        recording: &Recording,
+        answer: WriteAnswer,
+    ) -> Vec<Action> {
         match answer {
-            WriteAnswer::Written(_) => self.over(),
-            // Either this very write landed before, with its answer lost, or the claim of an
-            // expired key was deleted. Both are final.
-            WriteAnswer::Stale => self.over(),
+            WriteAnswer::Written(_) => self.terminate(),
+            // Either an earlier attempt at this write took effect and its response was lost, or
+            // the claim of an expired key was deleted. Both are final.
+            WriteAnswer::Stale => self.terminate(),
             WriteAnswer::NoEffect | WriteAnswer::Lost => {
-                self.pause_until(now, recording.until, false)
+                self.back_off_until(now, recording.until, false)
             }
         }
     }
 
-    /// Fences the submission and answers "not run", unless an earlier submission with the same key
-    /// was seen and its end was not.
+    /// Fences the submission and answers "not run", or "unknown" if an earlier submission with the
+    /// same key may have run.
     pub(super) fn give_up(&mut self, now: Now, cause: NotRunCause) -> Vec<Action> {
         let answer = match self.earlier_may_have_run {
             true => Answer::Unknown(self.earlier.clone()),
             false => Answer::NotRun(cause),
         };
-        self.settle(now, answer)
+        self.conclude(now, answer)
     }
 
-    /// Fences the submission, answers, and stops a write of it that may still land.
-    pub(super) fn settle(&mut self, now: Now, answer: Answer) -> Vec<Action> {
-        let mut actions = self.finish(answer);
-        if self.may_land {
-            self.pause_ms = self.cfg.first_pause_ms;
+    /// Fences the submission, answers, and invalidates an unresolved write of it.
+    pub(super) fn conclude(&mut self, now: Now, answer: Answer) -> Vec<Action> {
+        let mut actions = self.answer_and_terminate(answer);
+        if self.write_unresolved {
+            self.backoff_ms = self.cfg.initial_backoff_ms;
             self.phase = Phase::Abandoning(Abandoning {
-                until: now.plus(self.cfg.record_patience_ms),
+                until: now.plus(self.cfg.record_timeout_ms),
             });
             actions.pop();
             actions.push(self.create(ClaimState::Released));
@@ -259,66 +266,76 @@
         actions
     }
 
-    /// Fences the submission, whose writes can't land, and answers "not run".
+    /// Fences the submission and answers "not run"; no write of it may be unresolved.
     pub(super) fn refuse(&mut self, cause: NotRunCause) -> Vec<Action> {
-        self.finish(Answer::NotRun(cause))
+        self.answer_and_terminate(Answer::NotRun(cause))
     }
 
-    /// A released record was to be put where nothing stood, so that the late write fails.
-    fn abandon_written(&mut self, now: Now, it: &Abandoning, answer: WriteAnswer) -> Vec<Action> {
+    /// Handles the result of writing a released record that makes the delayed write fail.
+    fn on_abandon_write_result(
+        &mut self,
+        now: Now,
+        abandoning: &Abandoning,
+        answer: WriteAnswer,
+    ) -> Vec<Action> {
         match answer {
-            WriteAnswer::Written(_) => self.over(),
-            WriteAnswer::Stale if now.is_past(it.until) => self.over(),
+            WriteAnswer::Written(_) => self.terminate(),
+            WriteAnswer::Stale if now.is_past(abandoning.until) => self.terminate(),
             WriteAnswer::Stale => vec![Action::Read],
-            WriteAnswer::NoEffect => self.pause_until(now, it.until, false),
-            WriteAnswer::Lost => self.pause_until(now, it.until, true),
+            WriteAnswer::NoEffect => self.back_off_until(now, abandoning.until, false),
+            WriteAnswer::Lost => self.back_off_until(now, abandoning.until, true),
         }
     }
 
-    fn abandon_read(&mut self, now: Now, it: &Abandoning, answer: ReadAnswer) -> Vec<Action> {
+    fn on_abandon_read_result(
+        &mut self,
+        now: Now,
+        abandoning: &Abandoning,
+        answer: ReadAnswer,
+    ) -> Vec<Action> {
         match answer {
             ReadAnswer::Found {
                 record, version, ..
             } => {
-                let own = record.nonce == self.submission.nonce;
+                let is_own = record.nonce == self.submission.nonce;
                 match record.state {
-                    ClaimState::Open if own => vec![self.update(ClaimState::Released, version)],
-                    // The write that may still land has this version as its condition: moving
-                    // the version on stops it.
-                    ClaimState::Released if !own => {
+                    ClaimState::Open if is_own => vec![self.update(ClaimState::Released, version)],
+                    // The unresolved write is conditional on this version: advancing the version
+                    // invalidates it.
+                    ClaimState::Released if !is_own => {
                         vec![self.update(ClaimState::Released, version)]
                     }
-                    _ => self.over(),
+                    _ => self.terminate(),
                 }
             }
-            ReadAnswer::Unreadable => self.over(),
-            ReadAnswer::Absent => self.pause_until(now, it.until, false),
-            ReadAnswer::Failed => self.pause_until(now, it.until, true),
+            ReadAnswer::Unreadable => self.terminate(),
+            ReadAnswer::Absent => self.back_off_until(now, abandoning.until, false),
+            ReadAnswer::Failed => self.back_off_until(now, abandoning.until, true),
         }
     }
 
-    fn pause_until(&mut self, now: Now, until: Now, read: bool) -> Vec<Action> {
+    fn back_off_until(&mut self, now: Now, until: Now, then_read: bool) -> Vec<Action> {
         if now.is_past(until) {
-            return self.over();
+            return self.terminate();
         }
-        self.after_pause_read = read;
-        let pause = self.next_pause();
-        vec![Action::Pause(now.plus(pause).earlier(until))]
+        self.read_after_pause = then_read;
+        let backoff_ms = self.next_backoff_ms();
+        vec![Action::Pause(now.plus(backoff_ms).earlier(until))]
     }
 
-    fn next_pause(&mut self) -> u64 {
-        let pause = self.pause_ms;
-        self.pause_ms = (pause * 2).min(self.cfg.longest_pause_ms);
-        pause
+    fn next_backoff_ms(&mut self) -> u64 {
+        let backoff_ms = self.backoff_ms;
+        self.backoff_ms = (backoff_ms * 2).min(self.cfg.max_backoff_ms);
+        backoff_ms
     }
 
-    pub(super) fn finish(&mut self, answer: Answer) -> Vec<Action> {
+    pub(super) fn answer_and_terminate(&mut self, answer: Answer) -> Vec<Action> {
         self.fenced = true;
         self.phase = Phase::Over;
         vec![Action::Answer(answer), Action::Over]
     }
 
-    fn over(&mut self) -> Vec<Action> {
+    fn terminate(&mut self) -> Vec<Action> {
         self.phase = Phase::Over;
         vec![Action::Over]
     }
@@ -335,15 +352,15 @@
     }
 
     fn record_with(&self, state: ClaimState) -> ClaimRecord {
-        let it = &self.submission;
+        let submission = &self.submission;
         ClaimRecord {
-            claimant: it.claimant.clone(),
-            incarnation: it.incarnation,
-            nonce: it.nonce.clone(),
-            request: it.request.clone(),
-            call: it.call.clone(),
-            body_sha256: it.body_sha256.clone(),
-            deadline_ms: it.deadline.unix_ms,
+            claimant: submission.claimant.clone(),
+            incarnation: submission.incarnation,
+            nonce: submission.nonce.clone(),
+            request: submission.request.clone(),
+            call: submission.call.clone(),
+            body_sha256: submission.body_sha256.clone(),
+            deadline_ms: submission.deadline.unix_ms,
             state,
         }
     }
--- a/policy/tests/claim.rs
+++ b/policy/tests/claim.rs
@@ -1,12 +1,12 @@
-//! Claims: keys, records, sweeping, and single courses of one claim. All interleavings are in
-//! `claim_interleavings.rs`.
+//! Tests of claims: keys, records, sweeping, and single runs of one claim. The exploration of all
+//! interleavings is in `claim_interleavings.rs`.
 
 use googletest::prelude::*;
 use jacinthweir_policy::claim::*;
 use jacinthweir_policy::prelude::*;
 
-/// A UUIDv7 of this time, in Unix milliseconds.
-const MADE_MS: Millis = 0x0190_0000_0000;
+/// Creation time of [`UUID`], in Unix milliseconds.
+const CREATED_MS: Millis = 0x0190_0000_0000;
 const UUID: &str = "01900000-0000-7000-8000-00000000000A";
 
 fn cfg() -> ClaimConfig {
@@ -16,7 +16,7 @@
 fn at(ms: u64) -> Now {
     Now {
         mono_ms: ms,
-        unix_ms: MADE_MS + ms,
+        unix_ms: CREATED_MS + ms,
     }
 }
 
@@ -35,7 +35,7 @@
 }
 
 #[gtest]
-fn keys_that_could_leave_their_organisation_are_refused() {
+fn keys_that_could_escape_the_path_of_the_organisation_are_refused() {
     let key = |text: &str| ClaimKey::new("org".into(), text);
     for bad in ["a/b", "a?b", "a b", "a%2fb", "..", ".", "ä", "a\nb"] {
         expect_that!(key(bad), err(eq(&KeyFault::BadCharacter)), "{bad}");
@@ -52,17 +52,17 @@
 }
 
 #[gtest]
-fn one_uuid_has_one_claim_and_says_when_it_was_made() {
+fn a_uuid_has_one_claim_and_a_creation_time() {
     let key = ClaimKey::new("org".into(), UUID).unwrap();
     expect_that!(
         key.to_string(),
         eq(&format!("claims/org/{}", UUID.to_lowercase()))
     );
-    expect_that!(key.made_ms(), some(eq(MADE_MS)));
+    expect_that!(key.created_ms(), some(eq(CREATED_MS)));
     let kept = cfg().retention_ms;
-    expect_that!(key.is_expired(MADE_MS + kept - 1, &cfg()), eq(false));
-    expect_that!(key.is_expired(MADE_MS + kept, &cfg()), eq(true));
-    let deletable = MADE_MS + kept + cfg().margin_ms;
+    expect_that!(key.is_expired(CREATED_MS + kept - 1, &cfg()), eq(false));
+    expect_that!(key.is_expired(CREATED_MS + kept, &cfg()), eq(true));
+    let deletable = CREATED_MS + kept + cfg().margin_ms;
     expect_that!(key.is_deletable(deletable - 1, &cfg()), eq(false));
     expect_that!(key.is_deletable(deletable, &cfg()), eq(true));
     let random = ClaimKey::new("org".into(), &UUID.replace("-7", "-4")).unwrap();
@@ -70,18 +70,18 @@
 }
 
 #[gtest]
-fn a_sweep_lists_the_claims_of_its_span_and_deletes_no_other() {
+fn a_sweep_lists_and_deletes_only_claims_of_its_span() {
     let kept = cfg().retention_ms + cfg().margin_ms;
-    let now = MADE_MS + kept + 2 * Sweep::SPAN_MS;
+    let now = CREATED_MS + kept + 2 * Sweep::SPAN_MS;
     let spans: Vec<Sweep> = std::iter::successors(Sweep::newest(now, &cfg()), |s| s.before())
         .take(3)
         .collect();
-    let place = ClaimKey::new("org".into(), UUID).unwrap().to_string();
-    let listed = spans.iter().filter(|s| place.starts_with(&s.prefix("org")));
+    let path = ClaimKey::new("org".into(), UUID).unwrap().to_string();
+    let listed = spans.iter().filter(|s| path.starts_with(&s.prefix("org")));
     expect_that!(listed.count(), eq(1));
-    expect_that!(Sweep::may_delete(&place, now, &cfg()), eq(true));
+    expect_that!(Sweep::may_delete(&path, now, &cfg()), eq(true));
     expect_that!(
-        Sweep::may_delete(&place, MADE_MS + kept - 1, &cfg()),
+        Sweep::may_delete(&path, CREATED_MS + kept - 1, &cfg()),
         eq(false)
     );
     expect_that!(
@@ -103,7 +103,7 @@
 }
 
 #[gtest]
-fn a_record_keeps_the_answer_whole_or_not_at_all() {
+fn a_record_has_the_whole_body_or_none() {
     let mut finished = Finished::without_answer(Outcome::Answered, "u".into(), 5);
     for body in [&b"plain"[..], &[0, 159, 146, 150][..]] {
         finished.set_body(body);
@@ -125,10 +125,10 @@
     expect_that!(finished.body(), none());
 }
 
-/// The platform refuses every call. The caller is told "not run" once patience is over, well before
-/// its deadline, and a dispatch is refused from then on.
+/// The platform refuses every write. The caller is answered "not run" after the platform time-out,
+/// well before its deadline, and a dispatch is refused from then on.
 #[gtest]
-fn an_outage_is_told_at_once_and_fenced() {
+fn a_platform_outage_is_answered_after_the_timeout_and_fenced() {
     let (mut claim, mut todo) = open(60_000);
     let mut ms = 0;
     let answer = loop {
@@ -145,30 +145,30 @@
         }
     };
     expect_that!(answer, eq(&Answer::NotRun(NotRunCause::PlatformDown)));
-    expect_that!(ms, eq(cfg().patience_ms));
+    expect_that!(ms, eq(cfg().platform_timeout_ms));
     expect_that!(claim.begin_dispatch(at(ms)), err(is_empty()));
 }
 
-/// An instance is frozen between claim and dispatch and wakes after the caller's deadline. One of
-/// its clocks stood still, or was set back; the other one shows it. Nothing is sent, "not run" is
-/// told, and the claim is released so that the key can be used again.
+/// An instance is suspended between claim and dispatch and resumes after the caller's deadline. One
+/// of its clocks stood still or was set back; only the other one shows the delay. Nothing is sent,
+/// the answer is "not run", and the claim is released so that the key can be used again.
 #[gtest]
-fn a_claimant_that_wakes_up_late_does_not_dispatch() {
-    let late = [
+fn a_claimant_that_resumes_late_does_not_dispatch() {
+    let resumed_at = [
         Now {
             mono_ms: 1,
-            unix_ms: MADE_MS + 10_000,
+            unix_ms: CREATED_MS + 10_000,
         },
         Now {
             mono_ms: 10_000,
-            unix_ms: MADE_MS,
+            unix_ms: CREATED_MS,
         },
     ];
-    for woken in late {
+    for resumed in resumed_at {
         let (mut claim, _) = open(5_000);
         let todo = claim.step(at(1), Event::Write(WriteAnswer::Written(7)));
         expect_that!(todo, elements_are![eq(&Action::Dispatch)]);
-        let actions = claim.begin_dispatch(woken).unwrap_err();
+        let actions = claim.begin_dispatch(resumed).unwrap_err();
         let not_run = Answer::NotRun(NotRunCause::DeadlinePassed);
         expect_that!(actions[0], eq(&Action::Answer(not_run)));
         let Action::Update { record, version } = &actions[1] else {
--- a/policy/tests/claim_interleavings.rs
+++ b/policy/tests/claim_interleavings.rs
@@ -1,11 +1,11 @@
-//! Claims: every interleaving of several submissions of one key, explored to the end.
+//! Model checking of claims: explores all interleavings of several submissions of one key.
 //!
-//! What the caller sees: a reservation sent again, to another instance, after a time-out. The
-//! model lets any instance stop at any step for any time, or for good as a killed one does (it is
-//! not chosen again); lets writes take effect with their answer lost or land late; suspects live
-//! claimants; lets time pass the deadlines and the retention; and sweeps. At most one run may happen, and
-//! "not run" may only be told to a submission that never runs. Each twin leaves one safeguard
-//! out, and the exploration has to find the violation.
+//! The scenario is a call that the caller repeats on another instance after a time-out. In the
+//! model, any instance may pause at any step for any time, or for ever like a killed process (it is
+//! not scheduled again); writes may take effect with their response lost, or be delayed; live
+//! claimants may be suspected; time may pass the deadlines and the retention; and sweeps may run.
+//! The call may run at most once, and "not run" may be answered only to a submission that never
+//! runs. Each mutant lacks one safeguard, and the exploration has to find the violation.
 
 use googletest::prelude::*;
 use jacinthweir_policy::claim::*;
@@ -13,36 +13,36 @@
 use std::collections::{BTreeSet, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A safeguard that a twin leaves out.
+/// The safeguard that a mutant lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Without {
+enum Missing {
     Nothing,
-    /// The lost answer to a create is taken for a success.
+    /// A lost response to a create is treated as success.
     ReadBack,
-    /// An open claim of another is taken for a released one.
-    NoTakeOver,
-    /// A write that lands after "not run" was told leads to a dispatch.
+    /// An open claim of another submission is treated as released.
+    NoTakeover,
+    /// A write that takes effect after "not run" was answered leads to a dispatch.
     Fence,
-    /// The clocks are not looked at right before the dispatch.
+    /// The clocks are not checked right before the dispatch.
     ClockCheck,
     /// Claims are deleted before their keys expire.
     Retention,
-    /// Updates are written whatever version stands.
+    /// Updates are written regardless of the current version.
     VersionCondition,
 }
 
-/// Time as the model knows it; each instance sees the same.
+/// Times of the model's clock, which all instances share.
 const TIMES: &[Millis] = &[KEY_TIME, KEY_TIME + 30, KEY_TIME + 300, KEY_TIME + 100_000];
-/// Without the time at which patience with the platform is over and the deadline is not.
-const FEWER_TIMES: &[Millis] = &[KEY_TIME, KEY_TIME + 300, KEY_TIME + 100_000];
+/// [`TIMES`] without the one between the platform time-out and the deadline.
+const REDUCED_TIMES: &[Millis] = &[KEY_TIME, KEY_TIME + 300, KEY_TIME + 100_000];
 const KEY_TIME: Millis = 1_700_000_000_000;
 const CFG: ClaimConfig = ClaimConfig {
     retention_ms: 10_000,
     margin_ms: 10_000,
-    patience_ms: 20,
-    record_patience_ms: 1_000,
-    first_pause_ms: 1,
-    longest_pause_ms: 1,
+    platform_timeout_ms: 20,
+    record_timeout_ms: 1_000,
+    initial_backoff_ms: 1,
+    max_backoff_ms: 1,
     grace_ms: 1_000,
 };
 const DEADLINE_MS: u64 = 200;
@@ -60,7 +60,7 @@
     todo: Vec<Action>,
     opened: bool,
     granted: bool,
-    told_not_run: bool,
+    answered_not_run: bool,
     ran: u32,
 }
 
@@ -68,15 +68,15 @@
 struct World {
     object: Option<(u64, ClaimRecord)>,
     next_version: u64,
-    late_writes: Vec<(usize, Write)>,
+    delayed_writes: Vec<(usize, Write)>,
     slots: Vec<Slot>,
     time: usize,
     losses_left: u32,
 }
 
 struct Model {
-    without: Without,
-    mono_stands_still: bool,
+    missing: Missing,
+    mono_is_frozen: bool,
     times: &'static [Millis],
     key: ClaimKey,
 }
@@ -107,23 +107,24 @@
         Self {
             object: None,
             next_version: 1,
-            late_writes: Vec::new(),
+            delayed_writes: Vec::new(),
             slots: vec![Slot::default(); submissions],
             time: 0,
             losses_left: losses,
         }
     }
 
-    fn apply(&mut self, write: Write, without: Without) -> WriteAnswer {
-        let standing = self.object.as_ref().map(|(version, _)| *version);
-        let (record, fits) = match write {
-            Write::Create(record) => (record, standing.is_none()),
+    fn apply(&mut self, write: Write, missing: Missing) -> WriteAnswer {
+        let current_version = self.object.as_ref().map(|(version, _)| *version);
+        let (record, condition_holds) = match write {
+            Write::Create(record) => (record, current_version.is_none()),
             Write::Update(record, version) => {
-                let unconditional = without == Without::VersionCondition && standing.is_some();
-                (record, standing == Some(version) || unconditional)
+                let unconditional =
+                    missing == Missing::VersionCondition && current_version.is_some();
+                (record, current_version == Some(version) || unconditional)
             }
         };
-        if !fits {
+        if !condition_holds {
             return WriteAnswer::Stale;
         }
         let version = self.next_version;
@@ -137,9 +138,14 @@
         if runs > 1 {
             return Some(format!("ran {runs} times"));
         }
-        let lied = self.slots.iter().position(|s| s.told_not_run && s.ran > 0);
-        if let Some(slot) = lied {
-            return Some(format!("submission {slot} was told \"not run\" and ran"));
+        let answered_wrongly = self
+            .slots
+            .iter()
+            .position(|s| s.answered_not_run && s.ran > 0);
+        if let Some(slot) = answered_wrongly {
+            return Some(format!(
+                "submission {slot} was answered \"not run\" and ran"
+            ));
         }
         let stuck = self.slots.iter().position(|s| {
             let alive = s.claim.as_ref().is_some_and(|c| !c.is_over());
@@ -151,7 +157,7 @@
 
 impl Model {
     fn now(&self, world: &World) -> Now {
-        let mono = if self.mono_stands_still {
+        let mono = if self.mono_is_frozen {
             0
         } else {
             self.times[world.time] - KEY_TIME
@@ -162,10 +168,11 @@
         }
     }
 
-    /// Every state that one step leads to, with the step's name.
+    /// Returns every successor state, with the name of the step that leads to it.
     fn next(&self, world: &World, report: &mut Report) -> Vec<(String, World)> {
         let mut all = Vec::new();
-        // A step that concerns its own submission only commutes with all others.
+        // A step that affects only its own submission commutes with all others (partial order
+        // reduction).
         let local =
             |slot: &Slot| matches!(slot.todo.first(), Some(Action::Answer(_) | Action::Over));
         if let Some(at) = world.slots.iter().position(local) {
@@ -178,8 +185,8 @@
             all.push(("time passes".to_owned(), next));
         }
         self.sweep(world, &mut all);
-        for at in 0..world.late_writes.len() {
-            self.land(world, at, &mut all);
+        for at in 0..world.delayed_writes.len() {
+            self.deliver_delayed(world, at, &mut all);
         }
         for at in 0..world.slots.len() {
             self.slot_steps(world, at, report, &mut all);
@@ -189,7 +196,7 @@
 
     fn sweep(&self, world: &World, all: &mut Vec<(String, World)>) {
         let now = self.now(world).unix_ms;
-        let early = self.without == Without::Retention;
+        let early = self.missing == Missing::Retention;
         if world.object.is_some() && (early || self.key.is_deletable(now, &CFG)) {
             let mut next = world.clone();
             next.object = None;
@@ -197,15 +204,15 @@
         }
     }
 
-    fn land(&self, world: &World, at: usize, all: &mut Vec<(String, World)>) {
+    fn deliver_delayed(&self, world: &World, at: usize, all: &mut Vec<(String, World)>) {
         let mut next = world.clone();
-        let (slot, write) = next.late_writes.remove(at);
-        let answer = next.apply(write, self.without);
-        let landed = matches!(answer, WriteAnswer::Written(_));
-        if self.without == Without::Fence && landed && next.slots[slot].told_not_run {
+        let (slot, write) = next.delayed_writes.remove(at);
+        let answer = next.apply(write, self.missing);
+        let took_effect = matches!(answer, WriteAnswer::Written(_));
+        if self.missing == Missing::Fence && took_effect && next.slots[slot].answered_not_run {
             next.slots[slot].granted = true;
         }
-        all.push((format!("late write of {slot} lands: {answer:?}"), next));
+        all.push((format!("delayed write of {slot} arrives: {answer:?}"), next));
     }
 
     fn slot_steps(
@@ -217,7 +224,7 @@
     ) {
         let slot = &world.slots[at];
         if !slot.opened {
-            // Equal submissions: they open in order.
+            // The submissions are interchangeable, so they open in order (symmetry reduction).
             if at == 0 || world.slots[at - 1].opened {
                 all.push((format!("{at} opens"), self.open(world, at)));
             }
@@ -278,7 +285,7 @@
             Action::Answer(answer) => {
                 report.answers.insert(answer_name(answer));
                 let mut next = world.clone();
-                next.slots[at].told_not_run |= matches!(answer, Answer::NotRun(_));
+                next.slots[at].answered_not_run |= matches!(answer, Answer::NotRun(_));
                 all.push((format!("{at} answers {answer:?}"), next));
             }
             Action::Over => {
@@ -301,7 +308,7 @@
 
     fn write(&self, world: &World, at: usize, write: &Write, all: &mut Vec<(String, World)>) {
         let mut applied = world.clone();
-        let answer = applied.apply(write.clone(), self.without);
+        let answer = applied.apply(write.clone(), self.missing);
         all.push(self.step(
             &applied,
             at,
@@ -313,18 +320,18 @@
         if world.losses_left == 0 {
             return;
         }
-        let mut late = world.clone();
-        late.late_writes.push((at, write.clone()));
-        for (name, mut lost) in [("took effect", applied), ("may land late", late)] {
+        let mut delayed = world.clone();
+        delayed.delayed_writes.push((at, write.clone()));
+        for (name, mut lost) in [("took effect", applied), ("delayed", delayed)] {
             lost.losses_left -= 1;
-            let name = format!("writes: answer lost, {name}");
+            let name = format!("writes: response lost, {name}");
             all.push(self.step(&lost, at, &name, Event::Write(self.lost(&lost))));
         }
     }
 
     fn lost(&self, world: &World) -> WriteAnswer {
-        match self.without {
-            Without::ReadBack => WriteAnswer::Written(world.next_version),
+        match self.missing {
+            Missing::ReadBack => WriteAnswer::Written(world.next_version),
             _ => WriteAnswer::Lost,
         }
     }
@@ -333,7 +340,7 @@
         all.push(self.step(
             world,
             at,
-            "reads: no answer",
+            "reads: no response",
             Event::Read(ReadAnswer::Failed),
         ));
         let Some((version, record)) = &world.object else {
@@ -342,7 +349,7 @@
         };
         for claimant_gone in [false, true] {
             let mut record = record.clone();
-            if self.without == Without::NoTakeOver && claimant_gone {
+            if self.missing == Missing::NoTakeover && claimant_gone {
                 record.state = ClaimState::Released;
             }
             let found = ReadAnswer::Found {
@@ -357,8 +364,8 @@
 
     fn dispatch(&self, world: &World, at: usize, all: &mut Vec<(String, World)>) {
         let mut next = world.clone();
-        let now = match self.without {
-            Without::ClockCheck => Now::default(),
+        let now = match self.missing {
+            Missing::ClockCheck => Now::default(),
             _ => self.now(world),
         };
         let slot = &mut next.slots[at];
@@ -378,7 +385,7 @@
         all.push((format!("{at} {name}"), next));
     }
 
-    /// The first byte goes out, some time after it was granted.
+    /// Sends the first byte, some time after the dispatch was granted.
     fn send(&self, world: &World, at: usize, all: &mut Vec<(String, World)>) {
         let ends = [
             ("runs", 1, finished(Outcome::Answered)),
@@ -428,67 +435,67 @@
     names.join("; ")
 }
 
-fn explore(without: Without, mono_stands_still: bool, start: World) -> Report {
+fn explore(missing: Missing, mono_is_frozen: bool, start: World) -> Report {
     let times = if start.slots.len() > 2 {
-        FEWER_TIMES
+        REDUCED_TIMES
     } else {
         TIMES
     };
-    // A UUIDv7 made at KEY_TIME.
+    // A UUIDv7 created at KEY_TIME.
     let digits = format!("{KEY_TIME:012x}");
     let key = format!("{}-{}-7000-8000-000000000000", &digits[..8], &digits[8..]);
     let key = ClaimKey::new("org".into(), &key).unwrap();
     let model = Model {
-        without,
-        mono_stands_still,
+        missing,
+        mono_is_frozen,
         times,
         key,
     };
     let report = model.explore(start);
     println!(
-        "{without:?}: {} states, {:?}",
+        "{missing:?}: {} states, {:?}",
         report.states, report.violation
     );
     report
 }
 
 #[gtest]
-fn two_submissions_run_once_with_a_lost_answer() {
-    let report = explore(Without::Nothing, false, World::new(2, 1));
+fn two_submissions_run_once_with_a_lost_response() {
+    let report = explore(Missing::Nothing, false, World::new(2, 1));
     expect_that!(report.violation, none());
     let all = ["not run", "recorded", "still running", "unknown"];
     expect_that!(report.answers, eq(&BTreeSet::from(all)));
 }
 
 #[gtest]
-fn two_submissions_run_once_when_the_monotonic_clock_stands_still() {
-    let report = explore(Without::Nothing, true, World::new(2, 1));
+fn two_submissions_run_once_with_a_frozen_monotonic_clock() {
+    let report = explore(Missing::Nothing, true, World::new(2, 1));
     expect_that!(report.violation, none());
 }
 
 #[gtest]
 fn three_submissions_run_once() {
-    let report = explore(Without::Nothing, false, World::new(3, 0));
+    let report = explore(Missing::Nothing, false, World::new(3, 0));
     expect_that!(report.violation, none());
 }
 
 #[gtest]
-fn each_safeguard_left_out_is_found() {
+fn each_missing_safeguard_is_detected() {
     let safeguards = [
-        Without::ReadBack,
-        Without::NoTakeOver,
-        Without::Fence,
-        Without::ClockCheck,
-        Without::Retention,
+        Missing::ReadBack,
+        Missing::NoTakeover,
+        Missing::Fence,
+        Missing::ClockCheck,
+        Missing::Retention,
     ];
-    for without in safeguards {
-        let report = explore(without, false, World::new(2, 1));
-        expect_that!(report.violation, some(anything()), "{without:?}");
+    for missing in safeguards {
+        let report = explore(missing, false, World::new(2, 1));
+        expect_that!(report.violation, some(anything()), "{missing:?}");
     }
 }
 
 #[gtest]
-fn an_unconditional_release_that_lands_late_is_found() {
-    let report = explore(Without::VersionCondition, false, World::new(3, 1));
+fn a_delayed_unconditional_release_is_detected() {
+    let report = explore(Missing::VersionCondition, false, World::new(3, 1));
     expect_that!(report.violation, some(anything()));
 }
