--- a/policy/src/admission.rs
+++ b/policy/src/admission.rs
@@ -1,16 +1,17 @@
-//! Which requests may go on now, which wait, and which are refused at once.
+//! Admission control and load shedding: admits, queues or refuses requests.
 //!
-//! For each pipeline there is a limit in flight ([`limit`]), a drain rate in tokens a second
-//! ([`rate`]) and, for each priority class, a fair queue of organisations ([`queue`]). Resumed
-//! work has a class of its own before all others.
+//! Each pipeline has a concurrency limit ([`limit`]), a drain rate in tokens per second ([`rate`])
+//! and, for each priority class, a fair queue of organisations ([`queue`]). Resumed work has a
+//! class of its own ahead of all others.
 //!
-//! - A request goes on at once if the pipeline is under its limit and nobody waits before it.
-//! - Else it waits, but only if the queue before it drains in time for its deadline. The queue is
-//!   thereby bounded by what can still be answered, and an organisation that floods fills its
-//!   own part only: the wait is worked out from its own backlog and share.
-//! - Else it is refused at once, with the time after which the backlog will have drained, spread
-//!   so that the refused don't return together ([`retry_after`]).
-//! - A waiting request is refused as soon as it can't meet its deadline any longer.
+//! - A request is admitted at once if the pipeline is below its limit and no request is queued
+//!   ahead of it.
+//! - Otherwise it is queued, but only if the queue ahead of it drains in time for its deadline.
+//!   This bounds the queue to requests that can still be answered. An organisation that floods
+//!   fills only its own part, as the wait is computed from its own backlog and share.
+//! - Otherwise it is refused at once, with a retry time after which the backlog will have drained,
+//!   spread so that refused callers don't return together ([`retry_after`]).
+//! - A queued request is refused as soon as it can no longer meet its deadline.
 //!
 //! Invariants: a slot is in flight, or queued, or unknown; the sums of queued tokens equal those
 //! of the queued slots; an organisation's count is the number of its slots, queued or in flight.
@@ -36,61 +37,61 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Number of a request within one instance; the caller gives each request a new one.
+/// Identifies a request within one instance; the user of this module never reuses one.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("slot{_0}")]
 pub struct Slot(pub u64);
 
-/// Whether a request is new or goes on with an answer that has begun.
+/// Whether a request is new or resumes an answer that has started.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Work {
-    /// Nothing of it ran.
+    /// Nothing of it has run.
     #[display("new")]
     New,
-    /// The caller has a part of its answer: goes before all new work.
+    /// The caller already has a part of its answer: takes precedence over all new work.
     #[display("resumed")]
     Resumed,
 }
 
-/// A request that asks to go on.
+/// A request for admission.
 #[derive(Clone, Copy, Debug)]
 pub struct Ticket {
-    /// Its number.
+    /// Its slot.
     pub slot: Slot,
-    /// Organisation. The same organisation must keep its index while the [`Admission`] lives.
+    /// Organisation. An organisation must keep its index for the lifetime of the [`Admission`].
     pub org: OrgId,
-    /// The organisation's share against others of the same priority; 0 counts as 1.
+    /// Weight of the organisation against others of the same priority; 0 counts as 1.
     pub weight: u32,
-    /// Pipeline. The same pipeline must keep its index while the [`Admission`] lives.
+    /// Pipeline. A pipeline must keep its index for the lifetime of the [`Admission`].
     pub pipeline: PipelineId,
-    /// Priority class: 0 first; above [`OrgDecl::LOWEST_PRIORITY`] counts as that.
+    /// Priority class: 0 is served first; capped at [`OrgDecl::LOWEST_PRIORITY`].
     pub priority: u8,
-    /// The most tokens it may cost; what it is expected to cost comes from what was seen.
+    /// Upper bound of its cost in tokens; the expected cost is estimated from completed requests.
     pub cost_tokens: u32,
-    /// When its caller no longer waits, on the clock passed as `now`.
+    /// Deadline of its caller, on the clock passed as `now`.
     pub deadline: Millis,
     /// New or resumed.
     pub work: Work,
 }
 
-/// What becomes of a request that asks to go on.
+/// Result of [`Admission::offer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Decision {
-    /// It goes on now; [`Admission::release`] when it is over.
+    /// Admitted; call [`Admission::release`] when it ends.
     Admit,
-    /// It waits; [`Admission::poll`] says when it goes on or is refused.
+    /// Queued; [`Admission::poll`] later admits or refuses it.
     Queue,
-    /// It is refused: "not run".
+    /// Refused: "not run".
     Refuse(Refusal),
 }
 
-/// A refusal and when to come back.
+/// Why a request is refused and when to retry it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Cause.
     pub code: RefuseCode,
-    /// When the caller should come back, in milliseconds.
+    /// Delay after which the caller should retry, in milliseconds.
     pub retry_after_ms: u64,
 }
 
@@ -98,55 +99,55 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display(rename_all = "snake_case")]
 pub enum RefuseCode {
-    /// The organisation's own limit in flight is reached.
+    /// The organisation has reached its own concurrency limit.
     OrganisationLimit,
-    /// The queue before it does not drain in time for its deadline.
+    /// The queue ahead of it does not drain in time for its deadline.
     Overloaded,
-    /// The pipeline has no capacity at all.
+    /// The pipeline has no capacity.
     NoCapacity,
 }
 
-/// What became of a waiting request.
+/// What happened to a queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// It goes on now.
+    /// Admitted.
     Admit(Slot),
-    /// It is refused: "not run".
+    /// Refused: "not run".
     Refuse {
         /// The request.
         slot: Slot,
-        /// Cause and when to come back.
+        /// Cause and retry time.
         refusal: Refusal,
     },
 }
 
-/// What was seen of a request that is over.
+/// Measurements of a request that has ended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Seen {
-    /// Time from its admission to its end, in milliseconds.
+    /// Time from admission to the end, in milliseconds.
     pub latency_ms: u64,
-    /// Tokens that it cost, prompt and answer; 0: nothing was learned (refused, cut off).
+    /// Tokens used by prompt and answer; 0 if there is no measurement (refused, cut off).
     pub tokens: u32,
 }
 
-/// Settings of admission.
+/// Configuration of admission control.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionConfig {
-    /// How the limit in flight is corrected.
+    /// Adaptation of the concurrency limit.
     pub limit: LimitConfig,
-    /// Share of the places in flight that only organisations with less than an even part of them
-    /// may take: with none free, a request that has nobody of its own before it would still wait
-    /// until the flood of another gives a place back.
+    /// Share of the concurrency limit reserved for organisations with less than an even share of
+    /// it. Without this headroom, the first request of an organisation would wait until a request
+    /// of another, flooding organisation ends.
     pub headroom_share: f64,
-    /// Tokens that a request is taken to cost before any was seen.
-    pub first_estimate_tokens: u32,
-    /// The most pairs of organisation and pipeline whose token estimate is kept.
+    /// Estimated cost of a request in tokens before any has completed.
+    pub initial_estimate_tokens: u32,
+    /// Maximum number of pairs of organisation and pipeline with a token estimate of their own.
     pub max_estimates: usize,
-    /// The most requests waiting, over all pipelines: bounds memory.
+    /// Maximum number of queued requests over all pipelines, to bound memory.
     pub max_queued: usize,
-    /// Shortest time to come back, in milliseconds.
+    /// Minimum retry delay, in milliseconds.
     pub min_retry_after_ms: u64,
-    /// Longest time to come back, in milliseconds.
+    /// Maximum retry delay, in milliseconds.
     pub max_retry_after_ms: u64,
 }
 
@@ -155,7 +156,7 @@
         Self {
             limit: LimitConfig::default(),
             headroom_share: 0.05,
-            first_estimate_tokens: 256,
+            initial_estimate_tokens: 256,
             max_estimates: 65_536,
             max_queued: 20_000,
             min_retry_after_ms: 100,
@@ -164,21 +165,21 @@
     }
 }
 
-/// Where a slot is.
+/// A request that is queued or in flight.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     ticket: Ticket,
     tokens: u32,
-    place: Place,
+    state: SlotState,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Place {
-    Queued { number: u64, latest_start: Millis },
+enum SlotState {
+    Queued { sequence: u64, latest_start: Millis },
     InFlight,
 }
 
-/// Admission of one instance.
+/// Admission control of one instance.
 #[derive(Debug)]
 pub struct Admission {
     cfg: AdmissionConfig,
@@ -187,14 +188,14 @@
     entries: BTreeMap<Slot, Entry>,
     queued: usize,
     in_system: BTreeMap<OrgId, u32>,
-    shares: BTreeMap<OrgId, u32>,
+    org_limits: BTreeMap<OrgId, u32>,
     actions: Vec<Action>,
 }
 
-/// Number of priority classes: resumed work and those of the schema.
+/// Number of priority classes: resumed work and the priorities of the schema.
 const CLASSES: usize = 2 + OrgDecl::LOWEST_PRIORITY as usize;
 
-/// Class of a ticket: 0 is resumed work, then the priorities.
+/// Returns the priority class of a ticket: 0 for resumed work, then the priorities.
 fn class(ticket: &Ticket) -> usize {
     match ticket.work {
         Work::Resumed => 0,
@@ -203,23 +204,23 @@
 }
 
 impl Admission {
-    /// Admission with no capacity yet: see [`Admission::set_capacity`].
+    /// Creates an instance without capacity; see [`Admission::set_capacity`].
     pub fn new(cfg: AdmissionConfig) -> Self {
         Self {
             cfg,
-            estimates: TokenEstimates::new(cfg.first_estimate_tokens, cfg.max_estimates),
+            estimates: TokenEstimates::new(cfg.initial_estimate_tokens, cfg.max_estimates),
             pipelines: BTreeMap::new(),
             entries: BTreeMap::new(),
             queued: 0,
             in_system: BTreeMap::new(),
-            shares: BTreeMap::new(),
+            org_limits: BTreeMap::new(),
             actions: Vec::new(),
         }
     }
 
-    /// Sets this instance's part of a pipeline's bound, in tokens a second and in requests in
-    /// flight; the latter is corrected by what is seen. 0 in flight: no capacity. [`Self::poll`]
-    /// is due afterwards.
+    /// Sets this instance's share of a pipeline's capacity, in tokens per second and in requests
+    /// in flight. Both are adapted to measurements; 0 in flight means no capacity. Call
+    /// [`Self::poll`] afterwards.
     pub fn set_capacity(
         &mut self,
         now: Millis,
@@ -234,21 +235,21 @@
             .set_bound(now, tokens_per_s, in_flight);
     }
 
-    /// Sets the most requests of an organisation in this instance, queued or in flight; `None`:
-    /// no limit. See [`share_of`].
-    pub fn set_share(&mut self, org: OrgId, most: Option<u32>) {
-        match most {
-            Some(most) => self.shares.insert(org, most),
-            None => self.shares.remove(&org),
+    /// Sets the maximum number of an organisation's requests in this instance, queued or in
+    /// flight; `None` removes the limit. See [`share_of`].
+    pub fn set_share(&mut self, org: OrgId, max_requests: Option<u32>) {
+        match max_requests {
+            Some(max) => self.org_limits.insert(org, max),
+            None => self.org_limits.remove(&org),
         };
     }
 
-    /// A request asks to go on.
+    /// Admits, queues or refuses a request.
     pub fn offer(&mut self, now: Millis, ticket: Ticket, rng: &mut impl Rng) -> Decision {
         let expected = self.estimates.expect(ticket.org, ticket.pipeline);
         let expected = Expected {
             tokens: expected.tokens.min(ticket.cost_tokens).max(1),
-            most: expected.most.min(ticket.cost_tokens).max(1),
+            upper_bound: expected.upper_bound.min(ticket.cost_tokens).max(1),
         };
         match self.refusal(now, &ticket, expected) {
             Some(code) => Decision::Refuse(self.refuse(now, code, &ticket, expected.tokens, rng)),
@@ -256,38 +257,38 @@
         }
     }
 
-    /// A request in flight is over. [`Self::poll`] is due afterwards.
+    /// Removes a request in flight that has ended. Call [`Self::poll`] afterwards.
     pub fn release(&mut self, now: Millis, slot: Slot, seen: Seen) {
         let Some(entry) = self.entries.get(&slot).copied() else {
             return;
         };
-        if matches!(entry.place, Place::Queued { .. }) {
+        if matches!(entry.state, SlotState::Queued { .. }) {
             return;
         }
-        self.forget(slot, &entry);
+        self.remove_entry(slot, &entry);
         let ticket = entry.ticket;
         if let Some(pipeline) = self.pipelines.get_mut(&ticket.pipeline) {
             pipeline.finished(now, &ticket, entry.tokens, seen);
         }
         if seen.tokens > 0 {
             self.estimates
-                .learn(ticket.org, ticket.pipeline, seen.tokens);
+                .record(ticket.org, ticket.pipeline, seen.tokens);
         }
     }
 
-    /// The caller of a request left: it waits no longer, or it is no longer in flight, with
-    /// nothing learned. [`Self::poll`] is due afterwards.
+    /// Removes a request whose caller disconnected, queued or in flight, without a measurement.
+    /// Call [`Self::poll`] afterwards.
     pub fn cancel(&mut self, now: Millis, slot: Slot) {
         let Some(entry) = self.entries.get(&slot).copied() else {
             return;
         };
-        match entry.place {
-            Place::InFlight => self.release(now, slot, Seen::default()),
-            Place::Queued { .. } => self.unqueue(slot, &entry),
+        match entry.state {
+            SlotState::InFlight => self.release(now, slot, Seen::default()),
+            SlotState::Queued { .. } => self.dequeue(slot, &entry),
         }
     }
 
-    /// What is due: requests that go on, and waiting ones that can't meet their deadline.
+    /// Returns requests that are now admitted, and queued ones that can't meet their deadline.
     pub fn poll(&mut self, now: Millis, rng: &mut impl Rng) -> Vec<Action> {
         let pipelines: Vec<PipelineId> = self.pipelines.keys().copied().collect();
         for pipeline in pipelines {
@@ -296,37 +297,37 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// When [`Self::poll`] is due next if nothing else happens before.
+    /// Returns when to call [`Self::poll`] next if nothing else happens before.
     pub fn next_poll(&self) -> Option<Millis> {
         self.pipelines
             .values()
-            .filter_map(PipelineState::earliest_latest_start)
+            .filter_map(PipelineState::first_latest_start)
             .min()
     }
 
-    /// Time until all that waits in a pipeline has drained, in milliseconds; `None`: it does not
-    /// drain, as there is no capacity.
+    /// Returns the time until a pipeline's queues have drained, in milliseconds; `None` without
+    /// capacity.
     pub fn drain_time(&self, pipeline: PipelineId) -> Option<Millis> {
         self.pipelines.get(&pipeline)?.drain_ms()
     }
 
-    /// Number of requests of an organisation here, queued or in flight: its demand, for
-    /// [`share_of`].
+    /// Returns the number of an organisation's requests in this instance, queued or in flight: its
+    /// demand, as [`share_of`] takes it.
     pub fn in_system(&self, org: OrgId) -> u32 {
         self.in_system.get(&org).copied().unwrap_or(0)
     }
 
-    /// Number of requests waiting.
+    /// Returns the number of queued requests.
     pub fn queued(&self) -> usize {
         self.queued
     }
 
-    /// Number of requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.entries.len() - self.queued
     }
 
-    /// State for operators.
+    /// Returns the state for operators.
     pub fn dump(&self) -> AdmissionDump {
         AdmissionDump {
             queued: self.queued,
@@ -336,24 +337,24 @@
         }
     }
 
-    /// Whether a ticket has to be refused, and why.
-    fn refusal(&self, now: Millis, ticket: &Ticket, it: Expected) -> Option<RefuseCode> {
+    /// Returns why a ticket has to be refused, if it has to.
+    fn refusal(&self, now: Millis, ticket: &Ticket, expected: Expected) -> Option<RefuseCode> {
         let Some(pipeline) = self.pipelines.get(&ticket.pipeline) else {
             return Some(RefuseCode::NoCapacity);
         };
         if !pipeline.has_capacity() {
             return Some(RefuseCode::NoCapacity);
         }
-        let over_share = self
-            .shares
+        let over_limit = self
+            .org_limits
             .get(&ticket.org)
-            .is_some_and(|most| self.in_system(ticket.org) >= *most);
-        if over_share && ticket.work == Work::New {
+            .is_some_and(|max| self.in_system(ticket.org) >= *max);
+        if over_limit && ticket.work == Work::New {
             return Some(RefuseCode::OrganisationLimit);
         }
         let full = self.queued >= self.cfg.max_queued && !pipeline.is_free();
-        let late = !pipeline.can_meet(now, ticket, it);
-        (full || late).then_some(RefuseCode::Overloaded)
+        let misses_deadline = !pipeline.can_meet(now, ticket, expected);
+        (full || misses_deadline).then_some(RefuseCode::Overloaded)
     }
 
     fn refuse(
@@ -378,57 +379,57 @@
     fn enter(&mut self, now: Millis, ticket: Ticket, expected: Expected) -> Decision {
         let slot = ticket.slot;
         if self.entries.contains_key(&slot) {
-            // A slot offered twice would be counted twice and released once, and the pipeline
-            // would lose a place in flight for good. The first one stands.
+            // A slot offered twice would be counted twice and released once, which would reduce
+            // the pipeline's concurrency permanently. The first offer stays in effect.
             return Decision::Queue;
         }
         let Some(pipeline) = self.pipelines.get_mut(&ticket.pipeline) else {
             return Decision::Queue;
         };
         *self.in_system.entry(ticket.org).or_default() += 1;
-        let place = pipeline.enter(now, &ticket, expected);
+        let state = pipeline.enter(now, &ticket, expected);
         let entry = Entry {
             ticket,
             tokens: expected.tokens,
-            place,
+            state,
         };
         self.entries.insert(slot, entry);
         self.queued += 1;
-        self.start_waiting(ticket.pipeline);
+        self.start_queued(ticket.pipeline);
         match self.actions.pop_if(|a| *a == Action::Admit(slot)) {
             Some(_) => Decision::Admit,
             None => Decision::Queue,
         }
     }
 
-    /// Puts in flight what may go on, and keeps the actions for the next poll.
-    fn start_waiting(&mut self, id: PipelineId) {
+    /// Starts the queued requests that may run, and keeps the actions for the next poll.
+    fn start_queued(&mut self, id: PipelineId) {
         while let Some(slot) = self.pipelines.get_mut(&id).and_then(PipelineState::next) {
             self.queued -= 1;
             if let Some(entry) = self.entries.get_mut(&slot) {
-                entry.place = Place::InFlight;
+                entry.state = SlotState::InFlight;
             }
             self.actions.push(Action::Admit(slot));
         }
     }
 
     fn poll_pipeline(&mut self, now: Millis, id: PipelineId, rng: &mut impl Rng) {
-        let shrunk = self.pipelines.get_mut(&id);
-        let out_of_reach = shrunk.map(|p| p.take_out_of_reach(now));
-        for slot in out_of_reach.unwrap_or_default() {
+        let pipeline = self.pipelines.get_mut(&id);
+        let infeasible = pipeline.map(|p| p.infeasible_after_decrease(now));
+        for slot in infeasible.unwrap_or_default() {
             self.refuse_queued(now, slot, rng);
         }
         while let Some(slot) = self.pipelines.get(&id).and_then(|p| p.overdue(now)) {
             self.refuse_queued(now, slot, rng);
         }
-        self.start_waiting(id);
+        self.start_queued(id);
     }
 
     fn refuse_queued(&mut self, now: Millis, slot: Slot, rng: &mut impl Rng) {
         let Some(entry) = self.entries.get(&slot).copied() else {
             return;
         };
-        self.unqueue(slot, &entry);
+        self.dequeue(slot, &entry);
         let ticket = entry.ticket;
         let code = match self.pipelines.get(&ticket.pipeline) {
             Some(pipeline) if pipeline.has_capacity() => RefuseCode::Overloaded,
@@ -438,28 +439,28 @@
         self.actions.push(Action::Refuse { slot, refusal });
     }
 
-    fn unqueue(&mut self, slot: Slot, entry: &Entry) {
-        let Place::Queued {
-            number,
+    fn dequeue(&mut self, slot: Slot, entry: &Entry) {
+        let SlotState::Queued {
+            sequence,
             latest_start,
-        } = entry.place
+        } = entry.state
         else {
             return;
         };
         if let Some(pipeline) = self.pipelines.get_mut(&entry.ticket.pipeline) {
-            pipeline.remove(&entry.ticket, number, latest_start);
+            pipeline.remove(&entry.ticket, sequence, latest_start);
         }
         self.queued -= 1;
-        self.forget(slot, entry);
+        self.remove_entry(slot, entry);
     }
 
-    fn forget(&mut self, slot: Slot, entry: &Entry) {
+    fn remove_entry(&mut self, slot: Slot, entry: &Entry) {
         self.entries.remove(&slot);
         let org = entry.ticket.org;
-        let left = self.in_system(org).saturating_sub(1);
-        match left {
+        let remaining = self.in_system(org).saturating_sub(1);
+        match remaining {
             0 => self.in_system.remove(&org),
-            _ => self.in_system.insert(org, left),
+            _ => self.in_system.insert(org, remaining),
         };
     }
 }
--- a/policy/src/admission/dump.rs
+++ b/policy/src/admission/dump.rs
@@ -1,48 +1,48 @@
-//! State of admission for operators.
+//! Admission state for operators.
 
 use serde::Serialize;
 
-/// State of admission.
+/// Admission state of one instance.
 #[derive(Clone, Debug, Serialize)]
 pub struct AdmissionDump {
-    /// Requests waiting.
+    /// Queued requests.
     pub queued: usize,
     /// Requests in flight.
     pub in_flight: usize,
-    /// Token estimates kept.
+    /// Pairs of organisation and pipeline with a token estimate.
     pub estimates: usize,
-    /// Each pipeline.
+    /// All pipelines.
     pub pipelines: Vec<PipelineDump>,
 }
 
-/// One pipeline.
+/// Admission state of one pipeline.
 #[derive(Clone, Debug, Serialize)]
 pub struct PipelineDump {
     /// Its index, as `pipeline0`.
     pub pipeline: String,
     /// Requests in flight.
     pub in_flight: u32,
-    /// The most that may be.
+    /// Current concurrency limit.
     pub limit: u32,
-    /// Tokens a second that it is taken to get through.
+    /// Estimated drain rate, in tokens per second.
     pub tokens_per_s: f64,
-    /// Milliseconds that one token of a request takes lately.
+    /// Moving mean of a request's latency per token, in milliseconds.
     pub ms_per_token: Option<f64>,
-    /// Time until all that waits has drained, in milliseconds.
+    /// Time until all queues have drained, in milliseconds.
     pub drain_ms: Option<u64>,
-    /// Each priority class with waiting requests.
+    /// Priority classes with queued requests.
     pub queues: Vec<QueueDump>,
 }
 
-/// One priority class.
+/// Queue of one priority class.
 #[derive(Clone, Debug, Serialize)]
 pub struct QueueDump {
     /// `resumed`, or the priority.
     pub class: String,
-    /// Requests waiting.
+    /// Queued requests.
     pub queued: usize,
-    /// Their tokens, as estimated.
+    /// Their estimated tokens.
     pub tokens: u64,
-    /// Organisations that they are of.
+    /// Number of organisations with queued requests.
     pub organisations: usize,
 }
--- a/policy/src/admission/pipeline.rs
+++ b/policy/src/admission/pipeline.rs
@@ -6,12 +6,12 @@
 use super::queue::FairQueue;
 use super::rate::DrainRate;
 use super::retry_after::{self, Debt};
-use super::{AdmissionConfig, CLASSES, Place, Seen, Slot, Ticket, class};
+use super::{AdmissionConfig, CLASSES, Seen, Slot, SlotState, Ticket, class};
 use crate::prelude::*;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What one organisation has in a pipeline.
+/// Number of one organisation's requests in a pipeline.
 #[derive(Clone, Copy, Debug, Default)]
 struct OrgLoad {
     in_flight: u32,
@@ -25,12 +25,12 @@
     rate: DrainRate,
     in_flight: u32,
     headroom_share: f64,
-    /// Whether the bound fell since waiting requests were last looked at.
-    shrank: bool,
-    /// What each organisation has here; those without anything are left out.
+    /// Whether the drain rate decreased since queued requests were last checked.
+    rate_decreased: bool,
+    /// Load of each organisation that has queued requests or requests in flight.
     orgs: BTreeMap<OrgId, OrgLoad>,
     queues: [FairQueue; CLASSES],
-    /// Waiting requests by the latest time at which they can start and meet their deadline.
+    /// Queued requests by the latest time at which they can start and still meet their deadline.
     by_latest_start: BTreeSet<(Millis, Slot)>,
     debt: Debt,
 }
@@ -42,7 +42,7 @@
             rate: DrainRate::new(now),
             in_flight: 0,
             headroom_share: cfg.headroom_share,
-            shrank: false,
+            rate_decreased: false,
             orgs: BTreeMap::new(),
             queues: std::array::from_fn(|_| FairQueue::default()),
             by_latest_start: BTreeSet::new(),
@@ -51,7 +51,7 @@
     }
 
     pub(super) fn set_bound(&mut self, now: Millis, tokens_per_s: f64, in_flight: u32) {
-        self.shrank |= tokens_per_s < self.rate.get();
+        self.rate_decreased |= tokens_per_s < self.rate.get();
         self.limit.set_bound(in_flight);
         self.rate.set_bound(now, tokens_per_s);
     }
@@ -60,32 +60,32 @@
         self.limit.get() > 0 && self.rate.get() > 0.0
     }
 
-    /// Whether a request may go on now, apart from those waiting.
+    /// Whether the number of requests in flight is below the limit, regardless of the queues.
     pub(super) fn is_free(&self) -> bool {
         self.in_flight < self.limit.get()
     }
 
-    /// Time until all that waits has drained, in milliseconds.
+    /// Returns the time until all queues have drained, in milliseconds; `None` without capacity.
     pub(super) fn drain_ms(&self) -> Option<Millis> {
         let tokens: u64 = self.queues.iter().map(FairQueue::tokens).sum();
         self.has_capacity()
             .then(|| (tokens as f64 * 1_000.0 / self.rate.get()) as Millis)
     }
 
-    /// Whether a ticket can meet its deadline behind what waits before it.
+    /// Whether a ticket can meet its deadline behind the queue ahead of it.
     ///
-    /// With nothing before it, it may try whatever the estimate says: a wrong estimate is only
-    /// ever corrected by requests that run.
-    pub(super) fn can_meet(&self, now: Millis, ticket: &Ticket, it: Expected) -> bool {
-        let left = ticket.deadline.saturating_sub(now) as f64;
-        let wait = self.wait_ms(ticket, it.tokens);
-        match wait > 0.0 {
-            true => wait + self.service_ms(it.most) <= left,
-            false => left > 0.0,
+    /// With an empty queue it is allowed whatever the estimate, as only requests that run can
+    /// correct a wrong estimate.
+    pub(super) fn can_meet(&self, now: Millis, ticket: &Ticket, expected: Expected) -> bool {
+        let remaining = ticket.deadline.saturating_sub(now) as f64;
+        let wait_ms = self.wait_ms(ticket, expected.tokens);
+        match wait_ms > 0.0 {
+            true => wait_ms + self.service_ms(expected.upper_bound) <= remaining,
+            false => remaining > 0.0,
         }
     }
 
-    /// Time to come back for a ticket that is refused, in milliseconds.
+    /// Returns the retry delay of a ticket that is refused, in milliseconds.
     pub(super) fn retry_after_ms(
         &mut self,
         now: Millis,
@@ -94,35 +94,35 @@
         cfg: &AdmissionConfig,
         rng: &mut impl Rng,
     ) -> u64 {
-        let wait = self.wait_ms(ticket, tokens);
-        let spread = self.debt.add(now, tokens, self.rate.get());
-        retry_after::spread(wait, spread, cfg, rng)
+        let wait_ms = self.wait_ms(ticket, tokens);
+        let spread_ms = self.debt.add(now, tokens, self.rate.get());
+        retry_after::spread(wait_ms, spread_ms, cfg, rng)
     }
 
-    /// Puts a request into the queue; [`Self::next`] says which goes on.
-    pub(super) fn enter(&mut self, now: Millis, ticket: &Ticket, it: Expected) -> Place {
+    /// Queues a request; [`Self::next`] then selects the one to start.
+    pub(super) fn enter(&mut self, now: Millis, ticket: &Ticket, expected: Expected) -> SlotState {
         if !self.is_free() {
-            self.limit.reached();
+            self.limit.note_reached();
         }
-        let service = self.service_ms(it.most) as Millis;
+        let service = self.service_ms(expected.upper_bound) as Millis;
         let latest_start = ticket.deadline.saturating_sub(service).max(now);
-        let number = self.queues[class(ticket)].push(ticket, it.tokens, latest_start);
+        let sequence = self.queues[class(ticket)].push(ticket, expected.tokens, latest_start);
         self.by_latest_start.insert((latest_start, ticket.slot));
         self.orgs.entry(ticket.org).or_default().queued += 1;
-        Place::Queued {
-            number,
+        SlotState::Queued {
+            sequence,
             latest_start,
         }
     }
 
-    /// Takes the waiting request that goes on next, if one may: of the best class that waits, the
-    /// first organisation that may take a place.
+    /// Removes the queued request that starts next, if one may: in the best non-empty class, that
+    /// of the first eligible organisation.
     pub(super) fn next(&mut self) -> Option<Slot> {
         if !self.is_free() {
             return None;
         }
         let class = self.queues.iter().position(|q| q.len() > 0)?;
-        let org = self.queues[class].first_that(|org| self.may_take_place(org))?;
+        let org = self.queues[class].first_eligible(|org| self.may_start(org))?;
         let popped = self.queues[class].pop(org)?;
         self.by_latest_start
             .remove(&(popped.latest_start, popped.slot));
@@ -133,79 +133,80 @@
         Some(popped.slot)
     }
 
-    /// Whether a place is left for an organisation: the last ones are for those that have less
-    /// than an even part.
-    fn may_take_place(&self, org: OrgId) -> bool {
+    /// Whether an organisation may start another request. Headroom is reserved for those with less
+    /// than an even share of the limit.
+    fn may_start(&self, org: OrgId) -> bool {
         let limit = self.limit.get();
         let headroom = (f64::from(limit) * self.headroom_share) as u32;
         if self.in_flight < limit.saturating_sub(headroom) {
             return true;
         }
-        let has = self.orgs.get(&org).map_or(0, |load| load.in_flight);
+        let in_flight = self.orgs.get(&org).map_or(0, |load| load.in_flight);
         let orgs = u32::try_from(self.orgs.len()).unwrap_or(u32::MAX);
-        has.saturating_mul(orgs) < limit
+        in_flight.saturating_mul(orgs) < limit
     }
 
-    /// Waiting requests that a bound that fell has put out of reach of their deadlines. They are
-    /// refused now: their callers would only wait in vain. Where nothing is left of the bound
-    /// they stay, as no drain time is known and capacity may come back.
-    pub(super) fn take_out_of_reach(&mut self, now: Millis) -> Vec<Slot> {
-        if !std::mem::take(&mut self.shrank) || !self.has_capacity() {
+    /// Returns queued requests that can't meet their deadlines any more since the rate decreased.
+    ///
+    /// They are to be refused at once, rather than when their deadlines have passed. Without any
+    /// capacity they stay queued, as no drain time is known and capacity may return.
+    pub(super) fn infeasible_after_decrease(&mut self, now: Millis) -> Vec<Slot> {
+        if !std::mem::take(&mut self.rate_decreased) || !self.has_capacity() {
             return Vec::new();
         }
         let tokens_per_ms = self.rate.get() / 1_000.0;
         let mut tokens_ahead = 0;
         let mut slots = Vec::new();
         for queue in &self.queues {
-            slots.extend(queue.out_of_reach(now, tokens_ahead, tokens_per_ms));
+            slots.extend(queue.infeasible(now, tokens_ahead, tokens_per_ms));
             tokens_ahead += queue.tokens();
         }
         slots
     }
 
-    /// A waiting request whose latest start is over.
+    /// Returns a queued request whose latest start has passed.
     pub(super) fn overdue(&self, now: Millis) -> Option<Slot> {
         let (latest_start, slot) = self.by_latest_start.first()?;
         (*latest_start < now).then_some(*slot)
     }
 
-    pub(super) fn earliest_latest_start(&self) -> Option<Millis> {
+    pub(super) fn first_latest_start(&self) -> Option<Millis> {
         self.by_latest_start.first().map(|(at, _)| at + 1)
     }
 
-    /// Takes out a waiting request that waits no longer.
-    pub(super) fn remove(&mut self, ticket: &Ticket, number: u64, latest_start: Millis) {
-        self.queues[class(ticket)].remove(ticket.org, number);
+    /// Removes a request from the queue.
+    pub(super) fn remove(&mut self, ticket: &Ticket, sequence: u64, latest_start: Millis) {
+        self.queues[class(ticket)].remove(ticket.org, sequence);
         self.by_latest_start.remove(&(latest_start, ticket.slot));
         if let Some(load) = self.orgs.get_mut(&ticket.org) {
             load.queued = load.queued.saturating_sub(1);
         }
-        self.drop_empty(ticket.org);
+        self.remove_if_empty(ticket.org);
     }
 
-    fn drop_empty(&mut self, org: OrgId) {
+    fn remove_if_empty(&mut self, org: OrgId) {
         let empty = |load: &OrgLoad| load.in_flight == 0 && load.queued == 0;
         if self.orgs.get(&org).is_some_and(empty) {
             self.orgs.remove(&org);
         }
     }
 
-    /// Takes in a request that is over.
+    /// Removes a request in flight that has ended and records its measurements.
     pub(super) fn finished(&mut self, now: Millis, ticket: &Ticket, expected: u32, seen: Seen) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(load) = self.orgs.get_mut(&ticket.org) {
             load.in_flight = load.in_flight.saturating_sub(1);
         }
-        self.drop_empty(ticket.org);
-        let others_wait = !self.by_latest_start.is_empty();
-        self.rate.learn(now, seen.tokens, others_wait);
+        self.remove_if_empty(ticket.org);
+        let others_queued = !self.by_latest_start.is_empty();
+        self.rate.record(now, seen.tokens, others_queued);
         if seen.tokens == 0 {
             return;
         }
         self.limit
-            .learn(now, seen.latency_ms as f64 / f64::from(seen.tokens));
-        let beyond = i64::from(seen.tokens) - i64::from(expected);
-        self.queues[class(ticket)].charge(ticket.org, beyond);
+            .record(now, seen.latency_ms as f64 / f64::from(seen.tokens));
+        let excess = i64::from(seen.tokens) - i64::from(expected);
+        self.queues[class(ticket)].charge(ticket.org, excess);
     }
 
     pub(super) fn dump(&self, id: PipelineId) -> PipelineDump {
@@ -225,8 +226,8 @@
             None => "resumed".to_owned(),
             Some(priority) => priority.to_string(),
         };
-        let waiting = self.queues.iter().enumerate().filter(|(_, q)| q.len() > 0);
-        waiting
+        let non_empty = self.queues.iter().enumerate().filter(|(_, q)| q.len() > 0);
+        non_empty
             .map(|(class, q)| QueueDump {
                 class: class_name(class),
                 queued: q.len(),
@@ -236,8 +237,8 @@
             .collect()
     }
 
-    /// Time before a new request would start, in milliseconds: what waits in better classes, and
-    /// its organisation's part of its own class.
+    /// Returns the time before a new request would start, in milliseconds: that of better classes,
+    /// and of its organisation's share of its own class.
     fn wait_ms(&self, ticket: &Ticket, tokens: u32) -> f64 {
         if self.is_free() && self.by_latest_start.is_empty() {
             return 0.0;
@@ -248,7 +249,7 @@
         (better as f64 + own) * 1_000.0 / self.rate.get()
     }
 
-    /// Time that a request takes once it started, in milliseconds; 0 before any was seen.
+    /// Returns the time that a started request takes, in milliseconds; 0 without a measurement.
     fn service_ms(&self, tokens: u32) -> f64 {
         self.limit.ms_per_token().unwrap_or(0.0) * f64::from(tokens)
     }
--- a/policy/src/admission/share.rs
+++ b/policy/src/admission/share.rs
@@ -1,25 +1,26 @@
-//! An instance's share of an organisation's limit over all instances.
+//! An instance's share of an organisation's fleet-wide limit.
 //!
-//! Each instance takes its share by its demand as gossiped. All use the same figures as far as
-//! the gossip has reached them, so the shares add up to the limit, give or take one request an
-//! instance. With figures that differ, in a partition, each side gives itself more than its part:
-//! with `k` sides that see only themselves the sum is at most `k` times the limit, and the same
-//! again for the requests that were in flight before.
+//! Each instance computes its share from the gossiped demand. All instances use the same figures as
+//! far as gossip has converged, so the shares add up to the limit within one request per instance.
+//! In a network partition each side takes more than its share: with `k` sides that see only
+//! themselves the sum is at most `k` times the limit, and as much again for requests that were in
+//! flight before.
 
-/// Demand of one instance for an organisation: requests queued or in flight.
+/// Demand for an organisation: requests queued or in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// This instance's.
+    /// Demand on this instance.
     pub own: u32,
-    /// Sum over all live instances, this one counted.
+    /// Sum over all live instances, including this one.
     pub all: u32,
-    /// Number of live instances, this one counted.
+    /// Number of live instances, including this one.
     pub instances: u32,
 }
 
-/// The most requests of an organisation that this instance may have. Half of the limit is shared
-/// evenly, so that a caller that turns to an instance without demand so far is served; the other
-/// half by demand. Never 0 where the limit is not.
+/// Returns the maximum number of an organisation's requests on this instance.
+///
+/// Half of the limit is divided evenly, so that a caller is served by an instance that had no
+/// demand so far; the other half is divided by demand. Never 0 unless the limit is 0.
 pub fn share_of(limit: u32, demand: Demand) -> u32 {
     let instances = u64::from(demand.instances.max(1));
     let own = u64::from(demand.own);
--- a/policy/tests/admission.rs
+++ b/policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: who goes on, who waits, who is refused.
+//! Tests of admission control: which requests are admitted, queued and refused.
 
 use cranelift_entity::EntityRef;
 use googletest::prelude::*;
@@ -27,11 +27,11 @@
 }
 
 #[gtest]
-fn one_goes_on_the_next_waits_and_one_too_late_is_refused() {
+fn requests_are_admitted_queued_or_refused_by_limit_and_deadline() {
     let (mut admission, mut rng) = open(100.0, 1);
     let first = admission.offer(0, ticket(1, 0, 10_000), &mut rng);
     let second = admission.offer(0, ticket(2, 0, 10_000), &mut rng);
-    // Two requests of 100 tokens at 100 tokens a second: 2 s, beyond a deadline of 1.5 s.
+    // Two requests of 100 tokens at 100 tokens per second take 2 s, beyond the deadline of 1.5 s.
     let third = admission.offer(0, ticket(3, 0, 1_500), &mut rng);
     expect_that!(first, eq(Decision::Admit));
     expect_that!(second, eq(Decision::Queue));
@@ -52,7 +52,7 @@
 }
 
 #[gtest]
-fn a_waiting_request_is_refused_once_its_deadline_is_out_of_reach() {
+fn a_queued_request_is_refused_once_it_cannot_meet_its_deadline() {
     let (mut admission, mut rng) = open(100.0, 1);
     let _ = admission.offer(0, ticket(1, 0, 10_000), &mut rng);
     let _ = admission.offer(0, ticket(2, 0, 5_000), &mut rng);
@@ -69,10 +69,10 @@
     expect_that!(admission.queued(), eq(0));
 }
 
-/// Half of a pipeline's runners die while requests wait: those that can't be reached any longer
-/// are told now, not at their deadlines; the rest stays.
+/// Half of a pipeline's runners fail while requests are queued. Requests that can't meet their
+/// deadlines any more are refused at once, not at their deadlines; the rest stays queued.
 #[gtest]
-fn a_bound_that_falls_refuses_at_once_what_is_out_of_reach() {
+fn a_reduced_bound_refuses_infeasible_requests_at_once() {
     let (mut admission, mut rng) = open(100.0, 1);
     for slot in 1..=6 {
         let _ = admission.offer(0, ticket(slot, 0, 6_500), &mut rng);
@@ -90,10 +90,10 @@
     expect_that!(refused, elements_are![eq(&Slot(6))]);
 }
 
-/// Work that is resumed after a failure goes before new work of any priority, and is not counted
-/// against its organisation's limit again.
+/// Work that is resumed after a failover takes precedence over new work of any priority, and is not
+/// counted against its organisation's limit again.
 #[gtest]
-fn resumed_work_goes_first() {
+fn resumed_work_is_admitted_first() {
     let (mut admission, mut rng) = open(100.0, 1);
     let urgent = Ticket {
         priority: 0,
@@ -115,10 +115,10 @@
     );
 }
 
-/// A hundred callers are refused at the same moment: they are told different times to come back,
-/// over the time that their own work takes.
+/// A hundred callers are refused at the same moment. Their retry times are spread over the time
+/// that their own work takes.
 #[gtest]
-fn the_refused_do_not_return_together() {
+fn retries_of_refused_callers_are_spread() {
     let (mut admission, mut rng) = open(100.0, 1);
     let _ = admission.offer(0, ticket(0, 0, 60_000), &mut rng);
     let mut times = Vec::new();
@@ -129,7 +129,7 @@
     }
     expect_that!(times, len(eq(100)));
     times.sort_unstable();
-    let most_in_a_second = times
+    let max_per_second = times
         .iter()
         .map(|t| {
             times
@@ -138,11 +138,11 @@
                 .count()
         })
         .max();
-    expect_that!(most_in_a_second, some(le(15)));
+    expect_that!(max_per_second, some(le(15)));
 }
 
-/// The shares of six instances add up to an organisation's limit, within one request each, when
-/// all hear the same; three that hear only themselves give out three times the limit at most.
+/// With the same demand figures, the shares of six instances add up to an organisation's limit
+/// within one request each. An instance that knows only its own demand takes the whole limit.
 #[gtest]
 fn shares_add_up_to_the_limit() {
     let demands = [0, 0, 1, 5, 20, 40];
--- a/policy/tests/admission_load.rs
+++ b/policy/tests/admission_load.rs
@@ -1,5 +1,6 @@
-//! Admission under load, in virtual time: a pipeline whose engines share a fixed token rate among
-//! the requests in flight, organisations with seeded random arrivals, callers with deadlines.
+//! Load simulation of admission control in virtual time: a pipeline whose engines share a fixed
+//! token rate among the requests in flight, organisations with seeded random arrivals, and callers
+//! with deadlines.
 
 use cranelift_entity::EntityRef;
 use googletest::prelude::*;
@@ -10,24 +11,24 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// Tokens a second of the whole pipeline.
+/// Throughput of the whole pipeline.
 const TOKENS_PER_S: f64 = 2_000.0;
-/// Tokens a second of one request at most; the engines are full with 40.
+/// Maximum throughput of one request; 40 requests saturate the engines.
 const REQUEST_TOKENS_PER_S: f64 = 50.0;
 const IN_FLIGHT: u32 = 40;
-/// Tokens of an answer, any number between equally often: the longest takes 2 s alone.
+/// Tokens of an answer, uniformly distributed: the longest takes 2 s without contention.
 const TOKENS: std::ops::RangeInclusive<u32> = 20..=100;
 const MEAN_TOKENS: f64 = 60.0;
 const DEADLINE_MS: u64 = 4_000;
 const RUN_MS: u64 = 60_000;
-/// Nothing is counted before.
+/// Time before which nothing is counted.
 const WARM_UP_MS: u64 = 10_000;
 
-/// Whether the pipeline is guarded.
+/// Whether admission control is used.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Guard {
+enum Control {
     Admission,
-    /// Everything goes on at once.
+    /// Every request starts at once.
     None,
 }
 
@@ -41,10 +42,10 @@
 }
 
 struct Sim {
-    guard: Guard,
+    control: Control,
     admission: Admission,
     rng: ChaCha8Rng,
-    /// Tokens a second that each organisation offers.
+    /// Offered load of each organisation, in tokens per second.
     offered: Vec<f64>,
     next_arrival: Vec<f64>,
     next_slot: u64,
@@ -53,16 +54,16 @@
     good_tokens: f64,
     refused: u64,
     cut: u64,
-    /// Time from arrival to start by organisation, in milliseconds.
+    /// Times from arrival to start of each organisation's requests, in milliseconds.
     waits: Vec<Vec<Millis>>,
 }
 
 impl Sim {
-    fn new(guard: Guard, offered: &[f64], seed: u64) -> Self {
+    fn new(control: Control, offered: &[f64], seed: u64) -> Self {
         let mut admission = Admission::new(AdmissionConfig::default());
         admission.set_capacity(0, PipelineId::new(0), TOKENS_PER_S, IN_FLIGHT);
         Self {
-            guard,
+            control,
             admission,
             rng: ChaCha8Rng::seed_from_u64(seed),
             offered: offered.to_vec(),
@@ -86,7 +87,7 @@
         self
     }
 
-    /// Share of the pipeline's rate that went into answers in time.
+    /// Returns the share of the pipeline's throughput spent on answers within the deadline.
     fn goodput(&self) -> f64 {
         let seconds = (RUN_MS - WARM_UP_MS) as f64 / 1_000.0;
         self.good_tokens / seconds / TOKENS_PER_S
@@ -135,9 +136,9 @@
             deadline,
             work: Work::New,
         };
-        let decision = match self.guard {
-            Guard::Admission => self.admission.offer(now, ticket, &mut self.rng),
-            Guard::None => Decision::Admit,
+        let decision = match self.control {
+            Control::Admission => self.admission.offer(now, ticket, &mut self.rng),
+            Control::None => Decision::Admit,
         };
         match decision {
             Decision::Admit => self.start(now, slot, request),
@@ -199,50 +200,50 @@
     }
 }
 
-/// Ten organisations that together offer `load` times the bound.
+/// Ten organisations with equal load that together offer `load` times the bound.
 fn even(load: f64) -> Vec<f64> {
     vec![load * TOKENS_PER_S / 10.0; 10]
 }
 
-/// Load beyond the bound: the refused are told at once, and those that go on are answered in
-/// time, so that as much is answered at twice the bound as at the knee. Without admission every
-/// request shares the engines, all miss their deadlines, and the goodput falls.
+/// Under overload, requests are refused at once or answered in time, so that the goodput at twice
+/// the bound is no lower than near saturation. Without admission control all requests share the
+/// engines, miss their deadlines, and the goodput collapses.
 #[gtest]
-fn goodput_does_not_fall_beyond_the_knee() {
+fn goodput_does_not_collapse_under_overload() {
     for seed in 1..=3 {
-        let goodput = |guard, load: f64| {
-            let sim = Sim::new(guard, &even(load), seed).run();
+        let goodput = |control, load: f64| {
+            let sim = Sim::new(control, &even(load), seed).run();
             let (good, refused, cut) = (sim.goodput(), sim.refused, sim.cut);
             println!("seed {seed}, load {load}: goodput {good:.3}, refused {refused}, cut {cut}");
             good
         };
-        let guarded = [0.5, 0.9, 1.2, 2.0].map(|load| goodput(Guard::Admission, load));
-        expect_that!(guarded[0], near(0.5, 0.05));
-        expect_that!(guarded[1], near(0.88, 0.07));
-        expect_that!(guarded[2], ge(0.95 * guarded[1]));
-        expect_that!(guarded[3], ge(0.95 * guarded[2]));
-        expect_that!(goodput(Guard::None, 2.0), lt(0.8 * guarded[3]));
+        let controlled = [0.5, 0.9, 1.2, 2.0].map(|load| goodput(Control::Admission, load));
+        expect_that!(controlled[0], near(0.5, 0.05));
+        expect_that!(controlled[1], near(0.88, 0.07));
+        expect_that!(controlled[2], ge(0.95 * controlled[1]));
+        expect_that!(controlled[3], ge(0.95 * controlled[2]));
+        expect_that!(goodput(Control::None, 2.0), lt(0.8 * controlled[3]));
     }
 }
 
-/// One organisation floods with three times the bound. The others, which offer a quarter of it
-/// together, wait as long as without the flood but for one place to come free.
+/// One organisation floods with three times the bound. The others, which together offer a quarter
+/// of it, wait no longer than without the flood, plus the time until one request ends.
 #[gtest]
-fn a_flood_of_one_organisation_leaves_the_others_wait_where_it_was() {
+fn a_flood_of_one_organisation_does_not_delay_the_others() {
     let small = TOKENS_PER_S / 4.0 / 9.0;
     for seed in 1..=3 {
         let with = |flood: f64| {
             let mut offered = vec![small; 10];
             offered[0] = flood * TOKENS_PER_S;
-            Sim::new(Guard::Admission, &offered, seed).run()
+            Sim::new(Control::Admission, &offered, seed).run()
         };
-        let (calm, flooded) = (with(0.0), with(3.0));
-        let (before, after) = (calm.p95_wait(1..10), flooded.p95_wait(1..10));
+        let (baseline, flooded) = (with(0.0), with(3.0));
+        let (before, after) = (baseline.p95_wait(1..10), flooded.p95_wait(1..10));
         println!(
             "seed {seed}: p95 wait {before} ms, with the flood {after} ms; the flood's own {} ms",
             flooded.p95_wait(0..1)
         );
-        // A place comes free every 30 ms: a request's time over the number in flight.
+        // A request ends every 30 ms: the time of one request divided by the number in flight.
         expect_that!(after, le(before + 50));
         expect_that!(flooded.goodput(), ge(0.9));
     }
