--- a/policy/src/upstreams.rs
+++ b/policy/src/upstreams.rs
@@ -1,15 +1,15 @@
-//! Upstreams as this instance knows them: who observes them, which are open for new work.
+//! Registry of upstreams: their observers, health and availability for new work.
 //!
-//! Each upstream is polled by a few live instances of its region, chosen by rendezvous hash
-//! ([`Upstreams::to_poll`]), and the others hear of it in their exchanges ([`exchange`]). An
-//! upstream that its observer fails to reach is doubted, and suspected once another observer
-//! failed as well ([`observe`]).
+//! Each upstream is polled by a few live instances of its region, chosen by rendezvous hashing
+//! ([`Upstreams::to_poll`]); other instances learn its state by gossip ([`exchange`]). An upstream
+//! that one observer fails to reach is suspected only if a second observer fails as well
+//! ([`observe`]).
 //!
 //! Invariants:
-//! - Leaving is never taken back for the same incarnation, whatever said it first: the list, the
+//! - Leaving is irrevocable for an incarnation, whichever source reported it first: the list, the
 //!   upstream's own report, its refusal, or a peer.
-//! - An upstream that is suspected is polled on, and any report from it ends the suspicion.
-//! - After this process was stopped and woken, no upstream is open before it was heard of again.
+//! - A suspected upstream continues to be polled, and any report from it refutes the suspicion.
+//! - After this process was suspended, no upstream is open until news of it arrives.
 
 pub mod config;
 pub mod dump;
@@ -20,7 +20,7 @@
 
 pub use config::UpstreamsConfig;
 pub use dump::{UpstreamCounts, UpstreamRow, UpstreamsDump};
-pub use message::{LoadBeat, RecordHash, UpstreamDelta, UpstreamDigest};
+pub use message::{LoadSample, RecordHash, UpstreamDelta, UpstreamDigest};
 pub use observe::{Confirm, ConfirmOutcome, PollOutcome};
 pub use record::{RunnerProfile, UpstreamRecord};
 
@@ -29,84 +29,84 @@
 use crate::member::MemberState;
 use crate::region::region_of;
 use crate::time::{Millis, Name, Now};
-use record::fnv;
+use record::fnv1a;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// How an upstream is observed.
+/// How an upstream is polled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PollKind {
-    /// By its load report: a model runner.
+    /// By requesting its load report: a model runner.
     Load,
     /// By opening a connection: a plain service.
     Connect,
 }
 
-/// A poll to make.
+/// A poll to be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Poll {
-    /// Upstream's name.
+    /// Name of the upstream.
     pub name: Name,
-    /// Incarnation that is known of it.
+    /// Its known incarnation.
     pub incarnation: u64,
     /// Its address.
     pub address: SocketAddr,
-    /// How.
+    /// How it is polled.
     pub kind: PollKind,
-    /// Monotonic time of the decision, in milliseconds.
+    /// Monotonic time at which the poll was issued, in milliseconds.
     pub started_ms: Millis,
 }
 
-/// Whether new work goes to an upstream.
+/// Whether new work is sent to an upstream.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Availability {
-    /// New work goes to it.
+    /// New work is sent to it.
     #[display("open")]
     Open,
-    /// It leaves: never again in this incarnation.
+    /// It is leaving: no new work for this incarnation.
     #[display("leaving")]
     Leaving,
-    /// Observers don't reach it.
+    /// Observers can't reach it.
     #[display("suspected")]
     Suspected,
-    /// The list lacks it, and it gives no reports.
+    /// It is missing from the list and did not answer the last poll.
     #[display("unlisted")]
     Unlisted,
-    /// This process was stopped and has not heard of it since.
+    /// This process was suspended and has received no news of it since.
     #[display("stale")]
     Stale,
 }
 
-/// Newest load of a runner.
+/// Newest known load of a runner.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SeenLoad {
-    /// Report number.
+pub struct KnownLoad {
+    /// Sequence number of the report.
     pub number: u64,
-    /// Monotonic time of this process at which the figures were true, in milliseconds.
+    /// Monotonic time of this process at which the figures were sampled, in milliseconds.
     pub true_ms: Millis,
     /// Requests running.
     pub running: u32,
     /// Requests queued.
     pub queued: u32,
-    /// Token-layers a second it did lately.
+    /// Recent throughput, in token-layers per second.
     pub busy_token_layers_per_s: f64,
 }
 
-/// What this instance knows of one upstream.
+/// State of one upstream on this instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Upstream {
-    /// What all instances know of it.
+    /// Part that is replicated to all instances.
     pub record: UpstreamRecord,
-    /// Newest load, where it is known.
-    pub load: Option<SeenLoad>,
-    /// Lists in a row that lacked it.
+    /// Newest load, if known.
+    pub load: Option<KnownLoad>,
+    /// Number of consecutive lists without it.
     pub unlisted: u32,
     hash: u32,
-    misses: u32,
-    unreached_by: Vec<Name>,
+    failures: u32,
+    confirmed_by: Vec<Name>,
     stale: bool,
     answered_ms: Option<Millis>,
 }
@@ -118,21 +118,21 @@
             record,
             load: None,
             unlisted: 0,
-            misses: 0,
-            unreached_by: Vec::new(),
+            failures: 0,
+            confirmed_by: Vec::new(),
             stale: false,
             answered_ms: None,
         }
     }
 
-    /// Its listing.
+    /// Returns its entry in the list.
     #[must_use]
     pub fn listed(&self) -> &ListedInstance {
         &self.record.listed
     }
 }
 
-/// Upstreams as this instance knows them.
+/// Registry of upstreams on this instance.
 #[derive(Clone, Debug)]
 pub struct Upstreams {
     own: Name,
@@ -140,14 +140,14 @@
     cfg: UpstreamsConfig,
     groups: BTreeMap<Name, PollKind>,
     upstreams: BTreeMap<Name, Upstream>,
-    /// Live instances, as [`Upstreams::set_live`] gave them.
+    /// Live instances; see [`Upstreams::set_live`].
     live: Vec<Observer>,
-    /// Upstreams that this instance observes; absent: to be worked out anew. Ranking every
-    /// upstream against every instance at each poll took most of the processor time of a fleet.
+    /// Cached names of the upstreams that this instance observes; `None` if outdated. Without the
+    /// cache, ranking all instances for each upstream at each poll dominates the CPU time.
     observed: Option<Vec<Name>>,
     changed: BTreeSet<Name>,
-    seen: Now,
-    woken_ms: Millis,
+    last_event: Now,
+    resumed_ms: Millis,
     counts: UpstreamCounts,
 }
 
@@ -157,12 +157,11 @@
     domain: Name,
 }
 
-/// A gap between two events, in milliseconds, after which this process counts as having been
-/// stopped.
-const WOKEN_MS: Millis = 3_000;
+/// Gap between two events above which this process is considered to have been suspended.
+const SUSPENDED_GAP_MS: Millis = 3_000;
 
 impl Upstreams {
-    /// No upstream is known yet to the instance `own` in failure domain `domain`.
+    /// Creates an empty registry for the instance `own` in failure domain `domain`.
     #[must_use]
     pub fn new(own: Name, domain: Name, cfg: UpstreamsConfig, now: Now) -> Upstreams {
         let observer = Observer {
@@ -178,19 +177,19 @@
             live: vec![observer],
             observed: None,
             changed: BTreeSet::new(),
-            seen: now,
-            woken_ms: 0,
+            last_event: now,
+            resumed_ms: 0,
             counts: UpstreamCounts::default(),
         }
     }
 
-    /// Sets the groups of the schema and how their upstreams are observed.
+    /// Sets the upstream groups of the schema and how their upstreams are polled.
     pub fn set_groups(&mut self, groups: BTreeMap<Name, PollKind>) {
         self.groups = groups;
         self.observed = None;
     }
 
-    /// Sets the live instances that share the observation, this one included.
+    /// Sets the live instances among which observers are chosen, including this one.
     pub fn set_live<'a>(&mut self, live: impl Iterator<Item = &'a MemberState>) {
         let observer = |s: &MemberState| Observer {
             name: s.name.clone(),
@@ -209,18 +208,18 @@
         }
     }
 
-    /// Every upstream, in the order of names.
+    /// Returns all upstreams, ordered by name.
     pub fn all(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.values()
     }
 
-    /// An upstream by its name.
+    /// Returns an upstream by its name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&Upstream> {
         self.upstreams.get(name)
     }
 
-    /// Upstreams of a group that are open for new work, in the order of names.
+    /// Returns the upstreams of a group that are open for new work, ordered by name.
     pub fn open_in(&self, group: &str) -> impl Iterator<Item = &ListedInstance> {
         let all = self.upstreams.values().map(|u| (u, u.listed()));
         let open = all.filter(move |(u, l)| *l.group == *group && self.is_open(u));
@@ -231,14 +230,14 @@
         self.availability(u) == Availability::Open
     }
 
-    /// Whether new work goes to an upstream.
+    /// Returns whether new work is sent to an upstream.
     #[must_use]
     pub fn availability(&self, u: &Upstream) -> Availability {
         if u.record.leaving() {
             Availability::Leaving
         } else if u.record.suspected() {
             Availability::Suspected
-        } else if u.unlisted >= self.cfg.max_unlisted && !self.answers(u) {
+        } else if u.unlisted >= self.cfg.unlisted_after_lists && !self.answered_last_poll(u) {
             Availability::Unlisted
         } else if u.stale {
             Availability::Stale
@@ -247,46 +246,50 @@
         }
     }
 
-    /// Whether it answered this instance's last poll. A list that is cut short, as after an outage
-    /// of the platform, doesn't close an upstream that goes on answering.
-    fn answers(&self, u: &Upstream) -> bool {
-        u.misses == 0 && u.answered_ms.is_some_and(|at| at >= self.woken_ms)
+    /// Whether it answered this instance's last poll.
+    ///
+    /// An incomplete list, as after an outage of the platform, doesn't close an upstream that still
+    /// answers.
+    fn answered_last_poll(&self, u: &Upstream) -> bool {
+        u.failures == 0 && u.answered_ms.is_some_and(|at| at >= self.resumed_ms)
     }
 
-    /// Names of the upstreams that changed since the last call: what to feed to the route plan.
+    /// Returns and clears the names of the upstreams that changed since the last call, for which
+    /// the route plan has to be updated.
     pub fn take_changed(&mut self) -> BTreeSet<Name> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Events since the start.
+    /// Returns event counts since the start.
     #[must_use]
     pub fn counts(&self) -> UpstreamCounts {
         self.counts
     }
 
-    /// Takes in the platform's list, whole.
+    /// Applies the platform's complete list.
     pub fn listed(&mut self, now: Now, list: &[ListedInstance]) {
-        self.observe(now);
+        self.detect_suspension(now);
         for u in self.upstreams.values_mut() {
             u.unlisted = u.unlisted.saturating_add(1);
         }
         for listed in list.iter().filter(|l| *l.group != *ENTRY_GROUP) {
-            self.take_listed(listed);
+            self.merge_listed(listed);
         }
-        let limits = (self.cfg.max_unlisted, self.cfg.forget_lists);
+        let (unlisted_after, remove_after) =
+            (self.cfg.unlisted_after_lists, self.cfg.remove_after_lists);
         for (name, u) in &self.upstreams {
-            if u.unlisted >= limits.0 {
+            if u.unlisted >= unlisted_after {
                 self.changed.insert(name.clone());
             }
         }
         let before = self.upstreams.len();
-        self.upstreams.retain(|_, u| u.unlisted < limits.1);
+        self.upstreams.retain(|_, u| u.unlisted < remove_after);
         if self.upstreams.len() != before {
             self.observed = None;
         }
     }
 
-    fn take_listed(&mut self, listed: &ListedInstance) {
+    fn merge_listed(&mut self, listed: &ListedInstance) {
         self.merge(&UpstreamRecord::new(listed.clone()));
         let Some(u) = self.upstreams.get_mut(&listed.name) else {
             return;
@@ -306,7 +309,7 @@
         self.changed.insert(listed.name.clone());
     }
 
-    /// Merges a record from the list or a peer.
+    /// Merges a record from the list or from a peer.
     fn merge(&mut self, record: &UpstreamRecord) {
         let name = &record.listed.name;
         if !self.upstreams.contains_key(name) && self.upstreams.len() >= self.cfg.max_upstreams {
@@ -328,8 +331,8 @@
         if restarted {
             *u = Upstream::new(record.clone());
         }
-        // An instance that was cut off suspected what it could not reach. When it is back, its
-        // suspicions must not close, even for one round, what has reported to others meanwhile.
+        // After a partition heals, the suspicions of an instance that was cut off must not close,
+        // even for one round, an upstream that reported to others in the meantime.
         if let (Some(load), true) = (u.load, u.record.suspected()) {
             u.record.number = u.record.number.max(load.number);
         }
@@ -337,7 +340,8 @@
         self.changed.insert(name.clone());
     }
 
-    /// Closes an incarnation of an upstream to new work for good, as it refused work for leaving.
+    /// Closes an incarnation of an upstream to new work permanently, as it refused work because it
+    /// is leaving.
     pub fn leaving(&mut self, name: &str, incarnation: u64) {
         let Some(u) = self.upstreams.get_mut(name) else {
             return;
@@ -351,13 +355,13 @@
         self.changed.insert(u.record.listed.name.clone());
     }
 
-    /// What this instance is to poll now.
+    /// Returns the polls that this instance is to make now.
     pub fn to_poll(&mut self, now: Now) -> Vec<Poll> {
-        self.observe(now);
+        self.detect_suspension(now);
         let observed = self
             .observed
             .take()
-            .unwrap_or_else(|| self.work_out_observed());
+            .unwrap_or_else(|| self.compute_observed());
         let upstreams = observed.iter().filter_map(|name| self.upstreams.get(name));
         let polls = upstreams.filter_map(|u| self.poll(u, now)).collect();
         self.observed = Some(observed);
@@ -375,38 +379,38 @@
         })
     }
 
-    fn work_out_observed(&self) -> Vec<Name> {
+    fn compute_observed(&self) -> Vec<Name> {
         let regions: BTreeSet<&str> = self.live.iter().map(|o| region_of(&o.domain)).collect();
         let own_region = region_of(&self.domain);
         let mut observed = Vec::new();
         for (name, u) in &self.upstreams {
             let region = region_of(&u.listed().domain);
-            let others = region != own_region && regions.contains(region);
-            if !others && self.observers(u.listed()).any(|o| *o == self.own) {
+            let polled_elsewhere = region != own_region && regions.contains(region);
+            if !polled_elsewhere && self.observers(u.listed()).any(|o| *o == self.own) {
                 observed.push(name.clone());
             }
         }
         observed
     }
 
-    /// The instances that observe an upstream: those of its region, or of all where it has none,
-    /// with the greatest hashes of both names. When an instance comes or goes, only the upstreams
-    /// that it observes change their observers.
-    fn observers(&self, l: &ListedInstance) -> impl Iterator<Item = &Name> {
-        let region = region_of(&l.domain);
+    /// Returns the observers of an upstream, chosen by rendezvous hashing among the instances of
+    /// its region, or among all if its region has none. When an instance joins or leaves, only the
+    /// upstreams that it observes change observers.
+    fn observers(&self, listed: &ListedInstance) -> impl Iterator<Item = &Name> {
+        let region = region_of(&listed.domain);
         let near = |o: &&Observer| region_of(&o.domain) == region;
         let any_near = self.live.iter().any(|o| near(&o));
         let candidates = self.live.iter().filter(|o| !any_near || near(o));
         let mut ranked: Vec<(u32, &Name)> = candidates
-            .map(|o| (rendezvous(&o.name, &l.name), &o.name))
+            .map(|o| (rendezvous(&o.name, &listed.name), &o.name))
             .collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
         ranked.truncate(self.cfg.observers.max(1));
         ranked.into_iter().map(|(_, name)| name)
     }
 
-    /// Takes in a report, from a poll of this instance or of a peer that confirmed it.
-    fn take_report(&mut self, now: Now, report: &LoadReport) {
+    /// Applies a load report, from a poll by this instance or by a peer asked for confirmation.
+    fn apply_report(&mut self, now: Now, report: &LoadReport) {
         let Some(u) = self.upstreams.get_mut(&report.runner) else {
             return;
         };
@@ -414,7 +418,7 @@
             return;
         }
         if report.incarnation > u.listed().incarnation {
-            // It restarted, and says so before the list does.
+            // It restarted, and its report arrived before the updated list.
             let mut listed = u.listed().clone();
             listed.incarnation = report.incarnation;
             listed.state = ListedState::Live;
@@ -423,7 +427,7 @@
         u.answered_ms = Some(now.mono_ms);
         let newer = u.load.is_none_or(|l| l.number < report.number);
         if newer {
-            u.load = Some(SeenLoad {
+            u.load = Some(KnownLoad {
                 number: report.number,
                 true_ms: now.mono_ms.saturating_sub(report.age_ms),
                 running: report.running,
@@ -432,14 +436,18 @@
             });
         }
         let profile = RunnerProfile::of(report);
-        let known = u.record.profile.as_ref().is_some_and(|p| p.same(&profile));
+        let known = u
+            .record
+            .profile
+            .as_ref()
+            .is_some_and(|p| p.is_equivalent(&profile));
         if newer && !known {
             u.record.profile = Some(profile);
             u.record.number = report.number.max(u.record.number + 1);
             u.hash = u.record.hash();
         }
         let (name, incarnation) = (u.listed().name.clone(), report.incarnation);
-        self.reached(&name);
+        self.on_reached(&name);
         if report.leaving {
             self.leaving(&name, incarnation);
         }
@@ -449,9 +457,9 @@
 
 fn rendezvous(instance: &str, upstream: &str) -> u32 {
     let bytes = instance.bytes().chain([0]).chain(upstream.bytes());
-    // FNV-1a alone leaves names that differ in their last bytes close together: the finalizer of
-    // MurmurHash3 spreads them.
-    let mut h = fnv(bytes);
+    // With FNV-1a alone, names that differ only in their last bytes have similar hashes; the
+    // finalizer of MurmurHash3 spreads them.
+    let mut h = fnv1a(bytes);
     h ^= h >> 16;
     h = h.wrapping_mul(0x85eb_ca6b);
     h ^= h >> 13;
--- a/policy/src/upstreams/config.rs
+++ b/policy/src/upstreams/config.rs
@@ -1,21 +1,22 @@
-//! Settings of the observation of upstreams.
+//! Configuration of upstream monitoring.
 
-/// Settings of the observation of upstreams; the same on every instance of a fleet.
+/// Configuration of upstream monitoring; must be the same on all instances of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamsConfig {
-    /// Instances that poll one runner.
+    /// Number of instances that poll each upstream.
     pub observers: usize,
-    /// Failed polls or connects in a row after which an upstream is doubted.
-    pub max_misses: u32,
-    /// Other observers that must fail to reach a doubted runner, where that many are there.
+    /// Consecutive failed polls or connects after which other observers are asked to confirm.
+    pub max_failures: u32,
+    /// Number of other observers that must fail as well before an upstream is suspected; fewer if
+    /// it has fewer observers.
     pub confirmations: usize,
-    /// The most whole records in one message; the rest follows in later rounds.
+    /// Maximum number of records in one message; the rest follows in later rounds.
     pub max_records: usize,
-    /// Lists in a row that lack an upstream before that counts.
-    pub max_unlisted: u32,
-    /// Lists in a row that lack an upstream before it is forgotten.
-    pub forget_lists: u32,
-    /// The most upstreams that are remembered; further ones are counted and ignored.
+    /// Number of consecutive lists without an upstream after which it counts as unlisted.
+    pub unlisted_after_lists: u32,
+    /// Number of consecutive lists without an upstream after which it is removed.
+    pub remove_after_lists: u32,
+    /// Maximum number of known upstreams; further ones are counted and ignored.
     pub max_upstreams: usize,
 }
 
@@ -23,11 +24,11 @@
     fn default() -> Self {
         UpstreamsConfig {
             observers: 3,
-            max_misses: 2,
+            max_failures: 2,
             confirmations: 1,
             max_records: 64,
-            max_unlisted: 2,
-            forget_lists: 300,
+            unlisted_after_lists: 2,
+            remove_after_lists: 300,
             max_upstreams: 8_192,
         }
     }
--- a/policy/src/upstreams/dump.rs
+++ b/policy/src/upstreams/dump.rs
@@ -1,30 +1,30 @@
-//! The upstreams as operators see them.
+//! State of the upstreams for operators.
 
 use super::{Availability, Upstream, Upstreams};
 use crate::time::{Millis, Name};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Events since the start, for metrics and the dump.
+/// Event counts since the start, for metrics and the dump.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamCounts {
-    /// Upstreams doubted.
+    /// Times that this instance asked other observers to confirm that an upstream is unreachable.
     pub doubts: u64,
-    /// Upstreams suspected here with confirmation by another observer.
+    /// Suspicions raised here with confirmation by another observer.
     pub suspicions: u64,
-    /// Upstreams suspected without confirmation, as no other observer answered.
+    /// Suspicions raised here without confirmation, as no other observer answered.
     pub unconfirmed: u64,
-    /// Suspicions that a report or a connection ended here.
+    /// Suspicions that a report or a connection refuted here.
     pub false_alarms: u64,
-    /// Upstreams that said here that they leave.
+    /// Upstreams that reported to this instance that they are leaving.
     pub left: u64,
-    /// Times this process was stopped and woken.
+    /// Times that this process was suspended and resumed.
     pub woken: u64,
-    /// Upstreams that were not taken in, as too many are known.
+    /// Upstreams ignored because too many are known.
     pub refused: u64,
 }
 
-/// One upstream.
+/// State of one upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamRow {
     /// Name.
@@ -35,27 +35,27 @@
     pub group: Name,
     /// Failure domain.
     pub domain: Name,
-    /// Whether new work goes to it.
+    /// Whether new work is sent to it.
     pub availability: Availability,
-    /// Layers it holds, as `model 0..8`.
+    /// Layers that it holds, as `model 0..8`.
     pub holds: Vec<String>,
-    /// Age of its load, in milliseconds, where one is known.
+    /// Age of its load, in milliseconds, if one is known.
     pub load_age_ms: Option<Millis>,
     /// Instances that observe it.
     pub observers: Vec<Name>,
 }
 
-/// All upstreams.
+/// State of all upstreams.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamsDump {
-    /// In the order of names.
+    /// Upstreams, ordered by name.
     pub rows: Vec<UpstreamRow>,
-    /// Events since the start.
+    /// Event counts since the start.
     pub counts: UpstreamCounts,
 }
 
 impl Upstreams {
-    /// All upstreams, for the dump and the status.
+    /// Returns the state of all upstreams, for the dump and the status.
     #[must_use]
     pub fn dump(&self, mono_ms: Millis) -> UpstreamsDump {
         UpstreamsDump {
--- a/policy/src/upstreams/exchange.rs
+++ b/policy/src/upstreams/exchange.rs
@@ -1,15 +1,15 @@
-//! Digests and deltas of upstreams.
+//! Anti-entropy exchange of upstream records and loads: digests and deltas.
 
-use super::message::{BUCKETS, LoadBeat, RecordHash, UpstreamDelta, UpstreamDigest};
-use super::record::fnv;
-use super::{SeenLoad, Upstream, Upstreams};
+use super::message::{BUCKETS, LoadSample, RecordHash, UpstreamDelta, UpstreamDigest};
+use super::record::fnv1a;
+use super::{KnownLoad, Upstream, Upstreams};
 use crate::region::region_of;
 use crate::time::{Millis, Name, Now};
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Upstreams {
-    /// What this instance knows, for a first message to a peer in failure domain `domain` (where
-    /// it is known) with the given salt.
+    /// Returns the first message of an exchange with a peer in failure domain `domain` (if known),
+    /// using the given salt.
     #[must_use]
     pub fn digest(&self, now: Now, salt: u32, domain: Option<&str>) -> UpstreamDigest {
         let near = domain.is_some_and(|d| region_of(d) == region_of(&self.domain));
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Hash of each bucket: the sum of the hashes of its records, which doesn't depend on order.
+    /// Returns the hash of each bucket: the sum of its records' hashes, which is independent of
+    /// their order.
     fn buckets(&self) -> Vec<u32> {
         let mut buckets = vec![0u32; BUCKETS];
         for (name, u) in &self.upstreams {
@@ -36,18 +37,18 @@
         buckets
     }
 
-    fn loads(&self, now: Now, salt: u32) -> Vec<LoadBeat> {
+    fn loads(&self, now: Now, salt: u32) -> Vec<LoadSample> {
         let region = region_of(&self.domain);
         let near = self
             .upstreams
             .values()
             .filter(|u| region_of(&u.listed().domain) == region);
-        near.filter_map(|u| load_beat(u, now, salt)).collect()
+        near.filter_map(|u| load_sample(u, now, salt)).collect()
     }
 
-    /// Takes in a peer's digest; returns the answer.
+    /// Processes a peer's digest; returns the response.
     pub fn receive_digest(&mut self, now: Now, digest: &UpstreamDigest) -> UpstreamDelta {
-        self.observe(now);
+        self.detect_suspension(now);
         let salt = digest.salt;
         let mut delta = UpstreamDelta {
             salt,
@@ -56,8 +57,9 @@
         if digest.near {
             let theirs: BTreeMap<u32, u64> =
                 digest.loads.iter().map(|b| (b.key, b.number)).collect();
-            self.take_loads(now, salt, &digest.loads);
-            let newer = |b: &LoadBeat| theirs.get(&b.key).is_none_or(|n| *n < b.number);
+            self.apply_loads(now, salt, &digest.loads);
+            let newer =
+                |sample: &LoadSample| theirs.get(&sample.key).is_none_or(|n| *n < sample.number);
             delta.loads = self.loads(now, salt);
             delta.loads.retain(newer);
         }
@@ -66,7 +68,7 @@
         delta.differing = (0..BUCKETS).filter(differs).map(|i| i as u32).collect();
         delta.hashes = self.hashes(salt, &delta.differing);
         if delta.differing.is_empty() {
-            self.all_heard();
+            self.clear_stale();
         }
         delta
     }
@@ -87,10 +89,10 @@
         all.filter(move |(name, _)| buckets.contains(&(bucket(name) as u32)))
     }
 
-    /// Takes in an answer or a push; returns what the sender is to get, if anything.
+    /// Processes a response or a push; returns the message to send back, if any.
     pub fn receive_delta(&mut self, now: Now, delta: &UpstreamDelta) -> Option<UpstreamDelta> {
-        self.observe(now);
-        self.take_loads(now, delta.salt, &delta.loads);
+        self.detect_suspension(now);
+        self.apply_loads(now, delta.salt, &delta.loads);
         for record in &delta.records {
             self.merge(record);
         }
@@ -101,27 +103,28 @@
         self.compare(delta, &mut next);
         self.add_wanted(delta, &mut next);
         if delta.differing.is_empty() {
-            self.all_heard();
+            self.clear_stale();
         }
-        let some = !next.records.is_empty() || !next.wants.is_empty();
-        some.then_some(next)
+        let is_needed = !next.records.is_empty() || !next.wants.is_empty();
+        is_needed.then_some(next)
     }
 
-    /// Records that differ from the hashes of the other side are sent to it and wanted of it:
-    /// neither side can tell from a hash whose is newer, and the merge takes the best of both.
+    /// Adds records whose hashes differ from those of the other side, and requests its versions.
+    ///
+    /// Neither side can tell from a hash which record is newer, so both are exchanged and merged.
     fn compare(&self, delta: &UpstreamDelta, next: &mut UpstreamDelta) {
         let mut theirs: BTreeMap<u32, u32> = delta.hashes.iter().map(|h| (h.key, h.hash)).collect();
         let max = self.cfg.max_records;
         for (name, u) in self.in_buckets(&delta.differing) {
             let key = upstream_key(delta.salt, name);
-            let their = theirs.remove(&key);
-            if their == Some(u.hash) {
+            let their_hash = theirs.remove(&key);
+            if their_hash == Some(u.hash) {
                 continue;
             }
             if next.records.len() < max {
                 next.records.push(u.record.clone());
             }
-            if their.is_some() && next.wants.len() < max {
+            if their_hash.is_some() && next.wants.len() < max {
                 next.wants.push(key);
             }
         }
@@ -142,8 +145,8 @@
         }
     }
 
-    /// Everything that a peer knows has been heard.
-    fn all_heard(&mut self) {
+    /// Marks all upstreams as current after a complete exchange with a peer.
+    fn clear_stale(&mut self) {
         for (name, u) in &mut self.upstreams {
             if std::mem::take(&mut u.stale) {
                 self.changed.insert(name.clone());
@@ -151,17 +154,17 @@
         }
     }
 
-    fn take_loads(&mut self, now: Now, salt: u32, beats: &[LoadBeat]) {
-        if beats.is_empty() {
+    fn apply_loads(&mut self, now: Now, salt: u32, samples: &[LoadSample]) {
+        if samples.is_empty() {
             return;
         }
-        let by_key: BTreeMap<u32, &LoadBeat> = beats.iter().map(|b| (b.key, b)).collect();
+        let by_key: BTreeMap<u32, &LoadSample> = samples.iter().map(|s| (s.key, s)).collect();
         for (name, u) in &mut self.upstreams {
-            let Some(beat) = by_key.get(&load_key(salt, u)) else {
+            let Some(sample) = by_key.get(&load_key(salt, u)) else {
                 continue;
             };
-            if u.load.is_none_or(|l| l.number < beat.number) {
-                u.load = Some(seen_load(beat, now.mono_ms));
+            if u.load.is_none_or(|l| l.number < sample.number) {
+                u.load = Some(known_load(sample, now.mono_ms));
                 self.changed.insert(name.clone());
             }
         }
@@ -169,27 +172,28 @@
 }
 
 fn bucket(name: &Name) -> usize {
-    fnv(name.bytes()) as usize % BUCKETS
+    fnv1a(name.bytes()) as usize % BUCKETS
 }
 
 fn upstream_key(salt: u32, name: &Name) -> u32 {
-    fnv(salt.to_le_bytes().into_iter().chain(name.bytes()))
+    fnv1a(salt.to_le_bytes().into_iter().chain(name.bytes()))
 }
 
 fn load_key(salt: u32, u: &Upstream) -> u32 {
     let incarnation = u.listed().incarnation.to_le_bytes();
     let name = u.listed().name.bytes();
-    fnv(salt
-        .to_le_bytes()
-        .into_iter()
-        .chain(name)
-        .chain(incarnation))
+    fnv1a(
+        salt.to_le_bytes()
+            .into_iter()
+            .chain(name)
+            .chain(incarnation),
+    )
 }
 
-fn load_beat(u: &Upstream, now: Now, salt: u32) -> Option<LoadBeat> {
+fn load_sample(u: &Upstream, now: Now, salt: u32) -> Option<LoadSample> {
     let load = u.load?;
     let age = now.mono_ms.saturating_sub(load.true_ms);
-    Some(LoadBeat {
+    Some(LoadSample {
         key: load_key(salt, u),
         number: load.number,
         age_ms: u32::try_from(age).unwrap_or(u32::MAX),
@@ -199,12 +203,12 @@
     })
 }
 
-fn seen_load(beat: &LoadBeat, mono_ms: Millis) -> SeenLoad {
-    SeenLoad {
-        number: beat.number,
-        true_ms: mono_ms.saturating_sub(u64::from(beat.age_ms)),
-        running: beat.running,
-        queued: beat.queued,
-        busy_token_layers_per_s: f64::from(beat.busy_token_layers_per_s),
+fn known_load(sample: &LoadSample, mono_ms: Millis) -> KnownLoad {
+    KnownLoad {
+        number: sample.number,
+        true_ms: mono_ms.saturating_sub(u64::from(sample.age_ms)),
+        running: sample.running,
+        queued: sample.queued,
+        busy_token_layers_per_s: f64::from(sample.busy_token_layers_per_s),
     }
 }
--- a/policy/src/upstreams/message.rs
+++ b/policy/src/upstreams/message.rs
@@ -1,11 +1,12 @@
-//! What two instances tell each other about upstreams.
+//! Anti-entropy messages about upstreams between two instances.
 //!
-//! Records change rarely: the first message has one hash for each of [`BUCKETS`] buckets of them.
-//! The answer lists the records of the buckets that differ, by key and hash; the asker pushes its
-//! own that differ and says which it wants, and the answer to the push has those.
+//! Records change rarely, so the first message contains one hash for each of [`BUCKETS`] buckets of
+//! records. The response lists the records of the buckets that differ, by key and hash; the
+//! initiator pushes its own differing records and requests those it lacks, and the response to the
+//! push contains these.
 //!
-//! Loads change with each poll and are of use near the runner only: they travel as one short
-//! [`LoadBeat`] a runner, in exchanges within the region.
+//! Loads change with each poll and are needed only in the runner's region: they are sent as one
+//! short [`LoadSample`] per runner, in exchanges within the region.
 
 use derive_more::{From, Into};
 use serde::{Deserialize, Serialize};
@@ -15,32 +16,32 @@
 /// Number of buckets of records.
 pub const BUCKETS: usize = 32;
 
-/// Load of a runner; on the wire an array of six numbers.
+/// Load of a runner; serialised as an array of six numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, From, Into, Serialize, Deserialize)]
 #[serde(
     from = "(u32, u64, u32, u32, u32, u32)",
     into = "(u32, u64, u32, u32, u32, u32)"
 )]
-pub struct LoadBeat {
-    /// Runner's key: a hash of name and incarnation, salted.
+pub struct LoadSample {
+    /// Key of the runner: a salted hash of its name and incarnation.
     pub key: u32,
-    /// Report number.
+    /// Sequence number of the report.
     pub number: u64,
-    /// Age of the figures when sent, in milliseconds.
+    /// Age of the figures at the time of sending, in milliseconds.
     pub age_ms: u32,
     /// Requests running.
     pub running: u32,
     /// Requests queued.
     pub queued: u32,
-    /// Token-layers a second it did lately.
+    /// Recent throughput, in token-layers per second.
     pub busy_token_layers_per_s: u32,
 }
 
-/// A record by key and hash; on the wire an array of two numbers.
+/// Key and hash of a record; serialised as an array of two numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, From, Into, Serialize, Deserialize)]
 #[serde(from = "(u32, u32)", into = "(u32, u32)")]
 pub struct RecordHash {
-    /// Upstream's key: a hash of its name, salted.
+    /// Key of the upstream: a salted hash of its name.
     pub key: u32,
     /// Hash of its record.
     pub hash: u32,
@@ -53,25 +54,25 @@
     pub salt: u32,
     /// Hash of each bucket of records.
     pub buckets: Vec<u32>,
-    /// Whether sender and receiver are in one region, so that loads are exchanged.
+    /// Whether sender and receiver are in the same region, so that loads are exchanged.
     pub near: bool,
-    /// Loads of the region's runners, where `near`.
-    pub loads: Vec<LoadBeat>,
+    /// Loads of the region's runners, if `near`.
+    pub loads: Vec<LoadSample>,
 }
 
 /// Second and later messages of an exchange.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamDelta {
-    /// Salt of the keys: that of the digest.
+    /// Salt of the keys, as in the digest.
     pub salt: u32,
-    /// Loads that are newer than those of the digest.
-    pub loads: Vec<LoadBeat>,
-    /// Numbers of the buckets that differ.
+    /// Loads that are newer than those in the digest.
+    pub loads: Vec<LoadSample>,
+    /// Indices of the buckets that differ.
     pub differing: Vec<u32>,
     /// The sender's records in those buckets.
     pub hashes: Vec<RecordHash>,
-    /// Records that the other side lacks or has differently, at most the configured number.
+    /// Records that are missing or different on the other side, up to the configured maximum.
     pub records: Vec<UpstreamRecord>,
-    /// Keys of records that the sender lacks or has differently.
+    /// Keys of records that are missing or different on the sender's side.
     pub wants: Vec<u32>,
 }
--- a/policy/src/upstreams/observe.rs
+++ b/policy/src/upstreams/observe.rs
@@ -1,94 +1,97 @@
-//! Polls, doubt and confirmation.
+//! Failure detector for upstreams: polls, confirmation and suspicion.
 //!
-//! An upstream that this instance failed to reach a few times in a row is doubted; another of its
-//! observers is asked to reach it. Only when that fails as well is it suspected, so that a broken
-//! link of one instance closes no upstream for the whole fleet.
+//! After several consecutive failures to reach an upstream, this instance asks another observer to
+//! reach it. The upstream is suspected only if that fails as well, so that a broken link of one
+//! instance does not close an upstream for the whole fleet.
 
-use super::{Poll, PollKind, Upstream, Upstreams, WOKEN_MS};
+use super::{Poll, PollKind, SUSPENDED_GAP_MS, Upstream, Upstreams};
 use crate::load::LoadReport;
 use crate::time::{Name, Now};
 use std::net::SocketAddr;
 
-/// What became of a poll.
+/// Result of a poll.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PollOutcome {
     /// The runner's report.
     Report(LoadReport),
-    /// The service took a connection.
+    /// The service accepted a connection.
     Connected,
-    /// Not reached in time, or no sensible answer.
+    /// Time-out, connection failure or invalid response.
     Failed,
 }
 
-/// Ask a peer to reach an upstream; answer with [`Upstreams::confirmed`].
+/// Request for a peer to poll an upstream; its result goes to [`Upstreams::confirmed`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Confirm {
-    /// Peer to ask, by its name.
+    /// Name of the peer to ask.
     pub via: Name,
-    /// Upstream's name.
+    /// Name of the upstream.
     pub name: Name,
     /// Its address.
     pub address: SocketAddr,
-    /// How.
+    /// How it is polled.
     pub kind: PollKind,
 }
 
-/// What a peer said.
+/// Result of a [`Confirm`] request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfirmOutcome {
-    /// Its own poll's outcome.
+    /// Outcome of the peer's poll.
     Polled(PollOutcome),
-    /// The peer did not answer: says nothing about the upstream.
+    /// The peer did not answer, which implies nothing about the upstream.
     NoAnswer,
 }
 
-/// Misses beyond which an upstream is suspected without confirmation, in multiples of the bound:
-/// nobody can be asked where the other observers are out of reach as well.
-const UNCONFIRMED_FACTOR: u32 = 3;
+/// Multiple of [`max_failures`](super::UpstreamsConfig::max_failures) at which an upstream is
+/// suspected without confirmation, for the case that the other observers are unreachable as well.
+const UNCONFIRMED_FAILURES_FACTOR: u32 = 3;
 
 impl Upstreams {
-    /// Notices that the process was stopped, by a gap on either clock: polls that were under way
-    /// then fail and say nothing, and what was open before may have left meanwhile.
-    pub(super) fn observe(&mut self, now: Now) {
-        let gap = now.gap_since(self.seen);
-        self.seen = now;
-        if gap <= WOKEN_MS {
+    /// Detects by a gap on either clock that the process was suspended.
+    ///
+    /// Polls in progress then fail without implying anything, and upstreams that were open may have
+    /// left in the meantime, so all become stale.
+    pub(super) fn detect_suspension(&mut self, now: Now) {
+        let gap = now.gap_since(self.last_event);
+        self.last_event = now;
+        if gap <= SUSPENDED_GAP_MS {
             return;
         }
         self.counts.woken += 1;
-        self.woken_ms = now.mono_ms;
+        self.resumed_ms = now.mono_ms;
         for (name, u) in &mut self.upstreams {
             u.stale = true;
-            u.misses = 0;
-            u.unreached_by.clear();
+            u.failures = 0;
+            u.confirmed_by.clear();
             self.changed.insert(name.clone());
         }
     }
 
-    /// Takes in the outcome of a poll; returns whom to ask for confirmation.
+    /// Processes the outcome of a poll; returns the confirmations to request.
     pub fn polled(&mut self, now: Now, poll: &Poll, outcome: &PollOutcome) -> Vec<Confirm> {
-        self.observe(now);
+        self.detect_suspension(now);
         match outcome {
             PollOutcome::Report(report) if report.runner == poll.name => {
-                self.take_report(now, report);
+                self.apply_report(now, report);
             }
             PollOutcome::Connected => self.connected(now, &poll.name, poll.incarnation),
             PollOutcome::Failed | PollOutcome::Report(_) => {
-                if poll.started_ms >= self.woken_ms {
-                    return self.missed(&poll.name, poll.incarnation);
+                if poll.started_ms >= self.resumed_ms {
+                    return self.on_failure(&poll.name, poll.incarnation);
                 }
             }
         }
         Vec::new()
     }
 
-    /// A connection to an upstream for a request failed; returns whom to ask for confirmation.
+    /// Records that connecting to an upstream for a request failed; returns the confirmations to
+    /// request.
     pub fn connect_failed(&mut self, now: Now, name: &str, incarnation: u64) -> Vec<Confirm> {
-        self.observe(now);
-        self.missed(name, incarnation)
+        self.detect_suspension(now);
+        self.on_failure(name, incarnation)
     }
 
-    /// An upstream took a connection.
+    /// Records that an upstream accepted a connection.
     pub fn connected(&mut self, now: Now, name: &str, incarnation: u64) {
         let Some(u) = self.upstreams.get_mut(name) else {
             return;
@@ -97,17 +100,17 @@
             return;
         }
         u.answered_ms = Some(now.mono_ms);
-        self.reached(name);
+        self.on_reached(name);
     }
 
-    /// Ends doubt and suspicion.
-    pub(super) fn reached(&mut self, name: &str) {
+    /// Resets the failure count and refutes any suspicion.
+    pub(super) fn on_reached(&mut self, name: &str) {
         let Some(u) = self.upstreams.get_mut(name) else {
             return;
         };
         let changed = u.stale || u.record.suspected();
-        u.misses = 0;
-        u.unreached_by.clear();
+        u.failures = 0;
+        u.confirmed_by.clear();
         u.stale = false;
         if let Some(floor) = u.record.floor.filter(|_| u.record.suspected()) {
             let newest = u.load.map_or(0, |l| l.number);
@@ -120,26 +123,26 @@
         }
     }
 
-    fn missed(&mut self, name: &str, incarnation: u64) -> Vec<Confirm> {
+    fn on_failure(&mut self, name: &str, incarnation: u64) -> Vec<Confirm> {
         let Some(u) = self.upstreams.get_mut(name) else {
             return Vec::new();
         };
         if u.listed().incarnation != incarnation || u.record.suspected() {
             return Vec::new();
         }
-        u.misses += 1;
-        if u.misses < self.cfg.max_misses {
+        u.failures += 1;
+        if u.failures < self.cfg.max_failures {
             return Vec::new();
         }
-        if u.misses == self.cfg.max_misses {
+        if u.failures == self.cfg.max_failures {
             self.counts.doubts += 1;
         }
-        let confirms = self.confirms(name);
-        self.settle(name);
+        let confirms = self.confirmations_to_request(name);
+        self.update_suspicion(name);
         confirms
     }
 
-    fn confirms(&self, name: &str) -> Vec<Confirm> {
+    fn confirmations_to_request(&self, name: &str) -> Vec<Confirm> {
         let Some(u) = self.upstreams.get(name) else {
             return Vec::new();
         };
@@ -147,26 +150,26 @@
         let Some(kind) = self.groups.get(&l.group) else {
             return Vec::new();
         };
-        let others = self.others(u);
-        let fresh = others.into_iter().filter(|o| !u.unreached_by.contains(o));
-        let missing = self.cfg.confirmations.saturating_sub(u.unreached_by.len());
+        let others = self.other_observers(u);
+        let unasked = others.into_iter().filter(|o| !u.confirmed_by.contains(o));
+        let needed = self.cfg.confirmations.saturating_sub(u.confirmed_by.len());
         let confirm = |via| Confirm {
             via,
             name: l.name.clone(),
             address: l.address,
             kind: *kind,
         };
-        fresh.take(missing).map(confirm).collect()
+        unasked.take(needed).map(confirm).collect()
     }
 
-    fn others(&self, u: &Upstream) -> Vec<Name> {
+    fn other_observers(&self, u: &Upstream) -> Vec<Name> {
         let observers = self.observers(u.listed());
         observers.filter(|o| **o != self.own).cloned().collect()
     }
 
-    /// Takes in what a peer said.
+    /// Processes the result of a confirmation request.
     pub fn confirmed(&mut self, now: Now, confirm: &Confirm, outcome: &ConfirmOutcome) {
-        self.observe(now);
+        self.detect_suspension(now);
         let Some(u) = self.upstreams.get_mut(&confirm.name) else {
             return;
         };
@@ -174,43 +177,45 @@
             ConfirmOutcome::NoAnswer => return,
             ConfirmOutcome::Polled(PollOutcome::Report(report)) => {
                 if report.runner == confirm.name {
-                    // Its load is good news, yet this instance still doesn't reach it.
-                    let misses = u.misses;
-                    self.take_report(now, report);
-                    self.keep_misses(&confirm.name, misses);
+                    // The report is valid, but this instance itself still can't reach the
+                    // upstream.
+                    let failures = u.failures;
+                    self.apply_report(now, report);
+                    self.cap_failures(&confirm.name, failures);
                 }
                 return;
             }
             ConfirmOutcome::Polled(PollOutcome::Connected) => {
-                u.unreached_by.clear();
-                // Others reach it: however often this instance does not, that closes it for nobody.
-                let misses = u.misses;
-                self.keep_misses(&confirm.name, misses);
+                u.confirmed_by.clear();
+                // Others reach it, so the failures of this instance alone must not close it for
+                // the fleet.
+                let failures = u.failures;
+                self.cap_failures(&confirm.name, failures);
                 return;
             }
             ConfirmOutcome::Polled(PollOutcome::Failed) => {}
         }
-        if u.misses >= self.cfg.max_misses && !u.unreached_by.contains(&confirm.via) {
-            u.unreached_by.push(confirm.via.clone());
+        if u.failures >= self.cfg.max_failures && !u.confirmed_by.contains(&confirm.via) {
+            u.confirmed_by.push(confirm.via.clone());
         }
-        self.settle(&confirm.name);
+        self.update_suspicion(&confirm.name);
     }
 
-    fn keep_misses(&mut self, name: &str, misses: u32) {
+    fn cap_failures(&mut self, name: &str, failures: u32) {
         if let Some(u) = self.upstreams.get_mut(name) {
-            u.misses = misses.min(self.cfg.max_misses.saturating_sub(1));
+            u.failures = failures.min(self.cfg.max_failures.saturating_sub(1));
         }
     }
 
-    fn settle(&mut self, name: &str) {
+    fn update_suspicion(&mut self, name: &str) {
         let Some(u) = self.upstreams.get(name) else {
             return;
         };
-        let needed = self.others(u).len().min(self.cfg.confirmations);
-        let confirmed = needed > 0 && u.unreached_by.len() >= needed;
-        let unconfirmed = u.misses >= UNCONFIRMED_FACTOR * self.cfg.max_misses;
+        let needed = self.other_observers(u).len().min(self.cfg.confirmations);
+        let confirmed = needed > 0 && u.confirmed_by.len() >= needed;
+        let unconfirmed = u.failures >= UNCONFIRMED_FAILURES_FACTOR * self.cfg.max_failures;
         let suspected = u.record.suspected();
-        if suspected || u.misses < self.cfg.max_misses || !(confirmed || unconfirmed) {
+        if suspected || u.failures < self.cfg.max_failures || !(confirmed || unconfirmed) {
             return;
         }
         let Some(u) = self.upstreams.get_mut(name) else {
--- a/policy/src/upstreams/record.rs
+++ b/policy/src/upstreams/record.rs
@@ -1,9 +1,9 @@
-//! What instances tell each other of an upstream, and how two records are merged.
+//! Replicated record of an upstream and its merge.
 //!
-//! Several instances observe the same runner, and none of them owns its record. Each part of the
-//! record is therefore joined on its own, so that all instances end with the same one in whatever
-//! order records arrive: leaving is never taken back, the profile of the greatest report number
-//! wins, and so does the greatest floor of a suspicion.
+//! Several instances observe the same runner, and none of them owns its record. Each part is
+//! therefore merged by a join of its own, so that all instances converge whatever the order in
+//! which records arrive: leaving is irrevocable, the profile with the greatest report number wins,
+//! and so does the greatest suspicion floor.
 
 use crate::listed::{ListedInstance, ListedState};
 use crate::load::{HeldLayers, LoadReport};
@@ -11,39 +11,40 @@
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 
-/// What is known of one upstream and changes rarely.
+/// The state of one upstream that changes rarely.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamRecord {
-    /// Its listing; `state` is [`ListedState::Leaving`] once anything said that it leaves.
+    /// Its entry in the list; `state` is [`ListedState::Leaving`] once any source reported that it
+    /// is leaving.
     pub listed: ListedInstance,
-    /// What a runner can do; absent for plain services and before the first report.
+    /// Capabilities of a runner; absent for plain services and before the first report.
     pub profile: Option<RunnerProfile>,
-    /// Number of a report: of the one that brought the profile, or that ended a suspicion.
+    /// Sequence number of the report that contained the profile or refuted a suspicion.
     pub number: u64,
-    /// Number of the newest report when observers could not reach it any more: it is suspected as
-    /// long as `number` isn't above this one.
+    /// Sequence number of the newest report at the time of the last suspicion: the upstream is
+    /// suspected until `number` exceeds it.
     pub floor: Option<u64>,
 }
 
-/// What a runner can do: the part of its reports that changes rarely.
+/// Capabilities of a runner: the part of its reports that changes rarely.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunnerProfile {
     /// Accelerator kind.
     pub accelerator: Name,
-    /// Layers held.
+    /// Layers that it holds.
     pub holds: Vec<HeldLayers>,
-    /// Token-layers a second.
+    /// Speed in token-layers per second.
     pub token_layers_per_s: f64,
-    /// Whether it refuses an old fencing number.
+    /// Whether it refuses outdated fencing tokens.
     pub checks_fencing: bool,
 }
 
-/// Change of the speed, as a share, below which a profile counts as unchanged: speeds are measured
-/// by the runner and vary, and each change is told to the whole fleet.
+/// Relative change of the speed up to which a profile counts as unchanged: the runner's speed
+/// measurements fluctuate, and each change is gossiped to the whole fleet.
 const SPEED_TOLERANCE: f64 = 0.05;
 
 impl RunnerProfile {
-    /// The profile in a report.
+    /// Extracts the profile from a report.
     #[must_use]
     pub fn of(report: &LoadReport) -> RunnerProfile {
         RunnerProfile {
@@ -54,19 +55,19 @@
         }
     }
 
-    /// Whether nothing changed that others have to know.
+    /// Whether the profiles are equal but for small changes of the speed, which are not gossiped.
     #[must_use]
-    pub fn same(&self, other: &RunnerProfile) -> bool {
+    pub fn is_equivalent(&self, other: &RunnerProfile) -> bool {
         let (a, b) = (self.token_layers_per_s, other.token_layers_per_s);
-        let close = (a - b).abs() <= SPEED_TOLERANCE * a.abs().max(b.abs());
-        let kind = self.accelerator == other.accelerator;
-        let fencing = self.checks_fencing == other.checks_fencing;
-        close && kind && fencing && self.holds == other.holds
+        let similar_speed = (a - b).abs() <= SPEED_TOLERANCE * a.abs().max(b.abs());
+        let same_accelerator = self.accelerator == other.accelerator;
+        let same_fencing = self.checks_fencing == other.checks_fencing;
+        similar_speed && same_accelerator && same_fencing && self.holds == other.holds
     }
 }
 
 impl UpstreamRecord {
-    /// A record of a listing.
+    /// Creates a record for an entry of the list.
     #[must_use]
     pub fn new(listed: ListedInstance) -> UpstreamRecord {
         UpstreamRecord {
@@ -77,19 +78,19 @@
         }
     }
 
-    /// Whether it leaves.
+    /// Whether the upstream is leaving.
     #[must_use]
     pub fn leaving(&self) -> bool {
         self.listed.state == ListedState::Leaving
     }
 
-    /// Whether observers could not reach it and no report came since.
+    /// Whether observers could not reach it and no report arrived since.
     #[must_use]
     pub fn suspected(&self) -> bool {
         self.floor.is_some_and(|floor| self.number <= floor)
     }
 
-    /// Merges another record of the same name; returns whether anything changed.
+    /// Merges another record with the same name; returns whether this one changed.
     pub fn merge(&mut self, other: &UpstreamRecord) -> bool {
         match other.listed.incarnation.cmp(&self.listed.incarnation) {
             Ordering::Less => false,
@@ -103,7 +104,7 @@
 
     fn join(&mut self, other: &UpstreamRecord) -> bool {
         let before = self.clone();
-        if other.payload() > before.payload() {
+        if other.merge_key() > before.merge_key() {
             *self = other.clone();
         }
         self.floor = before.floor.max(other.floor);
@@ -113,25 +114,26 @@
         *self != before
     }
 
-    /// Everything but the joined parts, in a total order: the report number decides, and the text
-    /// of the rest where two observers gave different contents for the same number.
-    fn payload(&self) -> (u64, String) {
+    /// Returns a sort key that totally orders the parts without a join of their own: by report
+    /// number, then by the serialised content, in case two observers have different content for the
+    /// same number.
+    fn merge_key(&self) -> (u64, String) {
         let l = &self.listed;
-        let place = (&l.group, l.address, &l.domain);
-        let text = serde_json::to_string(&(&self.profile, place));
+        let location = (&l.group, l.address, &l.domain);
+        let text = serde_json::to_string(&(&self.profile, location));
         (self.number, text.unwrap_or_default())
     }
 
-    /// Hash of the whole record: the same on all instances that have the same record.
+    /// Returns the hash of the whole record, equal on all instances that have the same record.
     #[must_use]
     pub fn hash(&self) -> u32 {
         let text = serde_json::to_vec(self).unwrap_or_default();
-        fnv(text.into_iter())
+        fnv1a(text.into_iter())
     }
 }
 
-/// FNV-1a: not for secrets, the same on every build and machine.
-pub(crate) fn fnv(bytes: impl Iterator<Item = u8>) -> u32 {
+/// FNV-1a hash: not cryptographic, identical on every build and machine.
+pub(crate) fn fnv1a(bytes: impl Iterator<Item = u8>) -> u32 {
     const OFFSET: u32 = 0x811c_9dc5;
     const PRIME: u32 = 0x0100_0193;
     bytes.fold(OFFSET, |h, b| (h ^ u32::from(b)).wrapping_mul(PRIME))
--- a/policy/tests/upstreams.rs
+++ b/policy/tests/upstreams.rs
@@ -1,9 +1,9 @@
-//! Observation of upstreams by a fleet: who polls, who hears, what is open for new work.
+//! Tests of upstream monitoring by a fleet: polling, gossip and availability for new work.
 
 #[path = "support/fleet.rs"]
 #[allow(
     dead_code,
-    reason = "each test target and the measurement use a part of it"
+    reason = "each test target and the benchmark use a part of it"
 )]
 mod fleet;
 
@@ -20,7 +20,7 @@
     fleet
 }
 
-/// Rounds until `done`, at most `limit`.
+/// Runs rounds until `done`, at most `limit`; returns their number.
 fn rounds_until(fleet: &mut Fleet, limit: usize, done: impl Fn(&Fleet) -> bool) -> usize {
     for round in 0..limit {
         if done(fleet) {
@@ -32,7 +32,7 @@
 }
 
 #[gtest]
-fn three_instances_poll_each_runner_and_all_know_it() {
+fn three_instances_poll_each_runner_and_all_learn_its_state() {
     let mut fleet = fleet_of(6, 1, 43);
     fleet.polls = 0;
     fleet.rounds(10);
@@ -47,11 +47,11 @@
     }
 }
 
-// A runner is told to leave and says so in its own report only; the platform's list lags and
-// calls it live throughout. Callers' new work must not reach it after a few seconds: its
-// observers hear it with their next poll, and the others in the exchanges.
+// A runner announces that it is leaving only in its own report; the platform's list is stale and
+// shows it as live throughout. It must not receive new work after a few rounds: its observers learn
+// it from their next poll, and the other instances by gossip.
 #[gtest]
-fn leaving_never_turns_back() {
+fn leaving_is_irrevocable() {
     let mut fleet = fleet_of(6, 1, 8);
     fleet.runners[3].leaving = true;
     let rounds = rounds_until(&mut fleet, 20, |f| f.seeing(3, Availability::Leaving) == 6);
@@ -68,10 +68,10 @@
     expect_that!(rounds, le(6));
 }
 
-// A runner dies without a word. Its observers' polls fail, each asks another observer, and all
-// instances stop sending to it. It starts again with a higher incarnation and is used again.
+// A runner crashes. Its observers' polls fail, each asks another observer, and all instances stop
+// sending to it. It restarts with a higher incarnation and is used again.
 #[gtest]
-fn a_dead_runner_is_suspected_and_comes_back() {
+fn a_dead_runner_is_suspected_and_open_after_its_restart() {
     let mut fleet = fleet_of(6, 1, 8);
     fleet.runners[2].run = Run::Dead;
     let rounds = rounds_until(&mut fleet, 20, |f| {
@@ -85,10 +85,10 @@
     expect_that!(rounds, le(8));
 }
 
-// The link between one instance and a runner breaks, and the runner serves all others. That
-// instance asks another observer, which reaches it: nobody may stop using the runner for it.
+// The link between one instance and a runner breaks, while all others reach the runner. The
+// instance asks another observer, which reaches it: no instance may stop using the runner.
 #[gtest]
-fn a_broken_link_of_one_instance_closes_nothing() {
+fn a_broken_link_of_one_instance_closes_no_runner() {
     let mut fleet = fleet_of(6, 1, 8);
     let row = fleet.nodes[0].upstreams.dump(0).rows[5].clone();
     let observer = (0..6).find(|i| *fleet::name(*i) == *row.observers[0]);
@@ -97,9 +97,10 @@
     expect_that!(fleet.seeing(5, Availability::Open), eq(6));
 }
 
-// The same with a plain service, which takes connections and reports no load. The instance's peers
-// reach it each time that they are asked, and it must not be closed for anybody: before, enough misses
-// of the one instance closed it for all, and its callers were refused for want of capacity.
+// The same with a plain service, which accepts connections and reports no load. The instance's
+// peers reach it whenever they are asked, so it must stay open for all. Guards against a fault in
+// which enough failures of one instance closed the service for the whole fleet, and calls were
+// refused for lack of capacity.
 #[gtest]
 fn a_broken_link_of_one_instance_closes_no_plain_service() {
     let mut fleet = fleet_of(6, 1, 8);
@@ -121,12 +122,12 @@
     expect_that!(rounds, le(8));
 }
 
-// One instance is cut off from its peers and from all runners for 30 rounds; it suspects every
-// runner that it observes, as nobody can be asked. When it is back, its suspicions spread with the
-// exchanges: callers of the other instances would be refused for want of capacity, although the
-// runners reported to them all the time.
+// One instance is partitioned from its peers and from all runners for 30 rounds. It suspects every
+// runner that it observes, as no peer can be asked. After the partition heals, its suspicions
+// spread by gossip; if they took effect, other instances would refuse callers for lack of
+// capacity, although the runners reported to them throughout.
 #[gtest]
-fn an_instance_that_was_cut_off_closes_nothing_for_others() {
+fn a_healed_partition_closes_no_runner_for_other_instances() {
     let mut fleet = fleet_of(6, 1, 8);
     fleet.isolated = Some(2);
     fleet.rounds(30);
@@ -147,10 +148,10 @@
     expect_that!(closed(&fleet), eq(0));
 }
 
-// An instance is frozen while a runner says that it leaves, and woken later. Before it has heard
-// of the runners again it must not send new work to any: it can't tell which of them left.
+// An instance is suspended while a runner announces that it is leaving, and resumed later. Until it
+// receives news of a runner it must not send new work to it, as any of them may have left.
 #[gtest]
-fn a_woken_instance_uses_no_runner_before_it_heard_of_it() {
+fn a_resumed_instance_uses_no_runner_without_news_of_it() {
     let mut fleet = fleet_of(6, 1, 8);
     fleet.nodes[1].run = Run::Frozen;
     fleet.runners[3].leaving = true;
