--- a/plugins/services/src/driver.rs
+++ b/plugins/services/src/driver.rs
@@ -5,7 +5,7 @@
 use jacinthweir_kernel::fault_point::Step;
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_kernel::records::{Entry, EntryMeta, Running};
-use jacinthweir_policy::claim::{ClaimConfig, LONGEST_DEADLINE_MS};
+use jacinthweir_policy::claim::{ClaimConfig, MAX_DEADLINE_MS};
 use jacinthweir_policy::journal::{End, Event, Journal, Repeat};
 use tokio::sync::oneshot;
 
@@ -22,7 +22,7 @@
 pub(crate) fn claim_config(cx: &Kernel) -> ClaimConfig {
     ClaimConfig {
         retention_ms: cx.settings.timing.claim_retention_ms,
-        margin_ms: LONGEST_DEADLINE_MS + CLOCK_DIFFERENCE_MS,
+        margin_ms: MAX_DEADLINE_MS + CLOCK_DIFFERENCE_MS,
         ..ClaimConfig::default()
     }
 }
--- a/policy/src/claim.rs
+++ b/policy/src/claim.rs
@@ -41,7 +41,7 @@
 
 /// Maximum time that a submission with a claim may wait or run, in milliseconds.
 /// [`ClaimConfig::margin_ms`] has to be longer.
-pub const LONGEST_DEADLINE_MS: u64 = 3_600_000;
+pub const MAX_DEADLINE_MS: u64 = 3_600_000;
 
 /// Configuration of claims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -49,7 +49,7 @@
     /// Age of a key at which it is refused as expired, in milliseconds.
     pub retention_ms: u64,
     /// Time that an expired claim is kept beyond [`Self::retention_ms`], in milliseconds. Must
-    /// exceed [`LONGEST_DEADLINE_MS`] plus the maximum clock skew between two instances.
+    /// exceed [`MAX_DEADLINE_MS`] plus the maximum clock skew between two instances.
     pub margin_ms: u64,
     /// Time without a usable platform response after which claiming is given up, in milliseconds.
     pub platform_timeout_ms: u64,
@@ -273,9 +273,9 @@
 impl Claim {
     /// Starts claiming for a submission; returns the first actions.
     ///
-    /// The deadline is capped at [`LONGEST_DEADLINE_MS`] from now.
+    /// The deadline is capped at [`MAX_DEADLINE_MS`] from now.
     pub fn open(cfg: ClaimConfig, mut submission: Submission, now: Now) -> (Self, Vec<Action>) {
-        submission.deadline = submission.deadline.earlier(now.plus(LONGEST_DEADLINE_MS));
+        submission.deadline = submission.deadline.earlier(now.plus(MAX_DEADLINE_MS));
         let platform_deadline = now
             .plus(cfg.platform_timeout_ms)
             .earlier(submission.deadline);
