--- a/policy/src/claim.rs
+++ b/policy/src/claim.rs
@@ -34,7 +34,7 @@
 mod sweep;
 
 pub use key::{ClaimKey, KeyFault, MAX_KEY_BYTES};
-pub use record::{ClaimRecord, ClaimState, Encoding, Finished, MAX_RECORDED_BODY, Recorded};
+pub use record::{ClaimRecord, ClaimState, Encoding, Finished, MAX_RECORDED_BODY_BYTES, Recorded};
 pub use sweep::{Sweep, sweeper_of};
 
 use crate::prelude::*;
--- a/policy/src/claim/record.rs
+++ b/policy/src/claim/record.rs
@@ -5,7 +5,7 @@
 
 /// Maximum length of an answer's body that is recorded, in bytes. Hexadecimal encoding doubles
 /// it; the platform accepts values up to a megabyte.
-pub const MAX_RECORDED_BODY: usize = 256 * 1024;
+pub const MAX_RECORDED_BODY_BYTES: usize = 256 * 1024;
 
 /// A claim, as JSON text in the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -67,7 +67,7 @@
     Text,
     /// Hexadecimal digits.
     Hex,
-    /// Not recorded: longer than [`MAX_RECORDED_BODY`].
+    /// Not recorded: longer than [`MAX_RECORDED_BODY_BYTES`].
     Omitted,
 }
 
@@ -96,10 +96,10 @@
         }
     }
 
-    /// Records the body of the upstream's answer, unless it exceeds [`MAX_RECORDED_BODY`].
+    /// Records the body of the upstream's answer, unless it exceeds [`MAX_RECORDED_BODY_BYTES`].
     pub fn set_body(&mut self, body: &[u8]) {
         let (encoding, text) = match std::str::from_utf8(body) {
-            _ if body.len() > MAX_RECORDED_BODY => (Encoding::Omitted, String::new()),
+            _ if body.len() > MAX_RECORDED_BODY_BYTES => (Encoding::Omitted, String::new()),
             Ok(text) => (Encoding::Text, text.to_owned()),
             Err(_) => (Encoding::Hex, hex::encode(body)),
         };
--- a/policy/tests/claim.rs
+++ b/policy/tests/claim.rs
@@ -121,7 +121,7 @@
         expect_that!(read, eq(&record));
         expect_that!(finished.body(), some(eq(body)));
     }
-    finished.set_body(&vec![b'a'; MAX_RECORDED_BODY + 1]);
+    finished.set_body(&vec![b'a'; MAX_RECORDED_BODY_BYTES + 1]);
     expect_that!(finished.body(), none());
 }
 
