--- a/plugins/services/src/claimed.rs
+++ b/plugins/services/src/claimed.rs
@@ -8,8 +8,8 @@
 use jacinthweir_kernel::fault_point::Step as Point;
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_policy::claim::{
-    Action, Answer, Claim, ClaimKey, ClaimRecord, ClaimState, DispatchEnd, Earlier, Event,
-    Finished, ReadAnswer, Submission, WriteAnswer,
+    Action, Answer, Claim, ClaimKey, ClaimRecord, ClaimState, DispatchEnd, EarlierSubmission,
+    Event, Finished, ReadAnswer, Submission, WriteAnswer,
 };
 use jacinthweir_policy::journal::Event as Step;
 use jacinthweir_policy::member::Phase;
@@ -203,7 +203,7 @@
     }
 }
 
-fn unknown(earlier: Option<Earlier>) -> String {
+fn unknown(earlier: Option<EarlierSubmission>) -> String {
     match earlier {
         Some(it) => format!(
             "request {} with this key was claimed by {}, which left no outcome",
--- a/policy/src/claim.rs
+++ b/policy/src/claim.rs
@@ -191,12 +191,12 @@
     StillRunning,
     /// An earlier submission with the same key may have run; its claimant is gone, or its claim
     /// is unreadable.
-    Unknown(Option<Earlier>),
+    Unknown(Option<EarlierSubmission>),
 }
 
 /// An earlier submission with the same key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Earlier {
+pub struct EarlierSubmission {
     /// Instance that held its claim.
     pub claimant: Name,
     /// Its request id.
@@ -262,7 +262,7 @@
     /// Whether the submission of that record may have run.
     earlier_may_have_run: bool,
     /// Submission of the last such record that was read.
-    earlier: Option<Earlier>,
+    earlier: Option<EarlierSubmission>,
     /// Set before an answer is returned; no dispatch is granted from then on.
     fenced: bool,
     /// Time at which claiming is given up without a usable platform response.
--- a/policy/src/claim/step.rs
+++ b/policy/src/claim/step.rs
@@ -1,8 +1,8 @@
 //! State transitions of a claim.
 
 use super::{
-    Abandoning, Action, Answer, Claim, ClaimRecord, ClaimState, DispatchEnd, Earlier, Event,
-    NotRunCause, Phase, ReadAnswer, Recorded, Recording, WriteAnswer,
+    Abandoning, Action, Answer, Claim, ClaimRecord, ClaimState, DispatchEnd, EarlierSubmission,
+    Event, NotRunCause, Phase, ReadAnswer, Recorded, Recording, WriteAnswer,
 };
 use crate::prelude::*;
 
@@ -101,7 +101,7 @@
         self.earlier_may_have_run = record.state != ClaimState::Released;
         // No delayed write with this nonce can replace a foreign claim that is open or finished.
         self.write_unresolved &= record.state == ClaimState::Released;
-        self.earlier = Some(Earlier {
+        self.earlier = Some(EarlierSubmission {
             claimant: record.claimant.clone(),
             request: record.request.clone(),
         });
