--- a/kernel/src/gate.rs
+++ b/kernel/src/gate.rs
@@ -10,8 +10,8 @@
 
 use indexmap::IndexSet;
 use jacinthweir_policy::admission::{
-    Action, Admission, AdmissionConfig, AdmissionDump, Decision, Refusal, RefuseCode, Seen, Slot,
-    Ticket, Work,
+    Action, Admission, AdmissionConfig, AdmissionDump, Decision, Measurement, Refusal, RefuseCode,
+    Slot, Ticket, Work,
 };
 use jacinthweir_policy::prelude::*;
 use tokio::sync::{Notify, oneshot};
@@ -100,11 +100,14 @@
     fn drop(&mut self) {
         let now = self.gate.clock.now();
         let latency_ms = now.saturating_sub(self.entered);
-        let seen = Seen {
+        let measurement = Measurement {
             latency_ms,
             tokens: self.tokens,
         };
-        self.gate.lock().admission.release(now, self.slot, seen);
+        self.gate
+            .lock()
+            .admission
+            .release(now, self.slot, measurement);
         self.gate.changed.notify_one();
     }
 }
--- a/policy/src/admission.rs
+++ b/policy/src/admission.rs
@@ -123,7 +123,7 @@
 
 /// Measurements of a request that has ended.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Seen {
+pub struct Measurement {
     /// Time from admission to the end, in milliseconds.
     pub latency_ms: u64,
     /// Tokens used by prompt and answer; 0 if there is no measurement (refused, cut off).
@@ -258,7 +258,7 @@
     }
 
     /// Removes a request in flight that has ended. Call [`Self::poll`] afterwards.
-    pub fn release(&mut self, now: Millis, slot: Slot, seen: Seen) {
+    pub fn release(&mut self, now: Millis, slot: Slot, measurement: Measurement) {
         let Some(entry) = self.entries.get(&slot).copied() else {
             return;
         };
@@ -268,11 +268,11 @@
         self.remove_entry(slot, &entry);
         let ticket = entry.ticket;
         if let Some(pipeline) = self.pipelines.get_mut(&ticket.pipeline) {
-            pipeline.finished(now, &ticket, entry.tokens, seen);
+            pipeline.finished(now, &ticket, entry.tokens, measurement);
         }
-        if seen.tokens > 0 {
+        if measurement.tokens > 0 {
             self.estimates
-                .record(ticket.org, ticket.pipeline, seen.tokens);
+                .record(ticket.org, ticket.pipeline, measurement.tokens);
         }
     }
 
@@ -283,7 +283,7 @@
             return;
         };
         match entry.state {
-            SlotState::InFlight => self.release(now, slot, Seen::default()),
+            SlotState::InFlight => self.release(now, slot, Measurement::default()),
             SlotState::Queued { .. } => self.dequeue(slot, &entry),
         }
     }
--- a/policy/src/admission/pipeline.rs
+++ b/policy/src/admission/pipeline.rs
@@ -6,7 +6,7 @@
 use super::queue::FairQueue;
 use super::rate::DrainRate;
 use super::retry_after::{self, Debt};
-use super::{AdmissionConfig, CLASSES, Seen, Slot, SlotState, Ticket, class};
+use super::{AdmissionConfig, CLASSES, Measurement, Slot, SlotState, Ticket, class};
 use crate::prelude::*;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -192,20 +192,28 @@
     }
 
     /// Removes a request in flight that has ended and records its measurements.
-    pub(super) fn finished(&mut self, now: Millis, ticket: &Ticket, expected: u32, seen: Seen) {
+    pub(super) fn finished(
+        &mut self,
+        now: Millis,
+        ticket: &Ticket,
+        expected: u32,
+        measurement: Measurement,
+    ) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(load) = self.orgs.get_mut(&ticket.org) {
             load.in_flight = load.in_flight.saturating_sub(1);
         }
         self.remove_if_empty(ticket.org);
         let others_queued = !self.by_latest_start.is_empty();
-        self.rate.record(now, seen.tokens, others_queued);
-        if seen.tokens == 0 {
+        self.rate.record(now, measurement.tokens, others_queued);
+        if measurement.tokens == 0 {
             return;
         }
-        self.limit
-            .record(now, seen.latency_ms as f64 / f64::from(seen.tokens));
-        let excess = i64::from(seen.tokens) - i64::from(expected);
+        self.limit.record(
+            now,
+            measurement.latency_ms as f64 / f64::from(measurement.tokens),
+        );
+        let excess = i64::from(measurement.tokens) - i64::from(expected);
         self.queues[class(ticket)].charge(ticket.org, excess);
     }
 
--- a/policy/tests/admission.rs
+++ b/policy/tests/admission.rs
@@ -40,11 +40,11 @@
     };
     expect_that!(refusal.code, eq(RefuseCode::Overloaded));
     expect_that!(refusal.retry_after_ms, ge(2_000));
-    let seen = Seen {
+    let measurement = Measurement {
         latency_ms: 1_000,
         tokens: 100,
     };
-    admission.release(1_000, Slot(1), seen);
+    admission.release(1_000, Slot(1), measurement);
     expect_that!(
         admission.poll(1_000, &mut rng),
         elements_are![eq(&Action::Admit(Slot(2)))]
@@ -108,7 +108,7 @@
     let _ = admission.offer(0, ticket(1, 0, 60_000), &mut rng);
     expect_that!(admission.offer(0, urgent, &mut rng), eq(Decision::Queue));
     expect_that!(admission.offer(0, resumed, &mut rng), eq(Decision::Queue));
-    admission.release(10, Slot(1), Seen::default());
+    admission.release(10, Slot(1), Measurement::default());
     expect_that!(
         admission.poll(10, &mut rng),
         elements_are![eq(&Action::Admit(Slot(3)))]
--- a/policy/tests/admission_load.rs
+++ b/policy/tests/admission_load.rs
@@ -177,11 +177,11 @@
             self.good_tokens += request.tokens;
         }
         self.cut += u64::from(!answered);
-        let seen = Seen {
+        let measurement = Measurement {
             latency_ms: now - request.started,
             tokens: if answered { request.tokens as u32 } else { 0 },
         };
-        self.admission.release(now, slot, seen);
+        self.admission.release(now, slot, measurement);
     }
 
     fn poll(&mut self, now: Millis) {
--- a/testkit/examples/measure_capacity.rs
+++ b/testkit/examples/measure_capacity.rs
@@ -7,7 +7,7 @@
 
 use argh::FromArgs;
 use futures::StreamExt;
-use jacinthweir_policy::admission::{Admission, AdmissionConfig, Seen, Slot, Ticket, Work};
+use jacinthweir_policy::admission::{Admission, AdmissionConfig, Measurement, Slot, Ticket, Work};
 use jacinthweir_policy::config::parts;
 use jacinthweir_policy::journal::{End, Event, Journal, Repeat};
 use jacinthweir_policy::prelude::*;
@@ -199,11 +199,11 @@
             work: Work::New,
         };
         let _ = admission.offer(n / 1_000, ticket, &mut rng);
-        let seen = Seen {
+        let measurement = Measurement {
             latency_ms: 1_000,
             tokens: 128,
         };
-        admission.release(n / 1_000, slot, seen);
+        admission.release(n / 1_000, slot, measurement);
     }
     let offer_and_release_ns = started.elapsed().as_secs_f64() * 1e9 / OFFERS as f64;
     let bytes = counting::live_bytes().saturating_sub(before);
