--- a/plugins/callers/src/pace.rs
+++ b/plugins/callers/src/pace.rs
@@ -106,7 +106,7 @@
     /// Runners that new work avoids where it can, as they are blamed for stalls.
     pub(crate) fn blamed(&self, cx: &Kernel) -> Vec<RunnerId> {
         let upstreams = cx.upstreams();
-        let reported = |name: &Name| Some(upstreams.get(name)?.load?.true_ms);
+        let reported = |name: &Name| Some(upstreams.get(name)?.load?.sampled_ms);
         self.silences().avoided(self.clock.now(), reported)
     }
 
--- a/plugins/upstreams/src/feed.rs
+++ b/plugins/upstreams/src/feed.rs
@@ -114,6 +114,6 @@
         running: load.map_or(0, |l| l.running),
         queued: load.map_or(0, |l| l.queued),
         leaving: upstream.record.leaving(),
-        age_ms: load.map_or(0, |l| now.saturating_sub(l.true_ms)),
+        age_ms: load.map_or(0, |l| now.saturating_sub(l.sampled_ms)),
     })
 }
--- a/policy/src/upstreams.rs
+++ b/policy/src/upstreams.rs
@@ -86,7 +86,7 @@
     /// Sequence number of the report.
     pub number: u64,
     /// Monotonic time of this process at which the figures were sampled, in milliseconds.
-    pub true_ms: Millis,
+    pub sampled_ms: Millis,
     /// Requests running.
     pub running: u32,
     /// Requests queued.
@@ -429,7 +429,7 @@
         if newer {
             u.load = Some(KnownLoad {
                 number: report.number,
-                true_ms: now.mono_ms.saturating_sub(report.age_ms),
+                sampled_ms: now.mono_ms.saturating_sub(report.age_ms),
                 running: report.running,
                 queued: report.queued,
                 busy_token_layers_per_s: report.busy_token_layers_per_s,
--- a/policy/src/upstreams/dump.rs
+++ b/policy/src/upstreams/dump.rs
@@ -78,7 +78,7 @@
             domain: l.domain.clone(),
             availability: self.availability(u),
             holds: holds.map(|h| format!("{} {}", h.model, h.layers)).collect(),
-            load_age_ms: u.load.map(|load| mono_ms.saturating_sub(load.true_ms)),
+            load_age_ms: u.load.map(|load| mono_ms.saturating_sub(load.sampled_ms)),
             observers: self.observers(l).cloned().collect(),
         }
     }
--- a/policy/src/upstreams/exchange.rs
+++ b/policy/src/upstreams/exchange.rs
@@ -192,7 +192,7 @@
 
 fn load_sample(u: &Upstream, now: Now, salt: u32) -> Option<LoadSample> {
     let load = u.load?;
-    let age = now.mono_ms.saturating_sub(load.true_ms);
+    let age = now.mono_ms.saturating_sub(load.sampled_ms);
     Some(LoadSample {
         key: load_key(salt, u),
         number: load.number,
@@ -206,7 +206,7 @@
 fn known_load(sample: &LoadSample, mono_ms: Millis) -> KnownLoad {
     KnownLoad {
         number: sample.number,
-        true_ms: mono_ms.saturating_sub(u64::from(sample.age_ms)),
+        sampled_ms: mono_ms.saturating_sub(u64::from(sample.age_ms)),
         running: sample.running,
         queued: sample.queued,
         busy_token_layers_per_s: f64::from(sample.busy_token_layers_per_s),
--- a/testkit/examples/measure_membership.rs
+++ b/testkit/examples/measure_membership.rs
@@ -179,7 +179,7 @@
         let near = node.upstreams.all();
         let near = near.filter(|u| region_of(&u.listed().domain) == region);
         let loads = near.filter_map(|u| u.load);
-        ages.extend(loads.map(|l| (fleet.now.mono_ms - l.true_ms) as f64 / 1e3));
+        ages.extend(loads.map(|l| (fleet.now.mono_ms - l.sampled_ms) as f64 / 1e3));
     }
     ages.iter().sum::<f64>() / ages.len() as f64
 }
