--- a/plugins/relay/src/news.rs
+++ b/plugins/relay/src/news.rs
@@ -14,7 +14,7 @@
 use jacinthweir_policy::relay::limits::Statement;
 use jacinthweir_policy::relay::quarantine::Case;
 use jacinthweir_policy::relay::revision::Revision;
-use jacinthweir_policy::relay::words::Word;
+use jacinthweir_policy::relay::words::FailureReport;
 use rand::seq::IteratorRandom;
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
@@ -96,7 +96,7 @@
     domain: Name,
     seen: Seen,
     /// Runners that were found dead just now.
-    dead: Vec<Word>,
+    dead: Vec<FailureReport>,
     /// Runners that answer again, by identity and lifetime.
     alive: Vec<(Name, u64)>,
     /// Runners that turned slow or quick just now.
@@ -166,7 +166,7 @@
     News {
         domain: node.settings.failure_domain.clone(),
         seen: Seen::of(node),
-        dead: node.words.borrow().since(since).collect(),
+        dead: node.words.borrow().updated_since(since).collect(),
         alive,
         paces,
         limits: node.limits.borrow().told(NEW_MS, true, now),
--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -23,7 +23,7 @@
 use jacinthweir_policy::relay::runners::Runners;
 use jacinthweir_policy::relay::spending::{Counts, Spending, SpendingConfig};
 use jacinthweir_policy::relay::vouch::Vouch;
-use jacinthweir_policy::relay::words::Words;
+use jacinthweir_policy::relay::words::FailureReports;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rustix::time::{ClockId, clock_gettime};
@@ -83,7 +83,7 @@
     /// Revision of the store up to which all changes of runners' entries are known.
     pub(crate) runners_as_of: Cell<Revision>,
     /// What others say of dead runners.
-    pub(crate) words: RefCell<Words>,
+    pub(crate) words: RefCell<FailureReports>,
     /// Rates that runners name.
     pub(crate) limits: RefCell<Limits>,
     /// Requests under which runners ended.
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -23,7 +23,7 @@
 use jacinthweir_policy::relay::limits::Statement;
 use jacinthweir_policy::relay::loads::{HeadUse, Known, Load, ServiceCounts, Told};
 use jacinthweir_policy::relay::quarantine::Case;
-use jacinthweir_policy::relay::words::Word;
+use jacinthweir_policy::relay::words::FailureReport;
 use serde::{Deserialize, Serialize};
 use tokio::time::interval;
 
@@ -59,7 +59,7 @@
     /// was written.
     confirmed_ms_ago: Option<Millis>,
     /// Runners that were found dead.
-    dead: Vec<Word>,
+    dead: Vec<FailureReport>,
     /// What it has seen of the store.
     seen: Seen,
     /// Requests that are held, and those under which runners ended of late.
@@ -80,7 +80,7 @@
         View {
             domain: node.settings.failure_domain.clone(),
             confirmed_ms_ago: node.vouch.borrow().age_ms(node.now()),
-            dead: node.words.borrow().since(0).collect(),
+            dead: node.words.borrow().updated_since(0).collect(),
             seen: Seen::of(node),
             limits: node.limits.borrow().told(LIMITS_MS, false, node.now()),
             cases: node
--- a/plugins/relay/src/probe.rs
+++ b/plugins/relay/src/probe.rs
@@ -13,7 +13,7 @@
 use jacinthweir_policy::relay::following;
 use jacinthweir_policy::relay::runners::{ASK_PAUSE_MS, RunnerEntry, Standing};
 use jacinthweir_policy::relay::silence::Round;
-use jacinthweir_policy::relay::words::{self, Advice, Word};
+use jacinthweir_policy::relay::words::{self, Advice, FailureReport};
 use tokio::time::sleep;
 
 use crate::live::LiveChain;
@@ -242,12 +242,12 @@
 fn find_dead(node: &Node, id: &Name, born_ms: u64, evidence: &str) -> bool {
     let found = mark_dead(node, id, born_ms, evidence);
     if found {
-        let word = Word {
+        let word = FailureReport {
             runner: id.clone(),
             born_ms,
-            namers: [node.settings.name.clone()].into(),
+            reporters: [node.settings.name.clone()].into(),
         };
-        node.words.borrow_mut().hear(&word, node.now());
+        node.words.borrow_mut().record(&word, node.now());
         if let Some(standing) = node.runners.borrow_mut().standing_mut(id) {
             standing.found_here = true;
         }
@@ -286,11 +286,11 @@
 
 /// Other instances found runners dead. The word of one is not enough: whoever gave it may hear nobody,
 /// and what made the runner silent there may make it silent here.
-pub(crate) fn hear_words(node: &Rc<Node>, words: &[Word]) {
+pub(crate) fn hear_words(node: &Rc<Node>, words: &[FailureReport]) {
     let mut is_news = false;
     for word in words {
         if is_in_doubt(node, &word.runner, word.born_ms) {
-            is_news |= node.words.borrow_mut().hear(word, node.now());
+            is_news |= node.words.borrow_mut().record(word, node.now());
         }
     }
     follow_words(node);
@@ -327,8 +327,8 @@
         let advice = words.advice(&id, born_ms, concerned, instances, now);
         drop(words);
         match advice {
-            Advice::Believe => changed |= mark_dead(node, &id, born_ms, "others found it dead"),
-            Advice::Ask => ask_about(node, &id, born_ms),
+            Advice::MarkDead => changed |= mark_dead(node, &id, born_ms, "others found it dead"),
+            Advice::Probe => ask_about(node, &id, born_ms),
             Advice::Wait => {}
         }
     }
@@ -398,7 +398,7 @@
     };
     let neighbours = peers::neighbours(node);
     let mut due = |id: &Name| {
-        let asks = words::asks(&node.settings.name, neighbours.iter(), id);
+        let asks = words::is_prober(&node.settings.name, neighbours.iter(), id);
         let standing = runners.standing_mut(id);
         standing.is_some_and(|s| match asks || s.found_here {
             true => s.should_ask(now, pause),
--- a/policy/src/relay/words.rs
+++ b/policy/src/relay/words.rs
@@ -5,7 +5,7 @@
 //! chains are to go on elsewhere.
 //!
 //! So those whose requests pass through a runner ask it by themselves. The others believe it dead once
-//! [`NAMERS`] instances found it dead by their own questions, and ask only if that does not come about.
+//! [`QUORUM`] instances found it dead by their own questions, and ask only if that does not come about.
 //! One instance's mistake convinces nobody, and nobody is convinced against what it hears itself. Later
 //! a few of each failure domain ask whether the runner is back; an answer is good news for the whole
 //! domain.
@@ -24,12 +24,12 @@
 use crate::relay::ranks::{is_among_first, rank_for};
 
 /// Instances that must have found a runner dead for others to believe it.
-pub const NAMERS: usize = 3;
+pub const QUORUM: usize = 3;
 
 /// Number of instances up to which each asks at once.
 const FEW: usize = 12;
 
-/// How long an instance waits for further namers before it asks by itself, in milliseconds.
+/// How long an instance waits for further reporters before it asks by itself, in milliseconds.
 const WAIT_MS: Millis = 200;
 
 /// How long something is known of a runner, in milliseconds; its entry goes sooner.
@@ -43,29 +43,30 @@
 
 /// That a lifetime of a runner is over, as it travels.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct FailureReport {
     /// Runner.
     pub runner: Name,
     /// Unix time of its start, in milliseconds.
     pub born_ms: u64,
     /// Instances that found it dead by themselves.
-    pub namers: BTreeSet<Name>,
+    #[serde(rename = "namers")]
+    pub reporters: BTreeSet<Name>,
 }
 
 /// What to do about a runner that others say is dead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Advice {
     /// Enough found it dead: it counts as dead here.
-    Believe,
+    MarkDead,
     /// Ask it beside witnesses.
-    Ask,
+    Probe,
     /// Others are asking.
     Wait,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Heard {
-    namers: BTreeSet<Name>,
+    reporters: BTreeSet<Name>,
     first_ms: Millis,
     newest_ms: Millis,
     refuted_ms: Option<Millis>,
@@ -73,24 +74,24 @@
 
 /// All that was said, by runner and lifetime.
 #[derive(Clone, Debug, Default)]
-pub struct Words(BTreeMap<(Name, u64), Heard>);
+pub struct FailureReports(BTreeMap<(Name, u64), Heard>);
 
-impl Words {
+impl FailureReports {
     /// Somebody, or this instance itself, found a runner dead; whether that is news.
-    pub fn hear(&mut self, word: &Word, now: Millis) -> bool {
+    pub fn record(&mut self, word: &FailureReport, now: Millis) -> bool {
         self.0.retain(|_, h| now < h.newest_ms + KEPT_MS);
         let key = (word.runner.clone(), word.born_ms);
         let heard = self.0.entry(key).or_default();
-        let before = heard.namers.len();
+        let before = heard.reporters.len();
         if before == 0 {
             heard.first_ms = now;
         }
-        for namer in &word.namers {
-            if heard.namers.len() < NAMERS {
-                heard.namers.insert(namer.clone());
+        for namer in &word.reporters {
+            if heard.reporters.len() < QUORUM {
+                heard.reporters.insert(namer.clone());
             }
         }
-        let is_news = heard.namers.len() > before;
+        let is_news = heard.reporters.len() > before;
         if is_news {
             heard.newest_ms = now;
         }
@@ -113,12 +114,12 @@
         };
         let waited = now >= heard.first_ms + WAIT_MS;
         let refuted = heard.refuted_ms.is_some_and(|at| now < at + REFUTED_MS);
-        match (concerned || refuted, heard.namers.len() >= NAMERS) {
-            _ if heard.namers.is_empty() => Advice::Wait,
-            (true, _) => Advice::Ask,
-            _ if instances <= FEW => Advice::Ask,
-            (false, true) => Advice::Believe,
-            (false, false) if waited => Advice::Ask,
+        match (concerned || refuted, heard.reporters.len() >= QUORUM) {
+            _ if heard.reporters.is_empty() => Advice::Wait,
+            (true, _) => Advice::Probe,
+            _ if instances <= FEW => Advice::Probe,
+            (false, true) => Advice::MarkDead,
+            (false, false) if waited => Advice::Probe,
             (false, false) => Advice::Wait,
         }
     }
@@ -129,13 +130,13 @@
     }
 
     /// What is passed on of those that were named since `since_ms`.
-    pub fn since(&self, since_ms: Millis) -> impl Iterator<Item = Word> {
-        let named = self.0.iter().filter(|(_, h)| !h.namers.is_empty());
+    pub fn updated_since(&self, since_ms: Millis) -> impl Iterator<Item = FailureReport> {
+        let named = self.0.iter().filter(|(_, h)| !h.reporters.is_empty());
         let new = named.filter(move |(_, h)| h.newest_ms >= since_ms);
-        new.map(|((runner, born_ms), heard)| Word {
+        new.map(|((runner, born_ms), heard)| FailureReport {
             runner: runner.clone(),
             born_ms: *born_ms,
-            namers: heard.namers.clone(),
+            reporters: heard.reporters.clone(),
         })
     }
 
@@ -153,7 +154,7 @@
 
 /// Whether `name` is one of those that ask a runner whether it is back, among the instances of its
 /// failure domain that live, itself included or not.
-pub fn asks<'a>(name: &Name, domain: impl Iterator<Item = &'a Name>, runner: &str) -> bool {
+pub fn is_prober<'a>(name: &Name, domain: impl Iterator<Item = &'a Name>, runner: &str) -> bool {
     let ranks = domain.map(|n| rank_for(n, runner));
     is_among_first(ASKERS, rank_for(name, runner), ranks)
 }
