--- a/policy/src/relay/words.rs
+++ b/policy/src/relay/words.rs
@@ -1,20 +1,23 @@
-//! What other instances say of runners that they found dead, and who asks a runner by itself.
+//! Failure reports that instances exchange about runners, and which instances probe a runner.
 //!
-//! Load pattern: several runners die at once before hundreds of instances. If each instance asks every one
-//! of them beside witnesses, the questions come in the very moment in which the streams of the broken
-//! chains are to go on elsewhere.
+//! Load pattern: several runners fail at once in a fleet of hundreds of instances. If every
+//! instance probed every failed runner and its witnesses, the probes would arrive at the very
+//! moment at which the streams of the broken chains have to be resumed elsewhere.
 //!
-//! So those whose requests pass through a runner ask it by themselves. The others believe it dead once
-//! [`QUORUM`] instances found it dead by their own questions, and ask only if that does not come about.
-//! One instance's mistake convinces nobody, and nobody is convinced against what it hears itself. Later
-//! a few of each failure domain ask whether the runner is back; an answer is good news for the whole
-//! domain.
+//! Therefore only instances whose requests pass through a runner probe it themselves. The others
+//! mark it dead once [`QUORUM`] instances have reported it dead after probes of their own, and
+//! probe it only if no quorum forms. A false report by a single instance convinces nobody, and no
+//! instance accepts a report that contradicts its own observations. Later, a few instances of each
+//! failure domain probe whether the runner has recovered, and share a successful answer with their
+//! whole domain.
 //!
 //! Invariants:
-//! - Only an instance that asked by itself is a namer; who believes others passes their names on.
-//! - What was said of one lifetime of a runner says nothing of the next.
-//! - Once a runner has answered here or a neighbour, no word of others is believed for a while: some may
-//!   be cut off from it for good, and would convince the rest again and again.
+//! - Only an instance that probed the runner itself is a reporter. An instance that accepts a
+//!   report passes it on with the original reporters.
+//! - Reports on one lifetime of a runner do not apply to the next.
+//! - After the runner has answered this instance or a neighbour, reports are not accepted for a
+//!   while. Otherwise instances that are permanently partitioned from the runner would convince the
+//!   rest again and again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,138 +26,139 @@
 use crate::prelude::*;
 use crate::relay::ranks::{is_among_first, rank_for};
 
-/// Instances that must have found a runner dead for others to believe it.
+/// Number of reporters required before an instance accepts a failure report.
 pub const QUORUM: usize = 3;
 
-/// Number of instances up to which each asks at once.
-const FEW: usize = 12;
+/// Number of instances up to which every instance probes as soon as it receives a report.
+const SMALL_FLEET: usize = 12;
 
-/// How long an instance waits for further reporters before it asks by itself, in milliseconds.
-const WAIT_MS: Millis = 200;
+/// How long an instance waits for a quorum before it probes the runner itself, in milliseconds.
+const QUORUM_WAIT_MS: Millis = 200;
 
-/// How long something is known of a runner, in milliseconds; its entry goes sooner.
-const KEPT_MS: Millis = 30_000;
+/// How long reports on a runner are retained, in milliseconds; its entry in the store expires
+/// sooner.
+const RETENTION_MS: Millis = 30_000;
 
-/// How long the word of others is a reason to ask only after a runner has answered, in milliseconds.
+/// How long after an answer of the runner a report only triggers a probe, in milliseconds.
 const REFUTED_MS: Millis = 10_000;
 
-/// Instances of a failure domain that ask whether a runner is back, or still slow.
-const ASKERS: usize = 2;
+/// Instances of a failure domain that probe whether a runner has recovered, or is still slow.
+const PROBERS_PER_DOMAIN: usize = 2;
 
-/// That a lifetime of a runner is over, as it travels.
+/// Report that a lifetime of a runner has ended, as sent between instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailureReport {
     /// Runner.
     pub runner: Name,
     /// Unix time of its start, in milliseconds.
     pub born_ms: u64,
-    /// Instances that found it dead by themselves.
+    /// Instances whose own probes found it dead.
     #[serde(rename = "namers")]
     pub reporters: BTreeSet<Name>,
 }
 
-/// What to do about a runner that others say is dead.
+/// What to do about a runner that other instances report dead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Advice {
-    /// Enough found it dead: it counts as dead here.
+    /// A quorum reported it dead: mark it dead here as well.
     MarkDead,
-    /// Ask it beside witnesses.
+    /// Probe it together with witnesses.
     Probe,
-    /// Others are asking.
+    /// Leave probing to other instances for now.
     Wait,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Heard {
+struct Suspicion {
     reporters: BTreeSet<Name>,
-    first_ms: Millis,
-    newest_ms: Millis,
+    first_report_ms: Millis,
+    updated_ms: Millis,
     refuted_ms: Option<Millis>,
 }
 
-/// All that was said, by runner and lifetime.
+/// Failure reports by runner and lifetime.
 #[derive(Clone, Debug, Default)]
-pub struct FailureReports(BTreeMap<(Name, u64), Heard>);
+pub struct FailureReports(BTreeMap<(Name, u64), Suspicion>);
 
 impl FailureReports {
-    /// Somebody, or this instance itself, found a runner dead; whether that is news.
-    pub fn record(&mut self, word: &FailureReport, now: Millis) -> bool {
-        self.0.retain(|_, h| now < h.newest_ms + KEPT_MS);
-        let key = (word.runner.clone(), word.born_ms);
-        let heard = self.0.entry(key).or_default();
-        let before = heard.reporters.len();
+    /// Records a report of another instance or of this one. Returns whether it added a reporter.
+    pub fn record(&mut self, report: &FailureReport, now: Millis) -> bool {
+        self.0.retain(|_, s| now < s.updated_ms + RETENTION_MS);
+        let key = (report.runner.clone(), report.born_ms);
+        let suspicion = self.0.entry(key).or_default();
+        let before = suspicion.reporters.len();
         if before == 0 {
-            heard.first_ms = now;
+            suspicion.first_report_ms = now;
         }
-        for namer in &word.reporters {
-            if heard.reporters.len() < QUORUM {
-                heard.reporters.insert(namer.clone());
+        for reporter in &report.reporters {
+            if suspicion.reporters.len() < QUORUM {
+                suspicion.reporters.insert(reporter.clone());
             }
         }
-        let is_news = heard.reporters.len() > before;
+        let is_news = suspicion.reporters.len() > before;
         if is_news {
-            heard.newest_ms = now;
+            suspicion.updated_ms = now;
         }
         is_news
     }
 
-    /// What to do about a runner at `now`, for one of `instances` instances; `concerned`: requests of
-    /// this one pass through it.
+    /// Returns what to do about a runner at `now` in a fleet of `instances` instances.
+    /// `is_affected` tells whether requests of this instance pass through the runner.
     #[must_use]
     pub fn advice(
         &self,
         runner: &Name,
         born_ms: u64,
-        concerned: bool,
+        is_affected: bool,
         instances: usize,
         now: Millis,
     ) -> Advice {
-        let Some(heard) = self.0.get(&(runner.clone(), born_ms)) else {
+        let Some(suspicion) = self.0.get(&(runner.clone(), born_ms)) else {
             return Advice::Wait;
         };
-        let waited = now >= heard.first_ms + WAIT_MS;
-        let refuted = heard.refuted_ms.is_some_and(|at| now < at + REFUTED_MS);
-        match (concerned || refuted, heard.reporters.len() >= QUORUM) {
-            _ if heard.reporters.is_empty() => Advice::Wait,
+        let waited = now >= suspicion.first_report_ms + QUORUM_WAIT_MS;
+        let refuted = suspicion.refuted_ms.is_some_and(|at| now < at + REFUTED_MS);
+        match (is_affected || refuted, suspicion.reporters.len() >= QUORUM) {
+            _ if suspicion.reporters.is_empty() => Advice::Wait,
             (true, _) => Advice::Probe,
-            _ if instances <= FEW => Advice::Probe,
+            _ if instances <= SMALL_FLEET => Advice::Probe,
             (false, true) => Advice::MarkDead,
             (false, false) if waited => Advice::Probe,
             (false, false) => Advice::Wait,
         }
     }
 
-    /// Runners of which something was said, by identity and lifetime.
+    /// Returns the runners with reports, by identity and lifetime.
     pub fn runners(&self) -> impl Iterator<Item = (&Name, u64)> {
         self.0.keys().map(|(runner, born_ms)| (runner, *born_ms))
     }
 
-    /// What is passed on of those that were named since `since_ms`.
+    /// Returns the reports that gained a reporter at or after `since_ms`, to be passed on.
     pub fn updated_since(&self, since_ms: Millis) -> impl Iterator<Item = FailureReport> {
-        let named = self.0.iter().filter(|(_, h)| !h.reporters.is_empty());
-        let new = named.filter(move |(_, h)| h.newest_ms >= since_ms);
-        new.map(|((runner, born_ms), heard)| FailureReport {
+        let reported = self.0.iter().filter(|(_, s)| !s.reporters.is_empty());
+        let updated = reported.filter(move |(_, s)| s.updated_ms >= since_ms);
+        updated.map(|((runner, born_ms), suspicion)| FailureReport {
             runner: runner.clone(),
             born_ms: *born_ms,
-            reporters: heard.reporters.clone(),
+            reporters: suspicion.reporters.clone(),
         })
     }
 
-    /// The runner answered at `now`: what was said of it before is void.
+    /// Discards the reports on a lifetime of a runner, which answered at `now`.
     pub fn refute(&mut self, runner: &Name, born_ms: u64, now: Millis) {
-        if let Some(heard) = self.0.get_mut(&(runner.clone(), born_ms)) {
-            *heard = Heard {
-                newest_ms: now,
+        if let Some(suspicion) = self.0.get_mut(&(runner.clone(), born_ms)) {
+            *suspicion = Suspicion {
+                updated_ms: now,
                 refuted_ms: Some(now),
-                ..Heard::default()
+                ..Suspicion::default()
             };
         }
     }
 }
 
-/// Whether `name` is one of those that ask a runner whether it is back, among the instances of its
-/// failure domain that live, itself included or not.
+/// Returns whether instance `name` is one of those that probe whether a runner has recovered.
+/// `domain` are the live instances of its failure domain, with or without itself.
 pub fn is_prober<'a>(name: &Name, domain: impl Iterator<Item = &'a Name>, runner: &str) -> bool {
     let ranks = domain.map(|n| rank_for(n, runner));
-    is_among_first(ASKERS, rank_for(name, runner), ranks)
+    is_among_first(PROBERS_PER_DOMAIN, rank_for(name, runner), ranks)
 }
--- a/policy/tests/relay_words.rs
+++ b/policy/tests/relay_words.rs
@@ -1,4 +1,4 @@
-//! Whom the word of others convinces that a runner is dead, and who asks it by itself.
+//! Quorum of failure reports on runners, and which instances probe a runner themselves.
 
 use std::collections::BTreeSet;
 
@@ -20,7 +20,7 @@
     format!("front-{i:03}").into()
 }
 
-fn word(reporters: &[usize]) -> FailureReport {
+fn report(reporters: &[usize]) -> FailureReport {
     FailureReport {
         runner: runner(),
         born_ms: BORN_MS,
@@ -28,182 +28,191 @@
     }
 }
 
-/// An instance in a replay of a runner's death.
+/// Simulated instance.
 #[derive(Default)]
 struct Instance {
-    words: FailureReports,
+    reports: FailureReports,
     dead: bool,
-    /// When its own questions have shown that the runner is dead.
-    finds_ms: Option<u64>,
-    asked: bool,
-    news: bool,
+    /// When its own probes have shown that the runner is dead.
+    detects_ms: Option<u64>,
+    probed: bool,
+    has_news: bool,
 }
 
-/// Time that questions beside witnesses take, and a message.
-const QUESTIONS_MS: u64 = 50;
+/// Duration of probing a runner together with witnesses, and message delay, in milliseconds.
+const PROBE_MS: u64 = 50;
 const MESSAGE_MS: u64 = 10;
 
-/// A runner dies through which requests of the first `concerned` instances pass, one in ten of which
-/// notices by itself. When all know it, and how many asked the runner.
-fn replay(concerned: usize) -> (u64, usize) {
+/// Simulates the failure of a runner through which requests of the first `affected` instances pass,
+/// one in ten of which detects it by itself. Returns when all instances know of it, and how many
+/// probed.
+fn simulate(affected: usize) -> (u64, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut all: Vec<Instance> = (0..FLEET).map(|_| Instance::default()).collect();
-    for i in (0..concerned).step_by(10) {
-        all[i].asked = true;
-        all[i].finds_ms = Some(QUESTIONS_MS);
+    for i in (0..affected).step_by(10) {
+        all[i].probed = true;
+        all[i].detects_ms = Some(PROBE_MS);
     }
     for now in (0..5_000).step_by(MESSAGE_MS as usize) {
-        let mut told: Vec<(usize, Vec<FailureReport>)> = Vec::new();
+        let mut sent: Vec<(usize, Vec<FailureReport>)> = Vec::new();
         for (i, one) in all.iter_mut().enumerate() {
-            if !one.dead && one.finds_ms.is_some_and(|at| now >= at) {
+            if !one.dead && one.detects_ms.is_some_and(|at| now >= at) {
                 one.dead = true;
-                one.news |= one.words.record(&word(&[i]), now);
+                one.has_news |= one.reports.record(&report(&[i]), now);
             }
-            let looks = now % 350 == (i as u64 * MESSAGE_MS) % 350;
-            if looks {
-                one.follow(i < concerned, now);
+            let is_due = now % 350 == (i as u64 * MESSAGE_MS) % 350;
+            if is_due {
+                one.act_on_reports(i < affected, now);
             }
-            if std::mem::take(&mut one.news) {
-                let listeners = (0..FLEET).sample(&mut rng, 8);
-                let words: Vec<FailureReport> =
-                    one.words.updated_since(now.saturating_sub(400)).collect();
-                told.extend(listeners.into_iter().map(|l| (l, words.clone())));
+            if std::mem::take(&mut one.has_news) {
+                let receivers = (0..FLEET).sample(&mut rng, 8);
+                let reports: Vec<FailureReport> =
+                    one.reports.updated_since(now.saturating_sub(400)).collect();
+                sent.extend(receivers.into_iter().map(|l| (l, reports.clone())));
             }
         }
-        for (listener, words) in told {
-            let one = &mut all[listener];
-            for word in words.iter().filter(|_| !one.dead) {
-                one.news |= one.words.record(word, now);
+        for (receiver, reports) in sent {
+            let one = &mut all[receiver];
+            for report in reports.iter().filter(|_| !one.dead) {
+                one.has_news |= one.reports.record(report, now);
             }
-            one.follow(listener < concerned, now);
+            one.act_on_reports(receiver < affected, now);
         }
         if all.iter().all(|one| one.dead) {
-            return (now, all.iter().filter(|one| one.asked).count());
+            return (now, all.iter().filter(|one| one.probed).count());
         }
     }
     (u64::MAX, 0)
 }
 
 impl Instance {
-    fn follow(&mut self, concerned: bool, now: u64) {
+    fn act_on_reports(&mut self, affected: bool, now: u64) {
         if self.dead {
             return;
         }
-        match self.words.advice(&runner(), BORN_MS, concerned, FLEET, now) {
+        match self
+            .reports
+            .advice(&runner(), BORN_MS, affected, FLEET, now)
+        {
             Advice::MarkDead => {
                 self.dead = true;
-                self.news = true;
+                self.has_news = true;
             }
-            Advice::Probe if !self.asked => {
-                self.asked = true;
-                self.finds_ms = Some(now + QUESTIONS_MS);
+            Advice::Probe if !self.probed => {
+                self.probed = true;
+                self.detects_ms = Some(now + PROBE_MS);
             }
             Advice::Probe | Advice::Wait => {}
         }
     }
 }
 
-/// Every instance of a large fleet asks each dead runner.
+/// Guards against every instance of a large fleet probing each dead runner.
 #[gtest]
-fn a_dead_runner_is_asked_by_those_whose_requests_pass_through_it() {
-    let (known_ms, askers) = replay(60);
+fn only_affected_instances_probe_a_dead_runner() {
+    let (known_ms, probers) = simulate(60);
     expect_that!(known_ms, le(250));
-    expect_that!(askers, le(60 + FLEET / 10));
+    expect_that!(probers, le(60 + FLEET / 10));
 }
 
-/// An instance whose own link is full makes the fleet give up a living runner.
+/// Guards against a fleet giving up a live runner because one instance with a saturated link
+/// reported it.
 #[gtest]
-fn one_instances_mistake_convinces_nobody() {
-    let mut words = FailureReports::default();
+fn a_single_false_report_is_not_accepted() {
+    let mut reports = FailureReports::default();
     for now in [0, 100, 300, 1_000] {
-        words.record(&word(&[1]), now);
-        let advice = words.advice(&runner(), BORN_MS, false, FLEET, now);
+        reports.record(&report(&[1]), now);
+        let advice = reports.advice(&runner(), BORN_MS, false, FLEET, now);
         expect_that!(advice, not(eq(Advice::MarkDead)));
     }
     expect_that!(
-        words.advice(&runner(), BORN_MS, false, FLEET, 1_000),
+        reports.advice(&runner(), BORN_MS, false, FLEET, 1_000),
         eq(Advice::Probe)
     );
-    words.refute(&runner(), BORN_MS, 1_100);
-    let advice = words.advice(&runner(), BORN_MS, false, FLEET, 1_100);
+    reports.refute(&runner(), BORN_MS, 1_100);
+    let advice = reports.advice(&runner(), BORN_MS, false, FLEET, 1_100);
     expect_that!(advice, eq(Advice::Wait));
-    expect_that!(words.updated_since(0).count(), eq(0));
+    expect_that!(reports.updated_since(0).count(), eq(0));
 }
 
-/// Instances that are cut off from a runner make the others give it up again and again.
+/// Guards against instances that are partitioned from a runner making the others give it up
+/// repeatedly.
 #[gtest]
-fn those_that_are_cut_off_do_not_convince_the_others_again() {
-    let mut words = FailureReports::default();
-    words.record(&word(&[1, 2, 3]), 0);
-    let advice = |words: &FailureReports, now| words.advice(&runner(), BORN_MS, false, FLEET, now);
-    expect_that!(advice(&words, 0), eq(Advice::MarkDead));
-    words.refute(&runner(), BORN_MS, 700);
-    expect_true!(words.record(&word(&[1, 2, 3]), 800));
-    expect_that!(advice(&words, 800), eq(Advice::Probe));
-    // Long after it may have died since.
-    words.record(&word(&[1, 2, 3]), 12_000);
-    expect_that!(advice(&words, 12_000), eq(Advice::MarkDead));
+fn refuted_reports_are_not_accepted_again_soon() {
+    let mut reports = FailureReports::default();
+    reports.record(&report(&[1, 2, 3]), 0);
+    let advice =
+        |reports: &FailureReports, now| reports.advice(&runner(), BORN_MS, false, FLEET, now);
+    expect_that!(advice(&reports, 0), eq(Advice::MarkDead));
+    reports.refute(&runner(), BORN_MS, 700);
+    expect_true!(reports.record(&report(&[1, 2, 3]), 800));
+    expect_that!(advice(&reports, 800), eq(Advice::Probe));
+    // Long after the answer it may have failed since.
+    reports.record(&report(&[1, 2, 3]), 12_000);
+    expect_that!(advice(&reports, 12_000), eq(Advice::MarkDead));
 }
 
-/// A domain that is cut off from a runner ends the requests of others that pass through it.
+/// Guards against a partitioned domain ending the requests of other instances that pass through the
+/// runner.
 #[gtest]
-fn nobody_is_convinced_against_what_it_hears_itself() {
-    let mut words = FailureReports::default();
-    words.record(&word(&[1, 2, 3, 4]), 0);
+fn an_affected_instance_probes_instead_of_accepting_reports() {
+    let mut reports = FailureReports::default();
+    reports.record(&report(&[1, 2, 3, 4]), 0);
     expect_that!(
-        words.advice(&runner(), BORN_MS, true, FLEET, 0),
+        reports.advice(&runner(), BORN_MS, true, FLEET, 0),
         eq(Advice::Probe)
     );
     expect_that!(
-        words.advice(&runner(), BORN_MS, false, FLEET, 0),
+        reports.advice(&runner(), BORN_MS, false, FLEET, 0),
         eq(Advice::MarkDead)
     );
-    // What was said of one lifetime says nothing of the next.
+    // Reports on one lifetime do not apply to the next.
     expect_that!(
-        words.advice(&runner(), BORN_MS + 1, false, FLEET, 0),
+        reports.advice(&runner(), BORN_MS + 1, false, FLEET, 0),
         eq(Advice::Wait)
     );
 }
 
-/// One namer counts as many, or its word goes round for ever.
+/// Guards against one reporter being counted repeatedly, and reports circulating forever.
 #[gtest]
-fn a_word_that_is_heard_again_is_no_news() {
-    let mut words = FailureReports::default();
-    expect_true!(words.record(&word(&[1]), 0));
-    expect_false!(words.record(&word(&[1]), 10));
-    expect_true!(words.record(&word(&[1, 2]), 20));
-    expect_true!(words.record(&word(&[3]), 30));
-    expect_false!(words.record(&word(&[4]), 40));
-    let passed_on: Vec<FailureReport> = words.updated_since(20).collect();
+fn a_repeated_report_is_not_passed_on() {
+    let mut reports = FailureReports::default();
+    expect_true!(reports.record(&report(&[1]), 0));
+    expect_false!(reports.record(&report(&[1]), 10));
+    expect_true!(reports.record(&report(&[1, 2]), 20));
+    expect_true!(reports.record(&report(&[3]), 30));
+    expect_false!(reports.record(&report(&[4]), 40));
+    let passed_on: Vec<FailureReport> = reports.updated_since(20).collect();
     let reporters: BTreeSet<Name> = [1, 2, 3].map(instance).into();
     expect_that!(passed_on.len(), eq(1));
     expect_that!(&passed_on[0].reporters, eq(&reporters));
-    expect_that!(words.updated_since(31).count(), eq(0));
+    expect_that!(reports.updated_since(31).count(), eq(0));
 }
 
-/// Half of a small fleet that is cut off from a runner makes the other half give it up.
+/// Guards against one half of a small fleet, partitioned from a runner, making the other half give
+/// it up.
 #[gtest]
-fn a_small_fleet_asks_at_once_whoever_says_so() {
-    let mut words = FailureReports::default();
-    words.record(&word(&[1]), 0);
-    let advice = |words: &FailureReports| words.advice(&runner(), BORN_MS, false, 6, 0);
-    expect_that!(advice(&words), eq(Advice::Probe));
-    words.record(&word(&[2, 3]), 0);
-    expect_that!(advice(&words), eq(Advice::Probe));
+fn instances_of_a_small_fleet_probe_at_the_first_report() {
+    let mut reports = FailureReports::default();
+    reports.record(&report(&[1]), 0);
+    let advice = |reports: &FailureReports| reports.advice(&runner(), BORN_MS, false, 6, 0);
+    expect_that!(advice(&reports), eq(Advice::Probe));
+    reports.record(&report(&[2, 3]), 0);
+    expect_that!(advice(&reports), eq(Advice::Probe));
 }
 
-/// A runner that is gone for good is asked by every instance.
+/// Guards against every instance probing a runner that is gone for good.
 #[gtest]
-fn two_of_each_domain_ask_whether_a_runner_is_back() {
+fn two_instances_of_each_domain_probe_whether_a_runner_recovered() {
     let domain: Vec<Name> = (0..60).map(instance).collect();
-    let mut busy: BTreeSet<Name> = BTreeSet::new();
+    let mut all_probers: BTreeSet<Name> = BTreeSet::new();
     for r in 0..20 {
         let runner = format!("i-{r}");
-        let asks = |n: &&Name| words::is_prober(n, domain.iter(), &runner);
-        let askers: Vec<&Name> = domain.iter().filter(asks).collect();
-        expect_that!(askers.len(), eq(2));
-        busy.extend(askers.into_iter().cloned());
+        let is_prober = |n: &&Name| words::is_prober(n, domain.iter(), &runner);
+        let probers: Vec<&Name> = domain.iter().filter(is_prober).collect();
+        expect_that!(probers.len(), eq(2));
+        all_probers.extend(probers.into_iter().cloned());
     }
-    expect_that!(busy.len(), ge(15));
+    expect_that!(all_probers.len(), ge(15));
     expect_true!(words::is_prober(&domain[0], domain[..2].iter(), "i-1"));
 }
