--- a/plugins/relay/src/live.rs
+++ b/plugins/relay/src/live.rs
@@ -9,7 +9,7 @@
 use jacinthweir_policy::relay::intent::Engine;
 use jacinthweir_policy::relay::rooms::{self, Occupancy, Refusals, Room};
 use jacinthweir_policy::relay::runners::Runners;
-use jacinthweir_policy::relay::silence::{Gaps, Silence};
+use jacinthweir_policy::relay::silence::{EventGaps, SilenceDetector};
 use tokio_util::sync::CancellationToken;
 
 use crate::admit;
@@ -22,8 +22,8 @@
 pub(crate) struct LiveChain {
     pub(crate) service: Name,
     pub(crate) chain: Chain,
-    pub(crate) silence: RefCell<Silence>,
-    pub(crate) gaps: RefCell<Gaps>,
+    pub(crate) silence: RefCell<SilenceDetector>,
+    pub(crate) gaps: RefCell<EventGaps>,
     pub(crate) refusals: RefCell<Refusals>,
     /// Tokens in an event: its declared gap is that many steps.
     event_tokens: f64,
@@ -101,7 +101,7 @@
             let used = Rc::clone(self.used.entry(key).or_default());
             new.push(Rc::new(LiveChain {
                 service: service.clone(),
-                silence: RefCell::new(Silence::new(event_tokens * chain.step_ms)),
+                silence: RefCell::new(SilenceDetector::new(event_tokens * chain.step_ms)),
                 gaps: RefCell::default(),
                 refusals: RefCell::default(),
                 event_tokens,
@@ -125,8 +125,8 @@
     /// Whether the chain's parts should be asked: it is silent, or slow.
     pub(crate) fn should_ask(&self, now: Millis) -> bool {
         let declared_ms = self.event_tokens * self.step_ms.get();
-        let silent = self.silence.borrow_mut().should_ask(now);
-        silent || self.gaps.borrow_mut().should_ask(now, declared_ms)
+        let silent = self.silence.borrow_mut().should_probe(now);
+        silent || self.gaps.borrow_mut().should_probe(now, declared_ms)
     }
 
     /// When its parts are to be asked if nothing is heard until then, in milliseconds.
@@ -298,7 +298,7 @@
     pub(crate) fn open(node: &Rc<Node>, live: Rc<LiveChain>, tokens: f64) -> Passage {
         live.used.set(live.used.get() + tokens);
         live.unread.set(live.unread.get() + tokens);
-        live.silence.borrow_mut().sent(node.now());
+        live.silence.borrow_mut().request_sent(node.now());
         if live
             .due_ms()
             .is_some_and(|due| due < node.next_look_ms.get())
@@ -334,7 +334,10 @@
     /// Bytes came.
     pub(crate) fn heard(&self) {
         self.has_read();
-        self.live.silence.borrow_mut().heard(self.node.now());
+        self.live
+            .silence
+            .borrow_mut()
+            .bytes_received(self.node.now());
     }
 }
 
@@ -351,7 +354,7 @@
         let now = self.node.now();
         self.node.flow.borrow_mut().released(now, self.tokens);
         self.live.used.set(self.live.used.get() - self.tokens);
-        self.live.silence.borrow_mut().ended();
+        self.live.silence.borrow_mut().request_ended();
         self.node.room.notify_waiters();
     }
 }
--- a/plugins/relay/src/probe.rs
+++ b/plugins/relay/src/probe.rs
@@ -12,7 +12,7 @@
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::following;
 use jacinthweir_policy::relay::runners::{ASK_PAUSE_MS, RunnerEntry, Standing};
-use jacinthweir_policy::relay::silence::Round;
+use jacinthweir_policy::relay::silence::ProbeRound;
 use jacinthweir_policy::relay::words::{self, Advice, FailureReport};
 use tokio::time::sleep;
 
@@ -103,7 +103,7 @@
             async move { (&s.runner, question::ask(asked, TRIES).await) }
         })
         .collect();
-    let mut round = Round::new(open.len());
+    let mut round = ProbeRound::new(open.len());
     let mut silent: Vec<&RunnerEntry> = Vec::new();
     let mut unanswered = 0;
     while let Some((runner, found)) = open.next().await {
@@ -121,7 +121,7 @@
                 silent.push(runner);
             }
         }
-        if round.speaks_against(passed) {
+        if round.indicates_dead(passed) {
             let suspects = silent.drain(..).map(|r| Suspect::of(&node, r));
             suspects.for_each(|s| examine(&node, s, 1));
         }
--- a/plugins/relay/src/question.rs
+++ b/plugins/relay/src/question.rs
@@ -3,7 +3,7 @@
 //! A runner's report needs no slot and is answered however long its queue is, so one that does not
 //! answer several times is dead or cut off, not busy. Or it is this instance that hears nobody: its
 //! link may be full of something else. So silence is not believed by itself. Runners that nobody
-//! doubts are asked at the same time as [witnesses](Round), and a runner is dead only if it stays
+//! doubts are asked at the same time as [witnesses](ProbeRound), and a runner is dead only if it stays
 //! silent for far longer than they take to answer.
 
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use jacinthweir_platform::runner::{self, Report, RunnerError};
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::runners::RunnerEntry;
-use jacinthweir_policy::relay::silence::Round;
+use jacinthweir_policy::relay::silence::ProbeRound;
 use rand::seq::IteratorRandom;
 use tokio::time::{sleep, timeout};
 
@@ -227,7 +227,7 @@
     let witnesses = witnesses(node, s);
     let mut open: FuturesUnordered<LocalBoxFuture<'_, Answer>> = FuturesUnordered::new();
     open.push(ask(s.asked, tries).map(Answer::Suspect).boxed_local());
-    let mut round = Round::new(QUORUM_OF.min(witnesses.len()));
+    let mut round = ProbeRound::new(QUORUM_OF.min(witnesses.len()));
     for witness in witnesses {
         open.push(ask(witness, 1).map(Answer::Witness).boxed_local());
     }
@@ -246,7 +246,7 @@
             Ok(None) => sleep(Duration::from_millis(LOOK_MS)).await,
             Ok(Some(Answer::Witness(_))) | Err(_) => {}
         }
-        let speaks = round.speaks_against(passed);
+        let speaks = round.indicates_dead(passed);
         if let Some(failed) = found.take_if(|_| speaks || passed >= WITNESS_MS) {
             return (failed, speaks);
         }
--- a/plugins/relay/src/stream.rs
+++ b/plugins/relay/src/stream.rs
@@ -262,7 +262,7 @@
         self.longest_gap_ms = self.longest_gap_ms.max(gap);
         if let Some(passage) = &self.passage {
             passage.heard();
-            passage.live.gaps.borrow_mut().seen(now, gap);
+            passage.live.gaps.borrow_mut().record(now, gap);
         }
     }
 
--- a/policy/src/relay/silence.rs
+++ b/policy/src/relay/silence.rs
@@ -87,15 +87,15 @@
 /// Gaps between the events of a chain's streams: a chain is as slow as its slowest part, which
 /// says so when it is asked.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Gaps {
+pub struct EventGaps {
     mean_ms: f64,
     seen_ms: Millis,
     asked_ms: Option<Millis>,
 }
 
-impl Gaps {
+impl EventGaps {
     /// Two events of a stream came `gap` milliseconds apart, the second at `now`.
-    pub fn seen(&mut self, now: Millis, gap: Millis) {
+    pub fn record(&mut self, now: Millis, gap: Millis) {
         self.mean_ms += GAP_WEIGHT * (gap as f64 - self.mean_ms);
         self.seen_ms = now;
     }
@@ -122,7 +122,7 @@
     }
 
     /// Whether they should be asked now; remembers that they were.
-    pub fn should_ask(&mut self, now: Millis, declared_ms: f64) -> bool {
+    pub fn should_probe(&mut self, now: Millis, declared_ms: f64) -> bool {
         let ask = self.due_ms(declared_ms).is_some_and(|due| now >= due);
         if ask {
             self.asked_ms = Some(now);
@@ -133,7 +133,7 @@
 
 /// What this instance hears from one chain.
 #[derive(Clone, Copy, Debug)]
-pub struct Silence {
+pub struct SilenceDetector {
     waiting: usize,
     heard_ms: Millis,
     asked_ms: Option<Millis>,
@@ -143,12 +143,12 @@
     least_ms: f64,
 }
 
-impl Silence {
+impl SilenceDetector {
     /// Nothing heard yet from a chain whose declared figures give `pause_ms` milliseconds between two
     /// events.
     #[must_use]
-    pub fn new(pause_ms: f64) -> Silence {
-        Silence {
+    pub fn new(pause_ms: f64) -> SilenceDetector {
+        SilenceDetector {
             waiting: 0,
             heard_ms: 0,
             asked_ms: None,
@@ -159,7 +159,7 @@
     }
 
     /// A request was sent.
-    pub fn sent(&mut self, now: Millis) {
+    pub fn request_sent(&mut self, now: Millis) {
         if self.waiting == 0 {
             self.heard_ms = now;
         }
@@ -167,12 +167,12 @@
     }
 
     /// A request ended or was taken away.
-    pub fn ended(&mut self) {
+    pub fn request_ended(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
     }
 
     /// Bytes came.
-    pub fn heard(&mut self, now: Millis) {
+    pub fn bytes_received(&mut self, now: Millis) {
         let pause = self.silent_ms(now);
         if pause > SAME_PASS_MS {
             self.rhythm.seen(pause as f64, self.least_ms);
@@ -216,7 +216,7 @@
     }
 
     /// Whether the chain's parts should be asked now; remembers that they were.
-    pub fn should_ask(&mut self, now: Millis) -> bool {
+    pub fn should_probe(&mut self, now: Millis) -> bool {
         let ask = self.due_ms().is_some_and(|due| now >= due);
         if ask {
             self.asked_ms = Some(now);
@@ -236,16 +236,16 @@
 /// others so, and the fleet broke its own chains for seconds. So where too few answer nobody is dead,
 /// however long it lasts: then the asking instance is as likely the cause as anybody.
 #[derive(Clone, Debug)]
-pub struct Round {
+pub struct ProbeRound {
     asked: usize,
     answers_ms: Vec<Millis>,
 }
 
-impl Round {
+impl ProbeRound {
     /// `asked` parts are asked.
     #[must_use]
-    pub fn new(asked: usize) -> Round {
-        Round {
+    pub fn new(asked: usize) -> ProbeRound {
+        ProbeRound {
             asked,
             answers_ms: Vec::with_capacity(asked),
         }
@@ -259,7 +259,7 @@
     /// Whether a part that has been silent for `ms` milliseconds is dead: the answer of half of the
     /// parts took far less. The slowest do not count, since a slow part may be one of them.
     #[must_use]
-    pub fn speaks_against(&self, ms: Millis) -> bool {
+    pub fn indicates_dead(&self, ms: Millis) -> bool {
         // Answers come in the order of their times.
         let half = self.asked / 2;
         let usual = self.answers_ms.get(half.saturating_sub(1));
--- a/policy/tests/relay_naming.rs
+++ b/policy/tests/relay_naming.rs
@@ -6,7 +6,7 @@
 
 use googletest::prelude::*;
 use jacinthweir_policy::relay::runners::{ASK_PAUSE_MS, Runners};
-use jacinthweir_policy::relay::silence::{Gaps, Round, Silence};
+use jacinthweir_policy::relay::silence::{EventGaps, ProbeRound, SilenceDetector};
 use support::runner;
 
 /// Pause between two events by the declared figures, in milliseconds.
@@ -18,20 +18,20 @@
 /// every 120 ms is slow, not dead: it is asked once, and then its gaps are known.
 #[gtest]
 fn a_silent_chain_is_asked_at_once_and_a_slow_one_only_once() {
-    let mut silent = Silence::new(EVENT_MS);
-    let mut slow = Silence::new(EVENT_MS);
+    let mut silent = SilenceDetector::new(EVENT_MS);
+    let mut slow = SilenceDetector::new(EVENT_MS);
     for _ in 0..5 {
-        silent.sent(0);
-        slow.sent(0);
+        silent.request_sent(0);
+        slow.request_sent(0);
     }
     let mut asked_at = None;
     let mut slow_asked = 0;
     for now in (0..4_000).step_by(20) {
         if now % 120 == 0 {
-            slow.heard(now);
+            slow.bytes_received(now);
         }
-        slow_asked += usize::from(slow.should_ask(now));
-        if silent.should_ask(now) && asked_at.is_none() {
+        slow_asked += usize::from(slow.should_probe(now));
+        if silent.should_probe(now) && asked_at.is_none() {
             asked_at = Some(now);
         }
     }
@@ -43,24 +43,24 @@
 /// not put off the question by as much.
 #[gtest]
 fn one_long_gap_does_not_hide_a_dead_part() {
-    let mut silence = Silence::new(EVENT_MS);
-    (0..5).for_each(|_| silence.sent(0));
-    silence.heard(400);
-    silence.heard(430);
-    let asked_at = (430..2_000).find(|now| silence.should_ask(*now));
+    let mut silence = SilenceDetector::new(EVENT_MS);
+    (0..5).for_each(|_| silence.request_sent(0));
+    silence.bytes_received(400);
+    silence.bytes_received(430);
+    let asked_at = (430..2_000).find(|now| silence.should_probe(*now));
     expect_that!(asked_at, some(le(700)));
 }
 
 #[gtest]
 fn one_waiting_request_is_given_more_time_and_none_is_no_silence() {
-    let mut silence = Silence::new(EVENT_MS);
-    expect_false!(silence.should_ask(10_000));
-    silence.sent(10_000);
-    expect_false!(silence.should_ask(10_300));
-    expect_true!(silence.should_ask(10_500));
-    expect_false!(silence.should_ask(10_600));
-    silence.ended();
-    expect_false!(silence.should_ask(60_000));
+    let mut silence = SilenceDetector::new(EVENT_MS);
+    expect_false!(silence.should_probe(10_000));
+    silence.request_sent(10_000);
+    expect_false!(silence.should_probe(10_300));
+    expect_true!(silence.should_probe(10_500));
+    expect_false!(silence.should_probe(10_600));
+    silence.request_ended();
+    expect_false!(silence.should_probe(60_000));
 }
 
 /// One stream was left in a chain whose part exited as planned; passes there took a tenth of a second.
@@ -70,14 +70,14 @@
 /// silent_ms=1744`. Callers wait two seconds for the next event; half of that must be left.
 #[gtest]
 fn a_lone_stream_in_a_slow_chain_is_asked_about_while_its_caller_waits() {
-    let mut silence = Silence::new(EVENT_MS);
-    silence.sent(0);
+    let mut silence = SilenceDetector::new(EVENT_MS);
+    silence.request_sent(0);
     let mut now = 0;
     for pause in [80, 120, 95, 150, 100].into_iter().cycle().take(100) {
         now += pause;
-        silence.heard(now);
+        silence.bytes_received(now);
     }
-    let asked_at = (now..).find(|at| silence.should_ask(*at));
+    let asked_at = (now..).find(|at| silence.should_probe(*at));
     expect_that!(asked_at.map(|at| at - now), some(le(1_000)));
 }
 
@@ -86,17 +86,17 @@
 /// become rare; news makes them quick again.
 #[gtest]
 fn questions_that_bring_no_news_become_rare() {
-    let mut silence = Silence::new(EVENT_MS);
-    (0..5).for_each(|_| silence.sent(0));
+    let mut silence = SilenceDetector::new(EVENT_MS);
+    (0..5).for_each(|_| silence.request_sent(0));
     let asked = (0..30_000)
         .step_by(50)
-        .filter(|now| silence.should_ask(*now))
+        .filter(|now| silence.should_probe(*now))
         .count();
     expect_that!(asked, le(9));
-    silence.heard(30_000);
+    silence.bytes_received(30_000);
     let soon = (30_000..32_000)
         .step_by(50)
-        .filter(|now| silence.should_ask(*now))
+        .filter(|now| silence.should_probe(*now))
         .count();
     expect_that!(soon, ge(2));
     let mut runners = Runners::default();
@@ -118,18 +118,18 @@
 #[gtest]
 fn silence_is_measured_by_the_rhythm_of_the_chain() {
     let asked_after = |pauses: &[u64]| {
-        let mut silence = Silence::new(EVENT_MS);
-        (0..5).for_each(|_| silence.sent(0));
+        let mut silence = SilenceDetector::new(EVENT_MS);
+        (0..5).for_each(|_| silence.request_sent(0));
         let mut now = 0;
         let mut asked = 0;
         for pause in pauses.iter().cycle().take(200) {
             for at in now..now + pause {
-                asked += usize::from(silence.should_ask(at));
+                asked += usize::from(silence.should_probe(at));
             }
             now += pause;
-            silence.heard(now);
+            silence.bytes_received(now);
         }
-        let last = (now..).find(|at| silence.should_ask(*at));
+        let last = (now..).find(|at| silence.should_probe(*at));
         (asked, last.map_or(0, |at| at - now))
     };
     let (asked, after_ms) = asked_after(&[20, 21, 19]);
@@ -146,28 +146,28 @@
 /// them dead, told sixty others so, and streams were cut all over the fleet for seconds.
 #[gtest]
 fn an_instance_that_is_held_up_finds_nobody_dead() {
-    let mut round = Round::new(10);
-    expect_false!(round.speaks_against(29));
+    let mut round = ProbeRound::new(10);
+    expect_false!(round.indicates_dead(29));
     for ms in [24, 26, 30, 31, 31] {
         round.answered(ms);
     }
-    expect_false!(round.speaks_against(60));
-    expect_true!(round.speaks_against(200));
-    expect_false!(Round::new(10).speaks_against(60_000));
+    expect_false!(round.indicates_dead(60));
+    expect_true!(round.indicates_dead(200));
+    expect_false!(ProbeRound::new(10).indicates_dead(60_000));
 }
 
 /// One part of ten is dead and another answers slowly: the dead one is named while the slow one is
 /// still awaited. Where only few have answered nothing is said.
 #[gtest]
 fn a_dead_part_is_named_by_the_answers_of_half_the_others() {
-    let mut round = Round::new(10);
+    let mut round = ProbeRound::new(10);
     for ms in [3, 3, 4, 4] {
         round.answered(ms);
     }
-    expect_false!(round.speaks_against(29));
+    expect_false!(round.indicates_dead(29));
     round.answered(5);
-    expect_true!(round.speaks_against(29));
-    expect_false!(Round::new(1).speaks_against(29));
+    expect_true!(round.indicates_dead(29));
+    expect_false!(ProbeRound::new(1).indicates_dead(29));
 }
 
 /// A runner turns slow and an instance tells the others. A word that took long on its way must not
@@ -212,33 +212,33 @@
 
 #[gtest]
 fn only_gaps_far_above_the_declared_ones_are_asked_about() {
-    let mut gaps = Gaps::default();
+    let mut gaps = EventGaps::default();
     for _ in 0..200 {
-        gaps.seen(0, 60);
+        gaps.record(0, 60);
     }
-    expect_false!(gaps.should_ask(0, 20.0));
+    expect_false!(gaps.should_probe(0, 20.0));
     for _ in 0..200 {
-        gaps.seen(0, 400);
+        gaps.record(0, 400);
     }
-    expect_true!(gaps.should_ask(0, 20.0));
-    expect_false!(gaps.should_ask(100, 20.0));
+    expect_true!(gaps.should_probe(0, 20.0));
+    expect_false!(gaps.should_probe(100, 20.0));
 }
 
 /// Looks at a chain that dies after three seconds, until its parts are asked: when that is, and how
 /// many looks it took. `next`: when to look again.
 fn looks_until_asked(next: impl Fn(u64, Option<u64>) -> u64) -> (u64, usize) {
     const DIES_MS: u64 = 3_000;
-    let mut silence = Silence::new(EVENT_MS);
-    silence.sent(0);
-    silence.sent(0);
+    let mut silence = SilenceDetector::new(EVENT_MS);
+    silence.request_sent(0);
+    silence.request_sent(0);
     let (mut looks, mut look_at) = (0, 0);
     for now in 0..10_000 {
         if now % 60 == 0 && now < DIES_MS {
-            silence.heard(now);
+            silence.bytes_received(now);
         }
         if now >= look_at {
             looks += 1;
-            if silence.should_ask(now) && now >= DIES_MS {
+            if silence.should_probe(now) && now >= DIES_MS {
                 return (now, looks);
             }
             look_at = next(now, silence.due_ms());
@@ -255,15 +255,15 @@
     let (when_due, few) = looks_until_asked(due);
     expect_that!(when_due, le(often + 8));
     expect_that!(few * 4, le(many));
-    expect_that!(Silence::new(EVENT_MS).due_ms(), none());
+    expect_that!(SilenceDetector::new(EVENT_MS).due_ms(), none());
 }
 
 /// A chain that got no new requests for its pauses never gets any again.
 #[gtest]
 fn a_pause_that_nothing_is_seen_of_fades() {
-    let mut gaps = Gaps::default();
+    let mut gaps = EventGaps::default();
     for i in 0..200 {
-        gaps.seen(i * 300, 300);
+        gaps.record(i * 300, 300);
     }
     let last = 199 * 300;
     expect_that!(gaps.expected_ms(last), ge(280.0));
