--- a/plugins/relay/src/breaks.rs
+++ b/plugins/relay/src/breaks.rs
@@ -4,7 +4,7 @@
 
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::lifetime::Lifetime;
-use jacinthweir_policy::relay::quarantine::{Break, Life, SURVIVED_MS};
+use jacinthweir_policy::relay::quarantine::{BrokenRun, LifetimeState, SURVIVED_MS};
 
 use crate::node::Node;
 use crate::request::Proxied;
@@ -61,14 +61,16 @@
     ask_first(node, &through);
     match progress {
         Progress::Ran(ms) if ms >= SURVIVED_MS => quarantine::survived(node, rq),
-        Progress::Ran(_) | Progress::Waited => node.quarantine.borrow_mut().broke(Break {
-            request: rq.fingerprint(),
-            through,
-            seen_by: node.settings.name.clone(),
-            sent_ms,
-            begun: progress != Progress::Waited,
-            at_ms: node.now(),
-        }),
+        Progress::Ran(_) | Progress::Waited => {
+            node.quarantine.borrow_mut().record_broken_run(BrokenRun {
+                request: rq.fingerprint(),
+                through,
+                seen_by: node.settings.name.clone(),
+                sent_ms,
+                begun: progress != Progress::Waited,
+                at_ms: node.now(),
+            });
+        }
     }
 }
 
@@ -76,7 +78,9 @@
 fn ask_first(node: &Rc<Node>, through: &[Lifetime]) {
     let is_explained = {
         let runners = node.runners.borrow();
-        through.iter().any(|l| runners.life(l) == Life::Ended)
+        through
+            .iter()
+            .any(|l| runners.lifetime_state(l) == LifetimeState::Ended)
     };
     if let Some(first) = through.first().filter(|_| !is_explained) {
         probe::broke_off(node, &first.runner, first.born_ms);
--- a/plugins/relay/src/news.rs
+++ b/plugins/relay/src/news.rs
@@ -12,7 +12,7 @@
 
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::limits::Statement;
-use jacinthweir_policy::relay::quarantine::Case;
+use jacinthweir_policy::relay::quarantine::CrashRecord;
 use jacinthweir_policy::relay::revision::Revision;
 use jacinthweir_policy::relay::words::FailureReport;
 use rand::seq::IteratorRandom;
@@ -103,7 +103,7 @@
     paces: Vec<Pace>,
     /// Requests under which runners ended just now.
     #[serde(default)]
-    cases: Vec<Case>,
+    cases: Vec<CrashRecord>,
     /// Runners that named another rate just now.
     #[serde(default)]
     limits: Vec<Statement>,
@@ -170,7 +170,11 @@
         alive,
         paces,
         limits: node.limits.borrow().told(NEW_MS, true, now),
-        cases: node.quarantine.borrow().told(NEW_MS, false, now).collect(),
+        cases: node
+            .quarantine
+            .borrow()
+            .updates(NEW_MS, false, now)
+            .collect(),
     }
 }
 
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -22,7 +22,7 @@
 use jacinthweir_policy::relay::lease::Bid;
 use jacinthweir_policy::relay::limits::Statement;
 use jacinthweir_policy::relay::loads::{HeadUse, Known, Load, ServiceCounts, Told};
-use jacinthweir_policy::relay::quarantine::Case;
+use jacinthweir_policy::relay::quarantine::CrashRecord;
 use jacinthweir_policy::relay::words::FailureReport;
 use serde::{Deserialize, Serialize};
 use tokio::time::interval;
@@ -63,7 +63,7 @@
     /// What it has seen of the store.
     seen: Seen,
     /// Requests that are held, and those under which runners ended of late.
-    cases: Vec<Case>,
+    cases: Vec<CrashRecord>,
     /// What runners said of late of their rates.
     limits: Vec<Statement>,
 }
@@ -86,7 +86,7 @@
             cases: node
                 .quarantine
                 .borrow()
-                .told(CASES_MS, true, node.now())
+                .updates(CASES_MS, true, node.now())
                 .collect(),
         }
     }
--- a/plugins/relay/src/quarantine.rs
+++ b/plugins/relay/src/quarantine.rs
@@ -12,7 +12,7 @@
 use jacinthweir_policy::relay::chain::Chain;
 use jacinthweir_policy::relay::fingerprint::Fingerprint;
 use jacinthweir_policy::relay::lifetime::Lifetime;
-use jacinthweir_policy::relay::quarantine::{self, Case, Settled, Verdict};
+use jacinthweir_policy::relay::quarantine::{self, CrashRecord, Evaluation, Verdict};
 use jacinthweir_policy::relay::runners::RunnerEntry;
 use tokio::time::sleep;
 
@@ -50,7 +50,7 @@
 fn verdict(node: &Node, rq: &Proxied) -> Verdict {
     let quarantine = node.quarantine.borrow();
     match quarantine.is_idle() {
-        true => Verdict::Free,
+        true => Verdict::Allowed,
         false => quarantine.verdict(rq.fingerprint(), node.now()),
     }
 }
@@ -60,8 +60,8 @@
 pub(crate) async fn held_ms(node: &Node, rq: &Proxied, until: Millis) -> Option<Millis> {
     loop {
         match verdict(node, rq) {
-            Verdict::Free => return None,
-            Verdict::Held(ms) => return Some(ms),
+            Verdict::Allowed => return None,
+            Verdict::Quarantined(ms) => return Some(ms),
             Verdict::Undecided if node.now() >= until => return Some(UNDECIDED_MS),
             Verdict::Undecided => sleep(DECISION_LOOK).await,
         }
@@ -71,7 +71,7 @@
 /// A run of a request came to its end, or went on for long enough.
 pub(crate) fn survived(node: &Node, rq: &Proxied) {
     let mut quarantine = node.quarantine.borrow_mut();
-    if !quarantine.is_idle() && quarantine.survived(rq.fingerprint(), node.now()) {
+    if !quarantine.is_idle() && quarantine.record_survival(rq.fingerprint(), node.now()) {
         log::info!(request = rq.id.as_ref(), fingerprint:% = rq.fingerprint(); "strikes are void");
         node.news.notify_one();
     }
@@ -84,17 +84,17 @@
         return;
     }
     let runners = node.runners.borrow();
-    let settled = quarantine.settle(node.now(), |l| runners.life(l));
+    let settled = quarantine.evaluate(node.now(), |l| runners.lifetime_state(l));
     drop(quarantine);
     log_settled(&settled);
     if settled.is_news() {
         node.news.notify_one();
     }
-    node.forgotten.borrow_mut().extend(settled.forgotten);
+    node.forgotten.borrow_mut().extend(settled.expired);
 }
 
-fn log_settled(settled: &Settled) {
-    for strike in &settled.struck {
+fn log_settled(settled: &Evaluation) {
+    for strike in &settled.new_crashes {
         metrics::counter!("jacinthweir_strikes_total").increment(1);
         log::warn!(
             fingerprint:% = strike.request,
@@ -103,18 +103,18 @@
             strikes = strike.count;
             "a runner ended under a request"
         );
-        if strike.count == quarantine::STRIKES {
+        if strike.count == quarantine::CRASH_THRESHOLD {
             log::warn!(fingerprint:% = strike.request; "request is held");
         }
     }
 }
 
 /// Takes in cases that another instance, or the store, tells.
-pub(crate) fn hear(node: &Node, cases: &[Case]) {
+pub(crate) fn hear(node: &Node, cases: &[CrashRecord]) {
     let now = node.now();
     let mut is_news = false;
     for case in cases {
-        is_news |= node.quarantine.borrow_mut().hear(case, now);
+        is_news |= node.quarantine.borrow_mut().merge(case, now);
     }
     if is_news {
         node.news.notify_one();
@@ -156,11 +156,11 @@
         Err(e) => return Err(e),
     };
     let cases = listed.objects.iter().filter_map(|o| {
-        let case = o.spec.decode::<Case>("held request");
+        let case = o.spec.decode::<CrashRecord>("held request");
         case.inspect_err(|e| log::warn!(object = o.meta.name.as_ref(), cause:% = e; "left out"))
             .ok()
     });
-    let cases: Vec<Case> = cases.collect();
+    let cases: Vec<CrashRecord> = cases.collect();
     if !cases.is_empty() {
         log::info!(held = cases.len(); "held requests read");
     }
@@ -183,7 +183,7 @@
         let name = case.request.to_string();
         match node.store.create(KIND, &name, spec).await {
             Ok(_) | Err(StoreError::Conflict) => {
-                node.quarantine.borrow_mut().stored(case.request, era);
+                node.quarantine.borrow_mut().mark_stored(case.request, era);
             }
             Err(e) => return Err(e),
         }
@@ -192,11 +192,11 @@
 }
 
 /// Cases that this instance is to write: the store may have lost those that were written in an era before.
-fn lacking(node: &Node, era: u64) -> Vec<Case> {
+fn lacking(node: &Node, era: u64) -> Vec<CrashRecord> {
     let quarantine = node.quarantine.borrow();
-    let held = quarantine.held(node.now());
+    let held = quarantine.quarantined(node.now());
     let lacking = held.filter(|c| c.stored_era < Some(era) && is_writer(node, c.request));
-    let written = lacking.map(|c| Case {
+    let written = lacking.map(|c| CrashRecord {
         stored_era: Some(era),
         age_ms: 0,
         ..c
@@ -206,5 +206,5 @@
 
 fn is_writer(node: &Node, request: Fingerprint) -> bool {
     let hear_store = peers::hear_store(node);
-    node.hears_store.get() && quarantine::writes(&node.settings.name, hear_store.iter(), request)
+    node.hears_store.get() && quarantine::is_writer(&node.settings.name, hear_store.iter(), request)
 }
--- a/policy/src/relay/quarantine.rs
+++ b/policy/src/relay/quarantine.rs
@@ -5,7 +5,7 @@
 //! with it goes to the next chain together with it, which breaks as well, until none is left.
 //!
 //! A request whose run breaks off is a suspect: its runner may have ended under it. If it has, that is one
-//! strike against the request. With [`STRIKES`] the request is held: no instance sends it to any runner.
+//! strike against the request. With [`CRASH_THRESHOLD`] the request is held: no instance sends it to any runner.
 //!
 //! Most of what broke with it is innocent. Where some of what broke has strikes already, only those with
 //! most get another. And what is innocent shows so when it is sent elsewhere: a run that came to its end, or
@@ -33,7 +33,7 @@
 
 /// Ends of runners under one request from which on it is held. With two, those that met the same two crashes
 /// as a lethal request would be held as well.
-pub const STRIKES: usize = 3;
+pub const CRASH_THRESHOLD: usize = 3;
 
 /// Time within which all instances notice one event, in milliseconds.
 const APART_MS: i64 = 1_000;
@@ -59,56 +59,58 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// It may be sent.
-    Free,
+    Allowed,
     /// It is one strike short of being held, and its last run broke off a moment ago: it has not shown yet
     /// whether that runner ended.
     Undecided,
     /// Not for so many milliseconds.
-    Held(Millis),
+    Quarantined(Millis),
 }
 
 /// What an instance knows of a lifetime.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum LifetimeState {
     /// It goes on, or nothing is known of it.
-    Open,
+    Running,
     /// It is over.
     Ended,
     /// It counted as over and answers since this time, in milliseconds.
-    Answers(Millis),
+    Recovered(Millis),
 }
 
 /// A case as it travels and is stored. It has an age and no time, since clocks differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Case {
+pub struct CrashRecord {
     /// Request.
     pub request: Fingerprint,
     /// Runners that ended under it.
-    pub ends: Vec<End>,
+    #[serde(rename = "ends")]
+    pub crashes: Vec<Crash>,
     /// Those of them that say nothing against it.
-    pub void: BTreeSet<Lifetime>,
+    #[serde(rename = "void")]
+    pub cleared: BTreeSet<Lifetime>,
     /// Newest era of the store in which it was written there.
     pub stored_era: Option<u64>,
     /// Time since its last change when this was written, in milliseconds.
     pub age_ms: Millis,
 }
 
-impl Case {
+impl CrashRecord {
     /// Whether the request is to be held by what this tells.
     #[must_use]
-    pub fn is_held(&self) -> bool {
+    pub fn is_quarantined(&self) -> bool {
         let counted = self
-            .ends
+            .crashes
             .iter()
-            .filter(|e| !self.void.contains(&e.lifetime));
-        let runs: Vec<BrokenRun> = counted.map(|e| BrokenRun::of(e, 0)).collect();
-        events(runs.iter()) >= STRIKES
+            .filter(|e| !self.cleared.contains(&e.lifetime));
+        let runs: Vec<RunFailure> = counted.map(|e| RunFailure::of(e, 0)).collect();
+        events(runs.iter()) >= CRASH_THRESHOLD
     }
 }
 
 /// The end of a runner under a request, as it travels.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct End {
+pub struct Crash {
     /// The lifetime that ended.
     pub lifetime: Lifetime,
     /// Instance whose run broke.
@@ -121,23 +123,23 @@
 
 /// The run that a runner's end broke, by the clock of this instance, which may have started later.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct BrokenRun {
+struct RunFailure {
     broke_ms: i64,
     sent_ms: i64,
     seen_by: Name,
 }
 
-impl BrokenRun {
-    fn of(end: &End, now: Millis) -> BrokenRun {
-        BrokenRun {
+impl RunFailure {
+    fn of(end: &Crash, now: Millis) -> RunFailure {
+        RunFailure {
             broke_ms: before(now, end.broke_age_ms),
             sent_ms: before(now, end.sent_age_ms),
             seen_by: end.seen_by.clone(),
         }
     }
 
-    fn end(&self, lifetime: &Lifetime, now: Millis) -> End {
-        End {
+    fn end(&self, lifetime: &Lifetime, now: Millis) -> Crash {
+        Crash {
             lifetime: lifetime.clone(),
             seen_by: self.seen_by.clone(),
             sent_age_ms: since(self.sent_ms, now),
@@ -146,15 +148,15 @@
     }
 
     /// Whether this is another event than the one that broke an earlier run.
-    fn is_apart_from(&self, earlier: &BrokenRun) -> bool {
+    fn is_apart_from(&self, earlier: &RunFailure) -> bool {
         let sent_after = self.seen_by == earlier.seen_by && self.sent_ms >= earlier.broke_ms;
         sent_after || self.broke_ms >= earlier.broke_ms + APART_MS
     }
 }
 
-impl From<&Break> for BrokenRun {
-    fn from(b: &Break) -> BrokenRun {
-        BrokenRun {
+impl From<&BrokenRun> for RunFailure {
+    fn from(b: &BrokenRun) -> RunFailure {
+        RunFailure {
             broke_ms: before(b.at_ms, 0),
             sent_ms: before(b.sent_ms, 0),
             seen_by: b.seen_by.clone(),
@@ -173,8 +175,8 @@
 }
 
 /// The most of some broken runs that are apart from each other, one after the other.
-fn events<'a>(runs: impl Iterator<Item = &'a BrokenRun>) -> usize {
-    let mut runs: Vec<&BrokenRun> = runs.collect();
+fn events<'a>(runs: impl Iterator<Item = &'a RunFailure>) -> usize {
+    let mut runs: Vec<&RunFailure> = runs.collect();
     runs.sort();
     let mut most: Vec<usize> = Vec::with_capacity(runs.len());
     for (i, run) in runs.iter().enumerate() {
@@ -188,7 +190,7 @@
 
 /// A run that broke off.
 #[derive(Clone, Debug)]
-pub struct Break {
+pub struct BrokenRun {
     /// Request.
     pub request: Fingerprint,
     /// Lifetimes that it passed through, the first one first.
@@ -204,12 +206,12 @@
 }
 
 /// Runs that one end broke, by request.
-type Suspects = BTreeMap<Fingerprint, Vec<Break>>;
+type Suspects = BTreeMap<Fingerprint, Vec<BrokenRun>>;
 
 #[derive(Clone, Debug, Default)]
 struct Known {
-    ends: BTreeMap<Lifetime, BrokenRun>,
-    void: BTreeSet<Lifetime>,
+    crashes: BTreeMap<Lifetime, RunFailure>,
+    cleared: BTreeSet<Lifetime>,
     stored_era: Option<u64>,
     changed_ms: Millis,
     /// When each end was heard of here, in milliseconds.
@@ -218,7 +220,7 @@
 
 /// A strike that was found here.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Strike {
+pub struct NewCrash {
     /// Request.
     pub request: Fingerprint,
     /// Lifetime that ended under it.
@@ -229,27 +231,27 @@
 
 /// What came of looking at the open breaks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Settled {
+pub struct Evaluation {
     /// Strikes found.
-    pub struck: Vec<Strike>,
+    pub new_crashes: Vec<NewCrash>,
     /// Whether something became void.
-    pub voided: bool,
+    pub cleared: bool,
     /// Requests that are forgotten and that the store still has.
-    pub forgotten: Vec<Fingerprint>,
+    pub expired: Vec<Fingerprint>,
 }
 
-impl Settled {
+impl Evaluation {
     /// Whether others should hear of it.
     #[must_use]
     pub fn is_news(&self) -> bool {
-        self.voided || !self.struck.is_empty()
+        self.cleared || !self.new_crashes.is_empty()
     }
 }
 
 /// All cases that one instance knows.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
-    breaks: Vec<Break>,
+    breaks: Vec<BrokenRun>,
     cases: BTreeMap<Fingerprint, Known>,
 }
 
@@ -261,19 +263,19 @@
     }
 
     /// A run of a request that passed through some lifetimes broke off.
-    pub fn broke(&mut self, broken: Break) {
+    pub fn record_broken_run(&mut self, broken: BrokenRun) {
         self.breaks.push(broken);
     }
 
     /// A run of a request came to its end, or went on for long enough: whether that is news.
-    pub fn survived(&mut self, request: Fingerprint, now: Millis) -> bool {
+    pub fn record_survival(&mut self, request: Fingerprint, now: Millis) -> bool {
         self.breaks.retain(|b| b.request != request);
         let Some(known) = self.cases.get_mut(&request) else {
             return false;
         };
-        let before = known.void.len();
-        known.void.extend(known.ends.keys().cloned());
-        let is_news = known.void.len() > before;
+        let before = known.cleared.len();
+        known.cleared.extend(known.crashes.keys().cloned());
+        let is_news = known.cleared.len() > before;
         if is_news {
             known.changed_ms = now;
         }
@@ -281,11 +283,15 @@
     }
 
     /// Looks at `now` what became of the runners of broken runs, which `life` tells, and forgets what is old.
-    pub fn settle(&mut self, now: Millis, life: impl Fn(&Lifetime) -> Life) -> Settled {
-        let mut settled = Settled::default();
+    pub fn evaluate(
+        &mut self,
+        now: Millis,
+        life: impl Fn(&Lifetime) -> LifetimeState,
+    ) -> Evaluation {
+        let mut settled = Evaluation::default();
         let mut suspects: BTreeMap<Lifetime, Suspects> = BTreeMap::new();
         for b in std::mem::take(&mut self.breaks) {
-            let ended = b.through.iter().find(|l| life(l) == Life::Ended);
+            let ended = b.through.iter().find(|l| life(l) == LifetimeState::Ended);
             match ended {
                 Some(l) => {
                     let of_lifetime = suspects.entry(l.clone()).or_default();
@@ -297,28 +303,33 @@
         }
         for (lifetime, suspects) in &suspects {
             let struck = self.strike_likeliest(suspects, lifetime, now);
-            settled.struck.extend(struck);
+            settled.new_crashes.extend(struck);
         }
         for known in self.cases.values_mut() {
-            settled.voided |= known.void_returned(now, &life);
+            settled.cleared |= known.void_returned(now, &life);
         }
-        settled.forgotten = self.forget(now);
+        settled.expired = self.forget(now);
         settled
     }
 
     /// A lifetime ended under several requests: those under which runners ended most often before are to
     /// blame. Of these, if they are to be held for it, those whose run had begun.
-    fn strike_likeliest(&mut self, suspects: &Suspects, l: &Lifetime, now: Millis) -> Vec<Strike> {
+    fn strike_likeliest(
+        &mut self,
+        suspects: &Suspects,
+        l: &Lifetime,
+        now: Millis,
+    ) -> Vec<NewCrash> {
         if self.is_explained(l, suspects) {
             return Vec::new();
         }
         let count = |r: &Fingerprint| self.cases.get(r).map_or(0, Known::count);
         let most = suspects.keys().map(count).max().unwrap_or(0);
-        let mut likeliest: Vec<(&Fingerprint, &Vec<Break>)> = suspects.iter().collect();
+        let mut likeliest: Vec<(&Fingerprint, &Vec<BrokenRun>)> = suspects.iter().collect();
         likeliest.retain(|(r, _)| count(r) == most);
-        let has_begun = |runs: &[Break]| runs.iter().any(|b| b.begun);
+        let has_begun = |runs: &[BrokenRun]| runs.iter().any(|b| b.begun);
         let any_begun = likeliest.iter().any(|(_, runs)| has_begun(runs));
-        if any_begun && most + 1 >= STRIKES {
+        if any_begun && most + 1 >= CRASH_THRESHOLD {
             likeliest.retain(|(_, runs)| has_begun(runs));
         }
         let struck = likeliest.into_iter();
@@ -330,7 +341,7 @@
     fn is_explained(&self, l: &Lifetime, suspects: &Suspects) -> bool {
         let held = self.cases.iter().filter(|(_, k)| k.is_held());
         let mut others = held.filter(|(request, _)| !suspects.contains_key(request));
-        others.any(|(_, k)| k.ends.contains_key(l))
+        others.any(|(_, k)| k.crashes.contains_key(l))
     }
 
     /// A lifetime ended under a request; `None` where that is known.
@@ -338,15 +349,15 @@
         &mut self,
         request: Fingerprint,
         l: &Lifetime,
-        runs: &[Break],
+        runs: &[BrokenRun],
         now: Millis,
-    ) -> Option<Strike> {
-        let run = runs.iter().map(BrokenRun::from).min()?;
+    ) -> Option<NewCrash> {
+        let run = runs.iter().map(RunFailure::from).min()?;
         let known = self.known(request, now);
         if !known.add(l, run, now, now) {
             return None;
         }
-        Some(Strike {
+        Some(NewCrash {
             request,
             lifetime: l.clone(),
             count: known.count(),
@@ -378,34 +389,34 @@
     #[must_use]
     pub fn verdict(&self, request: Fingerprint, now: Millis) -> Verdict {
         let Some(known) = self.cases.get(&request) else {
-            return Verdict::Free;
+            return Verdict::Allowed;
         };
         let until_ms = known.changed_ms + known.kept_ms();
         if known.is_held() && now < until_ms {
-            return Verdict::Held(until_ms - now);
+            return Verdict::Quarantined(until_ms - now);
         }
         let open = self.breaks.iter().any(|b| b.request == request);
-        match open && known.count() + 1 >= STRIKES {
+        match open && known.count() + 1 >= CRASH_THRESHOLD {
             true => Verdict::Undecided,
-            false => Verdict::Free,
+            false => Verdict::Allowed,
         }
     }
 
     /// Another instance, or the store, told of a case; whether something of it is news.
-    pub fn hear(&mut self, told: &Case, now: Millis) -> bool {
+    pub fn merge(&mut self, told: &CrashRecord, now: Millis) -> bool {
         let at_ms = now.saturating_sub(told.age_ms);
-        let is_held = told.is_held();
-        let is_long = told.ends.len() + told.void.len() > 2 * MOST_LIFETIMES;
+        let is_held = told.is_quarantined();
+        let is_long = told.crashes.len() + told.cleared.len() > 2 * MOST_LIFETIMES;
         if is_long || told.age_ms >= kept_ms(is_held) {
             return false;
         }
         let known = self.known(told.request, at_ms);
         let mut is_news = false;
-        for end in &told.ends {
-            is_news |= known.add(&end.lifetime, BrokenRun::of(end, now), now, at_ms);
+        for end in &told.crashes {
+            is_news |= known.add(&end.lifetime, RunFailure::of(end, now), now, at_ms);
         }
-        for l in &told.void {
-            is_news |= known.void.insert(l.clone());
+        for l in &told.cleared {
+            is_news |= known.cleared.insert(l.clone());
         }
         is_news |= told.stored_era > known.stored_era;
         known.stored_era = known.stored_era.max(told.stored_era);
@@ -416,7 +427,7 @@
     }
 
     /// The store has the case of a request in `era`.
-    pub fn stored(&mut self, request: Fingerprint, era: u64) {
+    pub fn mark_stored(&mut self, request: Fingerprint, era: u64) {
         if let Some(known) = self.cases.get_mut(&request) {
             known.stored_era = known.stored_era.max(Some(era));
         }
@@ -424,7 +435,12 @@
 
     /// What is told of cases at `now`: those that changed within `age_ms`, and where `held` says so all that are
     /// held.
-    pub fn told(&self, age_ms: Millis, held: bool, now: Millis) -> impl Iterator<Item = Case> {
+    pub fn updates(
+        &self,
+        age_ms: Millis,
+        held: bool,
+        now: Millis,
+    ) -> impl Iterator<Item = CrashRecord> {
         let told = self.cases.iter().filter(move |(_, k)| {
             let is_new = now <= k.changed_ms + age_ms;
             is_new || (held && k.is_held())
@@ -433,19 +449,19 @@
     }
 
     /// Cases of requests that are held at `now`.
-    pub fn held(&self, now: Millis) -> impl Iterator<Item = Case> {
+    pub fn quarantined(&self, now: Millis) -> impl Iterator<Item = CrashRecord> {
         let held = self.cases.iter().filter(|(_, k)| k.is_held());
         held.map(move |(request, k)| k.case(*request, now))
     }
 }
 
 impl Known {
-    fn case(&self, request: Fingerprint, now: Millis) -> Case {
-        let ends = self.ends.iter().map(|(l, run)| run.end(l, now));
-        Case {
+    fn case(&self, request: Fingerprint, now: Millis) -> CrashRecord {
+        let ends = self.crashes.iter().map(|(l, run)| run.end(l, now));
+        CrashRecord {
             request,
-            ends: ends.collect(),
-            void: self.void.clone(),
+            crashes: ends.collect(),
+            cleared: self.cleared.clone(),
             stored_era: self.stored_era,
             age_ms: now.saturating_sub(self.changed_ms),
         }
@@ -453,12 +469,15 @@
 
     /// Strikes that count.
     fn count(&self) -> usize {
-        let counted = self.ends.iter().filter(|(l, _)| !self.void.contains(*l));
+        let counted = self
+            .crashes
+            .iter()
+            .filter(|(l, _)| !self.cleared.contains(*l));
         events(counted.map(|(_, run)| run))
     }
 
     fn is_held(&self) -> bool {
-        self.count() >= STRIKES
+        self.count() >= CRASH_THRESHOLD
     }
 
     fn kept_ms(&self) -> Millis {
@@ -466,17 +485,17 @@
     }
 
     /// Adds an end that is heard of at `now`, told at `at_ms`; whether it is new.
-    fn add(&mut self, l: &Lifetime, run: BrokenRun, now: Millis, at_ms: Millis) -> bool {
-        if let Some(known) = self.ends.get_mut(l) {
+    fn add(&mut self, l: &Lifetime, run: RunFailure, now: Millis, at_ms: Millis) -> bool {
+        if let Some(known) = self.crashes.get_mut(l) {
             // Of what several instances saw the first counts, whoever is told of it in which order.
             if run < *known {
                 *known = run;
             }
             return false;
         }
-        let has_room = self.ends.len() < MOST_LIFETIMES;
+        let has_room = self.crashes.len() < MOST_LIFETIMES;
         if has_room {
-            self.ends.insert(l.clone(), run);
+            self.crashes.insert(l.clone(), run);
             self.changed_ms = self.changed_ms.max(at_ms);
             self.heard_ms.insert(l.clone(), now);
         }
@@ -484,19 +503,19 @@
     }
 
     /// Voids strikes by lifetimes that go on after all; whether there were any.
-    fn void_returned(&mut self, now: Millis, life: impl Fn(&Lifetime) -> Life) -> bool {
+    fn void_returned(&mut self, now: Millis, life: impl Fn(&Lifetime) -> LifetimeState) -> bool {
         let returned = |l: &Lifetime, heard_ms: Millis| match life(l) {
-            Life::Answers(at_ms) => at_ms >= heard_ms,
-            Life::Open | Life::Ended => false,
+            LifetimeState::Recovered(at_ms) => at_ms >= heard_ms,
+            LifetimeState::Running | LifetimeState::Ended => false,
         };
         let back: Vec<Lifetime> = self
             .heard_ms
             .extract_if(.., |l, heard_ms| returned(l, *heard_ms))
             .map(|(l, _)| l)
             .collect();
-        let before = self.void.len();
-        self.void.extend(back);
-        let changed = self.void.len() > before;
+        let before = self.cleared.len();
+        self.cleared.extend(back);
+        let changed = self.cleared.len() > before;
         if changed {
             self.changed_ms = now;
         }
@@ -513,7 +532,7 @@
 
 /// Whether `name` is the one that writes a case into the store, of the instances that live and hear it,
 /// itself included or not.
-pub fn writes<'a>(
+pub fn is_writer<'a>(
     name: &Name,
     hear_store: impl Iterator<Item = &'a Name>,
     request: Fingerprint,
--- a/policy/src/relay/runners.rs
+++ b/policy/src/relay/runners.rs
@@ -12,7 +12,7 @@
 
 use crate::prelude::*;
 use crate::relay::lifetime::Lifetime;
-use crate::relay::quarantine::Life;
+use crate::relay::quarantine::LifetimeState;
 
 /// A runner as it describes itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -352,14 +352,16 @@
 
     /// What is known of one lifetime of a runner.
     #[must_use]
-    pub fn life(&self, l: &Lifetime) -> Life {
+    pub fn lifetime_state(&self, l: &Lifetime) -> LifetimeState {
         let s = self.standing(&l.runner);
         match self.entries.get(&l.runner) {
-            Some(e) if e.born_ms != l.born_ms => Life::Ended,
-            _ if s.born_ms != l.born_ms => Life::Open,
-            _ if s.dead => Life::Ended,
-            Some(_) => s.answering_since_ms().map_or(Life::Open, Life::Answers),
-            None => Life::Ended,
+            Some(e) if e.born_ms != l.born_ms => LifetimeState::Ended,
+            _ if s.born_ms != l.born_ms => LifetimeState::Running,
+            _ if s.dead => LifetimeState::Ended,
+            Some(_) => s
+                .answering_since_ms()
+                .map_or(LifetimeState::Running, LifetimeState::Recovered),
+            None => LifetimeState::Ended,
         }
     }
 
--- a/policy/tests/relay_quarantine.rs
+++ b/policy/tests/relay_quarantine.rs
@@ -6,7 +6,9 @@
 use googletest::prelude::*;
 use jacinthweir_policy::relay::fingerprint::Fingerprint;
 use jacinthweir_policy::relay::lifetime::Lifetime;
-use jacinthweir_policy::relay::quarantine::{Break, Case, Life, Quarantine, STRIKES, Verdict};
+use jacinthweir_policy::relay::quarantine::{
+    BrokenRun, CRASH_THRESHOLD, CrashRecord, LifetimeState, Quarantine, Verdict,
+};
 use lethal::{Replay, fingerprint};
 use proptest::prelude::{any, proptest};
 use proptest::prop_assert_eq;
@@ -22,15 +24,15 @@
 fn struck(ends: impl IntoIterator<Item = u64>) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for n in ends {
-        quarantine.broke(broken(0, [n], n));
-        let _settled = quarantine.settle(n, |_| Life::Ended);
+        quarantine.record_broken_run(broken(0, [n], n));
+        let _settled = quarantine.evaluate(n, |_| LifetimeState::Ended);
     }
     quarantine
 }
 
 /// A run of request `n` that had begun and passed through the runners `ends` breaks off.
-fn broken(n: u64, ends: impl IntoIterator<Item = u64>, at_ms: u64) -> Break {
-    Break {
+fn broken(n: u64, ends: impl IntoIterator<Item = u64>, at_ms: u64) -> BrokenRun {
+    BrokenRun {
         request: fingerprint(n),
         through: ends.into_iter().map(lifetime).collect(),
         seen_by: "one".into(),
@@ -41,11 +43,14 @@
 }
 
 fn is_held(quarantine: &Quarantine, n: u64, now: u64) -> bool {
-    matches!(quarantine.verdict(fingerprint(n), now), Verdict::Held(_))
+    matches!(
+        quarantine.verdict(fingerprint(n), now),
+        Verdict::Quarantined(_)
+    )
 }
 
-fn told(quarantine: &Quarantine) -> Vec<Case> {
-    quarantine.told(1_000_000, true, 1_000).collect()
+fn told(quarantine: &Quarantine) -> Vec<CrashRecord> {
+    quarantine.updates(1_000_000, true, 1_000).collect()
 }
 
 #[gtest]
@@ -72,10 +77,10 @@
 #[gtest]
 fn one_break_is_one_strike_however_many_parts_ended() {
     let mut quarantine = Quarantine::default();
-    quarantine.broke(broken(0, 1..=3, 0));
-    let settled = quarantine.settle(0, |_| Life::Ended);
-    expect_that!(settled.struck.len(), eq(1));
-    expect_that!(settled.struck[0].count, eq(1));
+    quarantine.record_broken_run(broken(0, 1..=3, 0));
+    let settled = quarantine.evaluate(0, |_| LifetimeState::Ended);
+    expect_that!(settled.new_crashes.len(), eq(1));
+    expect_that!(settled.new_crashes[0].count, eq(1));
 }
 
 /// A request without a body comes at many instances at a time, and a rack is lost: each sees another part of
@@ -84,17 +89,18 @@
 fn what_several_instances_see_within_a_second_is_one_event() {
     let seen = |by: &str, n: u64, at_ms: u64| {
         let mut one = Quarantine::default();
-        one.broke(Break {
+        one.record_broken_run(BrokenRun {
             seen_by: by.into(),
             ..broken(0, [n], at_ms)
         });
-        let _settled = one.settle(at_ms, |_| Life::Ended);
-        one.told(1_000_000, true, 5_000).collect::<Vec<Case>>()
+        let _settled = one.evaluate(at_ms, |_| LifetimeState::Ended);
+        one.updates(1_000_000, true, 5_000)
+            .collect::<Vec<CrashRecord>>()
     };
-    let hear = |all: Vec<Vec<Case>>| {
+    let hear = |all: Vec<Vec<CrashRecord>>| {
         let mut quarantine = Quarantine::default();
         for case in all.iter().flatten() {
-            quarantine.hear(case, 5_000);
+            quarantine.merge(case, 5_000);
         }
         is_held(&quarantine, 0, 5_000)
     };
@@ -123,10 +129,10 @@
 #[gtest]
 fn under_whom_runners_ended_before_is_to_blame() {
     let mut quarantine = struck(1..=2);
-    quarantine.broke(broken(0, [3], 3));
-    quarantine.broke(broken(1, [3], 3));
-    let settled = quarantine.settle(3, |_| Life::Ended);
-    let blamed: Vec<Fingerprint> = settled.struck.iter().map(|s| s.request).collect();
+    quarantine.record_broken_run(broken(0, [3], 3));
+    quarantine.record_broken_run(broken(1, [3], 3));
+    let settled = quarantine.evaluate(3, |_| LifetimeState::Ended);
+    let blamed: Vec<Fingerprint> = settled.new_crashes.iter().map(|s| s.request).collect();
     expect_that!(blamed, eq(&vec![fingerprint(0)]));
 }
 
@@ -134,9 +140,9 @@
 #[gtest]
 fn an_end_under_a_held_request_is_no_strike_against_others() {
     let mut quarantine = struck(1..=3);
-    quarantine.broke(broken(1, [3], 4));
-    let settled = quarantine.settle(4, |_| Life::Ended);
-    expect_true!(settled.struck.is_empty());
+    quarantine.record_broken_run(broken(1, [3], 4));
+    let settled = quarantine.evaluate(4, |_| LifetimeState::Ended);
+    expect_true!(settled.new_crashes.is_empty());
 }
 
 /// What waited at the same three runners was there whenever one ended.
@@ -144,13 +150,13 @@
 fn the_last_strike_goes_to_those_that_had_begun() {
     let mut quarantine = Quarantine::default();
     for n in 1..=3 {
-        quarantine.broke(broken(0, [n], n));
-        let waiting = Break {
+        quarantine.record_broken_run(broken(0, [n], n));
+        let waiting = BrokenRun {
             begun: false,
             ..broken(1, [n], n)
         };
-        quarantine.broke(waiting);
-        let _settled = quarantine.settle(n, |_| Life::Ended);
+        quarantine.record_broken_run(waiting);
+        let _settled = quarantine.evaluate(n, |_| LifetimeState::Ended);
     }
     expect_true!(is_held(&quarantine, 0, 10));
     expect_false!(is_held(&quarantine, 1, 10));
@@ -161,25 +167,28 @@
 #[gtest]
 fn the_last_strike_is_waited_for() {
     let mut quarantine = struck(1..=2);
-    quarantine.broke(broken(0, [3], 10));
+    quarantine.record_broken_run(broken(0, [3], 10));
     expect_that!(
         quarantine.verdict(fingerprint(0), 10),
         eq(Verdict::Undecided)
     );
-    let settled = quarantine.settle(6_000, |_| Life::Open);
+    let settled = quarantine.evaluate(6_000, |_| LifetimeState::Running);
     expect_false!(settled.is_news());
-    expect_that!(quarantine.verdict(fingerprint(0), 6_000), eq(Verdict::Free));
+    expect_that!(
+        quarantine.verdict(fingerprint(0), 6_000),
+        eq(Verdict::Allowed)
+    );
 }
 
 /// What ran on the same runners goes on elsewhere to its end: it is not to blame.
 #[gtest]
 fn a_run_that_comes_to_its_end_voids_all_strikes() {
     let mut quarantine = struck(1..=2);
-    expect_true!(quarantine.survived(fingerprint(0), 10));
-    expect_false!(quarantine.survived(fingerprint(0), 11));
+    expect_true!(quarantine.record_survival(fingerprint(0), 10));
+    expect_false!(quarantine.record_survival(fingerprint(0), 11));
     // The same ends told by another instance count no more.
     for case in told(&struck(1..=3)) {
-        quarantine.hear(&case, 12);
+        quarantine.merge(&case, 12);
     }
     expect_false!(is_held(&quarantine, 0, 13));
 }
@@ -188,11 +197,11 @@
 #[gtest]
 fn an_end_that_was_none_is_void() {
     let mut quarantine = struck(1..=3);
-    let settled = quarantine.settle(20, |l| match l.born_ms {
-        3 => Life::Answers(15),
-        _ => Life::Ended,
+    let settled = quarantine.evaluate(20, |l| match l.born_ms {
+        3 => LifetimeState::Recovered(15),
+        _ => LifetimeState::Ended,
     });
-    expect_true!(settled.voided);
+    expect_true!(settled.cleared);
     expect_false!(is_held(&quarantine, 0, 20));
 }
 
@@ -201,17 +210,17 @@
 fn an_answer_from_before_the_strike_voids_nothing() {
     let mut quarantine = Quarantine::default();
     for case in told(&struck(1..=3)) {
-        quarantine.hear(&case, 100);
+        quarantine.merge(&case, 100);
     }
-    let settled = quarantine.settle(110, |_| Life::Answers(50));
-    expect_false!(settled.voided);
+    let settled = quarantine.evaluate(110, |_| LifetimeState::Recovered(50));
+    expect_false!(settled.cleared);
     expect_true!(is_held(&quarantine, 0, 110));
 }
 
 /// Two instances tell each other of a held request in each round: neither may keep it alive for ever.
 #[gtest]
 fn a_held_request_is_released_at_last_at_all_instances() {
-    let mut quarantines = [struck(1..=STRIKES as u64), Quarantine::default()];
+    let mut quarantines = [struck(1..=CRASH_THRESHOLD as u64), Quarantine::default()];
     let mut now = 1_000;
     let held = |quarantines: &[Quarantine; 2], now| {
         let held = quarantines.iter().filter(|q| is_held(q, 0, now));
@@ -219,18 +228,18 @@
     };
     while now < 2_000_000 && (now < 10_000 || held(&quarantines, now) > 0) {
         for (from, to) in [(0, 1), (1, 0)] {
-            let told: Vec<Case> = quarantines[from].told(3_000, true, now).collect();
+            let told: Vec<CrashRecord> = quarantines[from].updates(3_000, true, now).collect();
             told.iter().for_each(|case| {
-                quarantines[to].hear(case, now);
+                quarantines[to].merge(case, now);
             });
-            let _settled = quarantines[to].settle(now, |_| Life::Ended);
+            let _settled = quarantines[to].evaluate(now, |_| LifetimeState::Ended);
         }
         now += 300;
     }
     expect_that!(now, ge(600_000));
     expect_that!(now, lt(700_000));
     for quarantine in &mut quarantines {
-        let _settled = quarantine.settle(now, |_| Life::Ended);
+        let _settled = quarantine.evaluate(now, |_| LifetimeState::Ended);
         expect_true!(quarantine.is_idle());
     }
 }
@@ -242,21 +251,21 @@
         ends in proptest::collection::vec((0_u64..6, any::<bool>()), 0..12),
         again in proptest::collection::vec(0_usize..12, 0..12),
     ) {
-        let cases: Vec<Case> = ends
+        let cases: Vec<CrashRecord> = ends
             .iter()
             .flat_map(|(n, survives)| {
                 let mut one = struck([*n]);
                 if *survives {
-                    one.survived(fingerprint(0), 5);
+                    one.record_survival(fingerprint(0), 5);
                 }
                 told(&one)
             })
             .collect();
         let mut forth = Quarantine::default();
-        cases.iter().for_each(|c| { forth.hear(c, 1_000); });
+        cases.iter().for_each(|c| { forth.merge(c, 1_000); });
         let mut back = Quarantine::default();
-        cases.iter().rev().for_each(|c| { back.hear(c, 1_000); });
-        again.iter().filter_map(|i| cases.get(*i)).for_each(|c| { back.hear(c, 1_000); });
+        cases.iter().rev().for_each(|c| { back.merge(c, 1_000); });
+        again.iter().filter_map(|i| cases.get(*i)).for_each(|c| { back.merge(c, 1_000); });
         prop_assert_eq!(told(&forth), told(&back));
     }
 }
--- a/policy/tests/support/lethal.rs
+++ b/policy/tests/support/lethal.rs
@@ -4,7 +4,9 @@
 
 use jacinthweir_policy::relay::fingerprint::Fingerprint;
 use jacinthweir_policy::relay::lifetime::Lifetime;
-use jacinthweir_policy::relay::quarantine::{Break, Case, Life, Quarantine, SURVIVED_MS, Verdict};
+use jacinthweir_policy::relay::quarantine::{
+    BrokenRun, CrashRecord, LifetimeState, Quarantine, SURVIVED_MS, Verdict,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -53,7 +55,7 @@
     quarantine: Quarantine,
     /// Lifetimes that are over, and from when this instance knows it.
     over: BTreeMap<Lifetime, u64>,
-    heard: Vec<(u64, Vec<Case>)>,
+    heard: Vec<(u64, Vec<CrashRecord>)>,
 }
 
 /// What a replay showed.
@@ -164,7 +166,7 @@
             .quarantine
             .verdict(fingerprint(request), now);
         match verdict {
-            Verdict::Held(_) if self.keeps_account => {
+            Verdict::Quarantined(_) if self.keeps_account => {
                 if request >= self.lethal {
                     self.out.others_held.insert(request);
                 }
@@ -174,7 +176,7 @@
                 self.waiting.push((request, instance, sends, attempts));
                 return;
             }
-            Verdict::Free | Verdict::Undecided | Verdict::Held(_) => {}
+            Verdict::Allowed | Verdict::Undecided | Verdict::Quarantined(_) => {}
         }
         let up: Vec<usize> = (0..self.chains.len())
             .filter(|c| self.chains[*c].up_from_ms <= now)
@@ -253,9 +255,9 @@
         let quarantine = &mut self.instances[run.instance].quarantine;
         match now >= run.begins_ms + SURVIVED_MS {
             true => {
-                quarantine.survived(fingerprint(run.request), now);
+                quarantine.record_survival(fingerprint(run.request), now);
             }
-            false => quarantine.broke(Break {
+            false => quarantine.record_broken_run(BrokenRun {
                 request: fingerprint(run.request),
                 through: vec![run.lifetime.clone()],
                 seen_by: format!("front-{}", run.instance).into(),
@@ -275,7 +277,7 @@
         for run in over {
             self.instances[run.instance]
                 .quarantine
-                .survived(fingerprint(run.request), now);
+                .record_survival(fingerprint(run.request), now);
         }
     }
 
@@ -284,20 +286,20 @@
         for i in 0..self.instances.len() {
             let one = &mut self.instances[i];
             let due = one.heard.extract_if(.., |(at, _)| *at <= now);
-            let heard: Vec<Case> = due.flat_map(|(_, cases)| cases).collect();
+            let heard: Vec<CrashRecord> = due.flat_map(|(_, cases)| cases).collect();
             let mut is_news = false;
             for case in &heard {
-                is_news |= one.quarantine.hear(case, now);
+                is_news |= one.quarantine.merge(case, now);
             }
             let over = &one.over;
-            let settled = one.quarantine.settle(now, |l| match over.get(l) {
-                Some(known_ms) if *known_ms <= now => Life::Ended,
-                _ => Life::Open,
+            let settled = one.quarantine.evaluate(now, |l| match over.get(l) {
+                Some(known_ms) if *known_ms <= now => LifetimeState::Ended,
+                _ => LifetimeState::Running,
             });
             if !is_news && !settled.is_news() {
                 continue;
             }
-            let told: Vec<Case> = one.quarantine.told(400, false, now).collect();
+            let told: Vec<CrashRecord> = one.quarantine.updates(400, false, now).collect();
             for other in 0..self.instances.len() {
                 let at = now + self.draw(WORD_MS);
                 self.instances[other].heard.push((at, told.clone()));
