--- a/policy/src/relay/quarantine.rs
+++ b/policy/src/relay/quarantine.rs
@@ -1,26 +1,30 @@
-//! Requests that end the runners which run them, and are sent to no more of them.
+//! Quarantine of requests that crash the runners which run them.
 //!
-//! Load pattern: each runner that begins to run a certain request crashes, and is back after some
-//! seconds. The request comes again and again, at any instance, and each attempt is new to it. What broke
-//! with it goes to the next chain together with it, which breaks as well, until none is left.
+//! Load pattern: every runner that begins to run a certain request crashes, and is back after some
+//! seconds. The caller repeats the request at any instance, and each attempt is new to that
+//! instance. The other requests that the crash interrupted move to the next chain together with the
+//! lethal one and are interrupted there as well, until no chain is left.
 //!
-//! A request whose run breaks off is a suspect: its runner may have ended under it. If it has, that is one
-//! strike against the request. With [`CRASH_THRESHOLD`] the request is held: no instance sends it to any runner.
+//! A request whose run breaks off is a suspect: its runner may have crashed because of it. If the
+//! runner has crashed, the crash is counted against the request. At [`CRASH_THRESHOLD`] counted
+//! crashes the request is quarantined: no instance sends it to any runner.
 //!
-//! Most of what broke with it is innocent. Where some of what broke has strikes already, only those with
-//! most get another. And what is innocent shows so when it is sent elsewhere: a run that came to its end, or
-//! that its runner wrote for [`SURVIVED_MS`], voids all strikes. So does a runner that answers again in the
-//! lifetime that seemed over.
+//! Most of the interrupted requests are harmless. If some of the suspects of a crash have earlier
+//! crashes against them, only those with the most are charged with another. A harmless request is
+//! cleared once it is sent elsewhere: a run that completes, or that produces output for
+//! [`SURVIVED_MS`], clears all crashes counted against it. A runner that answers again in the
+//! lifetime that was believed to have ended clears the crash of that lifetime.
 //!
-//! Some requests have the same fingerprint at many instances at a time: a lost rack breaks all of them, each
-//! by another part. That is one event. So strikes that several instances saw count as one unless they are
-//! [`APART_MS`] apart; those of one instance count if the later run was sent after the earlier one broke.
+//! Some requests have the same fingerprint at many instances at a time. A lost rack interrupts all
+//! of them, each by the loss of another runner, in a single event. Crashes seen by several
+//! instances therefore count as one unless they are [`EVENT_WINDOW_MS`] apart; those seen by one
+//! instance are distinct if the later run was sent after the earlier one broke off.
 //!
 //! Invariants:
-//! - A strike is named by the lifetime that ended: it counts once, whoever saw it.
-//! - What is void stays void. So cases may be told in any order and any number of times, and all who heard
-//!   the same hold the same.
-//! - One break is one strike, however many parts of its chain ended.
+//! - A crash is identified by the lifetime that ended, and counts once, whichever instances saw it.
+//! - A cleared crash stays cleared. Records can therefore be merged in any order and any number of
+//!   times, and all instances that received the same records quarantine the same requests.
+//! - A broken run counts as one crash, however many runners of its chain ended.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,39 +35,43 @@
 use crate::relay::lifetime::Lifetime;
 use crate::relay::ranks::{is_among_first, rank_for};
 
-/// Ends of runners under one request from which on it is held. With two, those that met the same two crashes
-/// as a lethal request would be held as well.
+/// Counted crashes at which a request is quarantined. With two, requests that were interrupted by
+/// the same two crashes as a lethal request would be quarantined as well.
 pub const CRASH_THRESHOLD: usize = 3;
 
 /// Time within which all instances notice one event, in milliseconds.
-const APART_MS: i64 = 1_000;
+const EVENT_WINDOW_MS: i64 = 1_000;
 
-/// Time that a runner must write for a request to have shown that it lives with it, in milliseconds.
+/// Time for which a runner must produce output before its request has survived, in milliseconds.
 pub const SURVIVED_MS: Millis = 1_000;
 
-/// How long a break waits for the end of its runner to show, in milliseconds: the entry of one that says
-/// nothing goes after three heartbeats of a second or more.
-const BREAK_KEPT_MS: Millis = 5_000;
+/// How long a broken run waits for evidence that its runner ended, in milliseconds: the entry of a
+/// runner that fails silently is removed after three missed heartbeats of a second or more.
+const BROKEN_RUN_RETENTION_MS: Millis = 5_000;
 
-/// How long a case is kept that is not held, and how long a request is held, in milliseconds.
-const CASE_KEPT_MS: Millis = 120_000;
-const HELD_MS: Millis = 600_000;
+/// How long the crash record of a request that is not quarantined is kept after its last change, in
+/// milliseconds.
+const RECORD_RETENTION_MS: Millis = 120_000;
 
-/// The most cases kept: when a domain is lost, all that ran there is suspect.
-const MOST_CASES: usize = 4_096;
+/// How long a request stays quarantined after the last change of its record, in milliseconds.
+const QUARANTINE_MS: Millis = 600_000;
 
-/// The most lifetimes kept of one case.
-const MOST_LIFETIMES: usize = 64;
+/// Maximum number of crash records: when a failure domain is lost, all requests that ran there are
+/// suspects.
+const MAX_RECORDS: usize = 4_096;
+
+/// Maximum number of lifetimes in one crash record.
+const MAX_LIFETIMES: usize = 64;
 
 /// Whether a request may be sent to a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// It may be sent.
     Allowed,
-    /// It is one strike short of being held, and its last run broke off a moment ago: it has not shown yet
-    /// whether that runner ended.
+    /// It is one crash below the threshold, and its last run broke off a moment ago: whether the
+    /// runner of that run ended is not known yet.
     Undecided,
-    /// Not for so many milliseconds.
+    /// It is quarantined for the given number of milliseconds.
     Quarantined(Millis),
 }
 
@@ -72,56 +80,58 @@
 pub enum LifetimeState {
     /// It goes on, or nothing is known of it.
     Running,
-    /// It is over.
+    /// It has ended.
     Ended,
-    /// It counted as over and answers since this time, in milliseconds.
+    /// The runner was believed dead and has answered since this time, in milliseconds.
     Recovered(Millis),
 }
 
-/// A case as it travels and is stored. It has an age and no time, since clocks differ.
+/// Crashes counted against a request, as sent between instances and stored. Times are given as
+/// ages, since the clocks of instances differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRecord {
     /// Request.
     pub request: Fingerprint,
-    /// Runners that ended under it.
+    /// Crashes of runners while they ran the request.
     #[serde(rename = "ends")]
     pub crashes: Vec<Crash>,
-    /// Those of them that say nothing against it.
+    /// Lifetimes whose crashes do not count against the request.
     #[serde(rename = "void")]
     pub cleared: BTreeSet<Lifetime>,
-    /// Newest era of the store in which it was written there.
+    /// Newest era of the store in which the record was written there.
     pub stored_era: Option<u64>,
-    /// Time since its last change when this was written, in milliseconds.
+    /// Time from the last change of the record to its serialisation, in milliseconds.
     pub age_ms: Millis,
 }
 
 impl CrashRecord {
-    /// Whether the request is to be held by what this tells.
+    /// Returns whether this record alone suffices to quarantine the request.
     #[must_use]
     pub fn is_quarantined(&self) -> bool {
         let counted = self
             .crashes
             .iter()
-            .filter(|e| !self.cleared.contains(&e.lifetime));
-        let runs: Vec<RunFailure> = counted.map(|e| RunFailure::of(e, 0)).collect();
-        events(runs.iter()) >= CRASH_THRESHOLD
+            .filter(|c| !self.cleared.contains(&c.lifetime));
+        let runs: Vec<RunFailure> = counted.map(|c| RunFailure::of(c, 0)).collect();
+        count_distinct(runs.iter()) >= CRASH_THRESHOLD
     }
 }
 
-/// The end of a runner under a request, as it travels.
+/// Crash of a runner while it ran a request, as sent between instances and stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// The lifetime that ended.
+    /// Lifetime that ended.
     pub lifetime: Lifetime,
-    /// Instance whose run broke.
+    /// Instance whose run broke off.
     pub seen_by: Name,
-    /// Time since that run was sent when this was written, in milliseconds.
+    /// Time from the sending of that run to serialisation, in milliseconds.
     pub sent_age_ms: Millis,
-    /// The same since it broke.
+    /// Time from the failure of that run to serialisation, in milliseconds.
     pub broke_age_ms: Millis,
 }
 
-/// The run that a runner's end broke, by the clock of this instance, which may have started later.
+/// Failure of a run by a crash, in times of this instance's clock. They are negative if this
+/// instance started later.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RunFailure {
     broke_ms: i64,
@@ -130,62 +140,63 @@
 }
 
 impl RunFailure {
-    fn of(end: &Crash, now: Millis) -> RunFailure {
+    fn of(crash: &Crash, now: Millis) -> RunFailure {
         RunFailure {
-            broke_ms: before(now, end.broke_age_ms),
-            sent_ms: before(now, end.sent_age_ms),
-            seen_by: end.seen_by.clone(),
+            broke_ms: time_before(now, crash.broke_age_ms),
+            sent_ms: time_before(now, crash.sent_age_ms),
+            seen_by: crash.seen_by.clone(),
         }
     }
 
-    fn end(&self, lifetime: &Lifetime, now: Millis) -> Crash {
+    fn to_crash(&self, lifetime: &Lifetime, now: Millis) -> Crash {
         Crash {
             lifetime: lifetime.clone(),
             seen_by: self.seen_by.clone(),
-            sent_age_ms: since(self.sent_ms, now),
-            broke_age_ms: since(self.broke_ms, now),
+            sent_age_ms: age_at(self.sent_ms, now),
+            broke_age_ms: age_at(self.broke_ms, now),
         }
     }
 
-    /// Whether this is another event than the one that broke an earlier run.
-    fn is_apart_from(&self, earlier: &RunFailure) -> bool {
+    /// Returns whether this run failed by another event than an earlier run.
+    fn is_distinct_from(&self, earlier: &RunFailure) -> bool {
         let sent_after = self.seen_by == earlier.seen_by && self.sent_ms >= earlier.broke_ms;
-        sent_after || self.broke_ms >= earlier.broke_ms + APART_MS
+        sent_after || self.broke_ms >= earlier.broke_ms + EVENT_WINDOW_MS
     }
 }
 
 impl From<&BrokenRun> for RunFailure {
-    fn from(b: &BrokenRun) -> RunFailure {
+    fn from(run: &BrokenRun) -> RunFailure {
         RunFailure {
-            broke_ms: before(b.at_ms, 0),
-            sent_ms: before(b.sent_ms, 0),
-            seen_by: b.seen_by.clone(),
+            broke_ms: time_before(run.at_ms, 0),
+            sent_ms: time_before(run.sent_ms, 0),
+            seen_by: run.seen_by.clone(),
         }
     }
 }
 
-fn before(now: Millis, age: Millis) -> i64 {
+fn time_before(now: Millis, age: Millis) -> i64 {
     let signed = |ms: Millis| i64::try_from(ms).unwrap_or(i64::MAX);
     signed(now).saturating_sub(signed(age))
 }
 
-fn since(at_ms: i64, now: Millis) -> Millis {
-    let passed = before(now, 0).saturating_sub(at_ms);
+fn age_at(at_ms: i64, now: Millis) -> Millis {
+    let passed = time_before(now, 0).saturating_sub(at_ms);
     u64::try_from(passed).unwrap_or(0)
 }
 
-/// The most of some broken runs that are apart from each other, one after the other.
-fn events<'a>(runs: impl Iterator<Item = &'a RunFailure>) -> usize {
+/// Returns the length of the longest sequence of failures in which each is distinct from the one
+/// before.
+fn count_distinct<'a>(runs: impl Iterator<Item = &'a RunFailure>) -> usize {
     let mut runs: Vec<&RunFailure> = runs.collect();
     runs.sort();
-    let mut most: Vec<usize> = Vec::with_capacity(runs.len());
+    let mut longest: Vec<usize> = Vec::with_capacity(runs.len());
     for (i, run) in runs.iter().enumerate() {
-        let earlier = runs[..i].iter().zip(&most);
-        let apart = earlier.filter(|(e, _)| run.is_apart_from(e));
-        let before = apart.map(|(_, count)| *count).max().unwrap_or(0);
-        most.push(before + 1);
+        let earlier = runs[..i].iter().zip(&longest);
+        let distinct = earlier.filter(|(e, _)| run.is_distinct_from(e));
+        let before = distinct.map(|(_, count)| *count).max().unwrap_or(0);
+        longest.push(before + 1);
     }
-    most.into_iter().max().unwrap_or(0)
+    longest.into_iter().max().unwrap_or(0)
 }
 
 /// A run that broke off.
@@ -193,137 +204,136 @@
 pub struct BrokenRun {
     /// Request.
     pub request: Fingerprint,
-    /// Lifetimes that it passed through, the first one first.
+    /// Lifetimes that it passed through, in the order of the chain.
     pub through: Vec<Lifetime>,
     /// Instance that sent it.
     pub seen_by: Name,
     /// When it was sent, in milliseconds.
     pub sent_ms: Millis,
-    /// Whether it is known to have begun; otherwise it may have waited at the first one.
+    /// Whether it is known to have begun; otherwise it may have been queued at the first runner.
     pub begun: bool,
     /// When it broke off, in milliseconds.
     pub at_ms: Millis,
 }
 
-/// Runs that one end broke, by request.
+/// Runs that one crash interrupted, by request.
 type Suspects = BTreeMap<Fingerprint, Vec<BrokenRun>>;
 
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct RequestState {
     crashes: BTreeMap<Lifetime, RunFailure>,
     cleared: BTreeSet<Lifetime>,
     stored_era: Option<u64>,
     changed_ms: Millis,
-    /// When each end was heard of here, in milliseconds.
-    heard_ms: BTreeMap<Lifetime, Millis>,
+    /// When this instance learned of each crash, in milliseconds.
+    learned_ms: BTreeMap<Lifetime, Millis>,
 }
 
-/// A strike that was found here.
+/// A crash that this instance newly counted against a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NewCrash {
     /// Request.
     pub request: Fingerprint,
-    /// Lifetime that ended under it.
+    /// Lifetime that ended.
     pub lifetime: Lifetime,
-    /// Strikes that count now.
+    /// Crashes that count against the request now.
     pub count: usize,
 }
 
-/// What came of looking at the open breaks.
+/// Result of evaluating the pending broken runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evaluation {
-    /// Strikes found.
+    /// Crashes newly counted.
     pub new_crashes: Vec<NewCrash>,
-    /// Whether something became void.
+    /// Whether any crash was cleared.
     pub cleared: bool,
-    /// Requests that are forgotten and that the store still has.
+    /// Requests whose records expired here and are still in the store.
     pub expired: Vec<Fingerprint>,
 }
 
 impl Evaluation {
-    /// Whether others should hear of it.
+    /// Returns whether other instances are to be notified.
     #[must_use]
     pub fn is_news(&self) -> bool {
         self.cleared || !self.new_crashes.is_empty()
     }
 }
 
-/// All cases that one instance knows.
+/// Pending broken runs and crash records of one instance.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
-    breaks: Vec<BrokenRun>,
-    cases: BTreeMap<Fingerprint, Known>,
+    broken_runs: Vec<BrokenRun>,
+    requests: BTreeMap<Fingerprint, RequestState>,
 }
 
 impl Quarantine {
-    /// Whether nothing is known against any request.
+    /// Returns whether there is neither a pending broken run nor a crash record.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        self.breaks.is_empty() && self.cases.is_empty()
+        self.broken_runs.is_empty() && self.requests.is_empty()
     }
 
-    /// A run of a request that passed through some lifetimes broke off.
-    pub fn record_broken_run(&mut self, broken: BrokenRun) {
-        self.breaks.push(broken);
+    /// Records a run that broke off.
+    pub fn record_broken_run(&mut self, run: BrokenRun) {
+        self.broken_runs.push(run);
     }
 
-    /// A run of a request came to its end, or went on for long enough: whether that is news.
+    /// Clears the crashes of a request after a run that completed or went on for long enough.
+    /// Returns whether there were any.
     pub fn record_survival(&mut self, request: Fingerprint, now: Millis) -> bool {
-        self.breaks.retain(|b| b.request != request);
-        let Some(known) = self.cases.get_mut(&request) else {
+        self.broken_runs.retain(|b| b.request != request);
+        let Some(state) = self.requests.get_mut(&request) else {
             return false;
         };
-        let before = known.cleared.len();
-        known.cleared.extend(known.crashes.keys().cloned());
-        let is_news = known.cleared.len() > before;
+        let before = state.cleared.len();
+        state.cleared.extend(state.crashes.keys().cloned());
+        let is_news = state.cleared.len() > before;
         if is_news {
-            known.changed_ms = now;
+            state.changed_ms = now;
         }
         is_news
     }
 
-    /// Looks at `now` what became of the runners of broken runs, which `life` tells, and forgets what is old.
+    /// Attributes crashes to the pending broken runs at `now`, clears those of recovered runners,
+    /// and drops expired records. `lifetime_state` returns what is known of a lifetime.
     pub fn evaluate(
         &mut self,
         now: Millis,
-        life: impl Fn(&Lifetime) -> LifetimeState,
+        lifetime_state: impl Fn(&Lifetime) -> LifetimeState,
     ) -> Evaluation {
-        let mut settled = Evaluation::default();
+        let mut evaluation = Evaluation::default();
         let mut suspects: BTreeMap<Lifetime, Suspects> = BTreeMap::new();
-        for b in std::mem::take(&mut self.breaks) {
-            let ended = b.through.iter().find(|l| life(l) == LifetimeState::Ended);
+        for run in std::mem::take(&mut self.broken_runs) {
+            let mut through = run.through.iter();
+            let ended = through.find(|l| lifetime_state(l) == LifetimeState::Ended);
             match ended {
                 Some(l) => {
                     let of_lifetime = suspects.entry(l.clone()).or_default();
-                    of_lifetime.entry(b.request).or_default().push(b);
+                    of_lifetime.entry(run.request).or_default().push(run);
                 }
-                None if now < b.at_ms + BREAK_KEPT_MS => self.breaks.push(b),
+                None if now < run.at_ms + BROKEN_RUN_RETENTION_MS => self.broken_runs.push(run),
                 None => {}
             }
         }
         for (lifetime, suspects) in &suspects {
-            let struck = self.strike_likeliest(suspects, lifetime, now);
-            settled.new_crashes.extend(struck);
+            let new_crashes = self.attribute_crash(suspects, lifetime, now);
+            evaluation.new_crashes.extend(new_crashes);
         }
-        for known in self.cases.values_mut() {
-            settled.cleared |= known.void_returned(now, &life);
+        for state in self.requests.values_mut() {
+            evaluation.cleared |= state.clear_recovered(now, &lifetime_state);
         }
-        settled.expired = self.forget(now);
-        settled
+        evaluation.expired = self.expire(now);
+        evaluation
     }
 
-    /// A lifetime ended under several requests: those under which runners ended most often before are to
-    /// blame. Of these, if they are to be held for it, those whose run had begun.
-    fn strike_likeliest(
-        &mut self,
-        suspects: &Suspects,
-        l: &Lifetime,
-        now: Millis,
-    ) -> Vec<NewCrash> {
-        if self.is_explained(l, suspects) {
+    /// Counts the end of a lifetime against the suspects with the most crashes so far. If that
+    /// would quarantine them, only those are charged whose run had begun, provided that there are
+    /// any.
+    fn attribute_crash(&mut self, suspects: &Suspects, l: &Lifetime, now: Millis) -> Vec<NewCrash> {
+        if self.is_attributed(l, suspects) {
             return Vec::new();
         }
-        let count = |r: &Fingerprint| self.cases.get(r).map_or(0, Known::count);
+        let count = |r: &Fingerprint| self.requests.get(r).map_or(0, RequestState::count);
         let most = suspects.keys().map(count).max().unwrap_or(0);
         let mut likeliest: Vec<(&Fingerprint, &Vec<BrokenRun>)> = suspects.iter().collect();
         likeliest.retain(|(r, _)| count(r) == most);
@@ -332,20 +342,21 @@
         if any_begun && most + 1 >= CRASH_THRESHOLD {
             likeliest.retain(|(_, runs)| has_begun(runs));
         }
-        let struck = likeliest.into_iter();
-        let struck = struck.filter_map(|(r, runs)| self.strike(*r, l, runs, now));
-        struck.collect()
+        let charged = likeliest.into_iter();
+        let new_crashes = charged.filter_map(|(r, runs)| self.count_crash(*r, l, runs, now));
+        new_crashes.collect()
     }
 
-    /// Whether a lifetime ended under a request that is held, and none of the suspects is that one.
-    fn is_explained(&self, l: &Lifetime, suspects: &Suspects) -> bool {
-        let held = self.cases.iter().filter(|(_, k)| k.is_held());
-        let mut others = held.filter(|(request, _)| !suspects.contains_key(request));
-        others.any(|(_, k)| k.crashes.contains_key(l))
+    /// Returns whether the end of a lifetime is attributed to a quarantined request that is not a
+    /// suspect.
+    fn is_attributed(&self, l: &Lifetime, suspects: &Suspects) -> bool {
+        let quarantined = self.requests.iter().filter(|(_, s)| s.is_quarantined());
+        let mut others = quarantined.filter(|(request, _)| !suspects.contains_key(request));
+        others.any(|(_, s)| s.crashes.contains_key(l))
     }
 
-    /// A lifetime ended under a request; `None` where that is known.
-    fn strike(
+    /// Counts the end of a lifetime against a request; returns `None` if it was counted before.
+    fn count_crash(
         &mut self,
         request: Fingerprint,
         l: &Lifetime,
@@ -353,168 +364,176 @@
         now: Millis,
     ) -> Option<NewCrash> {
         let run = runs.iter().map(RunFailure::from).min()?;
-        let known = self.known(request, now);
-        if !known.add(l, run, now, now) {
+        let state = self.state_mut(request, now);
+        if !state.add_crash(l, run, now, now) {
             return None;
         }
         Some(NewCrash {
             request,
             lifetime: l.clone(),
-            count: known.count(),
+            count: state.count(),
         })
     }
 
-    fn known(&mut self, request: Fingerprint, now: Millis) -> &mut Known {
-        if self.cases.len() >= MOST_CASES && !self.cases.contains_key(&request) {
-            let open = self.cases.iter().filter(|(_, k)| !k.is_held());
-            let oldest = open.min_by_key(|(_, k)| k.changed_ms).map(|(r, _)| *r);
-            oldest.map(|r| self.cases.remove(&r));
+    fn state_mut(&mut self, request: Fingerprint, now: Millis) -> &mut RequestState {
+        if self.requests.len() >= MAX_RECORDS && !self.requests.contains_key(&request) {
+            let free = self.requests.iter().filter(|(_, s)| !s.is_quarantined());
+            let oldest = free.min_by_key(|(_, s)| s.changed_ms).map(|(r, _)| *r);
+            oldest.map(|r| self.requests.remove(&r));
         }
-        self.cases.entry(request).or_insert_with(|| Known {
-            changed_ms: now,
-            ..Known::default()
-        })
+        self.requests
+            .entry(request)
+            .or_insert_with(|| RequestState {
+                changed_ms: now,
+                ..RequestState::default()
+            })
     }
 
-    /// Forgets what is old; returns what the store still has of it.
-    fn forget(&mut self, now: Millis) -> Vec<Fingerprint> {
-        let over = self
-            .cases
-            .extract_if(.., |_, k| now >= k.changed_ms + k.kept_ms());
-        let stored = over.filter(|(_, k)| k.stored_era.is_some());
+    /// Drops expired records; returns the requests among them that are still in the store.
+    fn expire(&mut self, now: Millis) -> Vec<Fingerprint> {
+        let expired = self
+            .requests
+            .extract_if(.., |_, s| now >= s.changed_ms + s.retention_ms());
+        let stored = expired.filter(|(_, s)| s.stored_era.is_some());
         stored.map(|(request, _)| request).collect()
     }
 
-    /// Whether a request may be sent to a runner at `now`.
+    /// Returns whether a request may be sent to a runner at `now`.
     #[must_use]
     pub fn verdict(&self, request: Fingerprint, now: Millis) -> Verdict {
-        let Some(known) = self.cases.get(&request) else {
+        let Some(state) = self.requests.get(&request) else {
             return Verdict::Allowed;
         };
-        let until_ms = known.changed_ms + known.kept_ms();
-        if known.is_held() && now < until_ms {
+        let until_ms = state.changed_ms + state.retention_ms();
+        if state.is_quarantined() && now < until_ms {
             return Verdict::Quarantined(until_ms - now);
         }
-        let open = self.breaks.iter().any(|b| b.request == request);
-        match open && known.count() + 1 >= CRASH_THRESHOLD {
+        let is_pending = self.broken_runs.iter().any(|b| b.request == request);
+        match is_pending && state.count() + 1 >= CRASH_THRESHOLD {
             true => Verdict::Undecided,
             false => Verdict::Allowed,
         }
     }
 
-    /// Another instance, or the store, told of a case; whether something of it is news.
-    pub fn merge(&mut self, told: &CrashRecord, now: Millis) -> bool {
-        let at_ms = now.saturating_sub(told.age_ms);
-        let is_held = told.is_quarantined();
-        let is_long = told.crashes.len() + told.cleared.len() > 2 * MOST_LIFETIMES;
-        if is_long || told.age_ms >= kept_ms(is_held) {
+    /// Merges a record from another instance or the store. Returns whether it contained anything
+    /// new.
+    pub fn merge(&mut self, record: &CrashRecord, now: Millis) -> bool {
+        let at_ms = now.saturating_sub(record.age_ms);
+        let is_quarantined = record.is_quarantined();
+        let is_long = record.crashes.len() + record.cleared.len() > 2 * MAX_LIFETIMES;
+        if is_long || record.age_ms >= retention_ms(is_quarantined) {
             return false;
         }
-        let known = self.known(told.request, at_ms);
+        let state = self.state_mut(record.request, at_ms);
         let mut is_news = false;
-        for end in &told.crashes {
-            is_news |= known.add(&end.lifetime, RunFailure::of(end, now), now, at_ms);
+        for crash in &record.crashes {
+            is_news |= state.add_crash(&crash.lifetime, RunFailure::of(crash, now), now, at_ms);
         }
-        for l in &told.cleared {
-            is_news |= known.cleared.insert(l.clone());
+        for l in &record.cleared {
+            is_news |= state.cleared.insert(l.clone());
         }
-        is_news |= told.stored_era > known.stored_era;
-        known.stored_era = known.stored_era.max(told.stored_era);
+        is_news |= record.stored_era > state.stored_era;
+        state.stored_era = state.stored_era.max(record.stored_era);
         if is_news {
-            known.changed_ms = known.changed_ms.max(at_ms);
+            state.changed_ms = state.changed_ms.max(at_ms);
         }
         is_news
     }
 
-    /// The store has the case of a request in `era`.
+    /// Records that the store has the record of a request in `era`.
     pub fn mark_stored(&mut self, request: Fingerprint, era: u64) {
-        if let Some(known) = self.cases.get_mut(&request) {
-            known.stored_era = known.stored_era.max(Some(era));
+        if let Some(state) = self.requests.get_mut(&request) {
+            state.stored_era = state.stored_era.max(Some(era));
         }
     }
 
-    /// What is told of cases at `now`: those that changed within `age_ms`, and where `held` says so all that are
-    /// held.
+    /// Returns the records to send to other instances at `now`: those that changed within `age_ms`,
+    /// and all of quarantined requests if `all_quarantined` is set.
     pub fn updates(
         &self,
         age_ms: Millis,
-        held: bool,
+        all_quarantined: bool,
         now: Millis,
     ) -> impl Iterator<Item = CrashRecord> {
-        let told = self.cases.iter().filter(move |(_, k)| {
-            let is_new = now <= k.changed_ms + age_ms;
-            is_new || (held && k.is_held())
+        let updates = self.requests.iter().filter(move |(_, s)| {
+            let is_new = now <= s.changed_ms + age_ms;
+            is_new || (all_quarantined && s.is_quarantined())
         });
-        told.map(move |(request, k)| k.case(*request, now))
+        updates.map(move |(request, s)| s.record(*request, now))
     }
 
-    /// Cases of requests that are held at `now`.
+    /// Returns the records of the requests that are quarantined at `now`.
     pub fn quarantined(&self, now: Millis) -> impl Iterator<Item = CrashRecord> {
-        let held = self.cases.iter().filter(|(_, k)| k.is_held());
-        held.map(move |(request, k)| k.case(*request, now))
+        let quarantined = self.requests.iter().filter(|(_, s)| s.is_quarantined());
+        quarantined.map(move |(request, s)| s.record(*request, now))
     }
 }
 
-impl Known {
-    fn case(&self, request: Fingerprint, now: Millis) -> CrashRecord {
-        let ends = self.crashes.iter().map(|(l, run)| run.end(l, now));
+impl RequestState {
+    fn record(&self, request: Fingerprint, now: Millis) -> CrashRecord {
+        let crashes = self.crashes.iter().map(|(l, run)| run.to_crash(l, now));
         CrashRecord {
             request,
-            crashes: ends.collect(),
+            crashes: crashes.collect(),
             cleared: self.cleared.clone(),
             stored_era: self.stored_era,
             age_ms: now.saturating_sub(self.changed_ms),
         }
     }
 
-    /// Strikes that count.
+    /// Returns the number of distinct crashes that are not cleared.
     fn count(&self) -> usize {
         let counted = self
             .crashes
             .iter()
             .filter(|(l, _)| !self.cleared.contains(*l));
-        events(counted.map(|(_, run)| run))
+        count_distinct(counted.map(|(_, run)| run))
     }
 
-    fn is_held(&self) -> bool {
+    fn is_quarantined(&self) -> bool {
         self.count() >= CRASH_THRESHOLD
     }
 
-    fn kept_ms(&self) -> Millis {
-        kept_ms(self.is_held())
+    fn retention_ms(&self) -> Millis {
+        retention_ms(self.is_quarantined())
     }
 
-    /// Adds an end that is heard of at `now`, told at `at_ms`; whether it is new.
-    fn add(&mut self, l: &Lifetime, run: RunFailure, now: Millis, at_ms: Millis) -> bool {
+    /// Adds a crash that this instance learns of at `now` and that was reported at `at_ms`. Returns
+    /// whether it is new.
+    fn add_crash(&mut self, l: &Lifetime, run: RunFailure, now: Millis, at_ms: Millis) -> bool {
         if let Some(known) = self.crashes.get_mut(l) {
-            // Of what several instances saw the first counts, whoever is told of it in which order.
+            // The earliest failure wins, so that the result does not depend on the order of merges.
             if run < *known {
                 *known = run;
             }
             return false;
         }
-        let has_room = self.crashes.len() < MOST_LIFETIMES;
+        let has_room = self.crashes.len() < MAX_LIFETIMES;
         if has_room {
             self.crashes.insert(l.clone(), run);
             self.changed_ms = self.changed_ms.max(at_ms);
-            self.heard_ms.insert(l.clone(), now);
+            self.learned_ms.insert(l.clone(), now);
         }
         has_room
     }
 
-    /// Voids strikes by lifetimes that go on after all; whether there were any.
-    fn void_returned(&mut self, now: Millis, life: impl Fn(&Lifetime) -> LifetimeState) -> bool {
-        let returned = |l: &Lifetime, heard_ms: Millis| match life(l) {
-            LifetimeState::Recovered(at_ms) => at_ms >= heard_ms,
+    /// Clears the crashes of runners that have recovered since. Returns whether there were any.
+    fn clear_recovered(
+        &mut self,
+        now: Millis,
+        lifetime_state: impl Fn(&Lifetime) -> LifetimeState,
+    ) -> bool {
+        let has_recovered = |l: &Lifetime, learned_ms: Millis| match lifetime_state(l) {
+            LifetimeState::Recovered(at_ms) => at_ms >= learned_ms,
             LifetimeState::Running | LifetimeState::Ended => false,
         };
-        let back: Vec<Lifetime> = self
-            .heard_ms
-            .extract_if(.., |l, heard_ms| returned(l, *heard_ms))
+        let recovered: Vec<Lifetime> = self
+            .learned_ms
+            .extract_if(.., |l, learned_ms| has_recovered(l, *learned_ms))
             .map(|(l, _)| l)
             .collect();
         let before = self.cleared.len();
-        self.cleared.extend(back);
+        self.cleared.extend(recovered);
         let changed = self.cleared.len() > before;
         if changed {
             self.changed_ms = now;
@@ -523,21 +542,21 @@
     }
 }
 
-fn kept_ms(is_held: bool) -> Millis {
-    match is_held {
-        true => HELD_MS,
-        false => CASE_KEPT_MS,
+fn retention_ms(is_quarantined: bool) -> Millis {
+    match is_quarantined {
+        true => QUARANTINE_MS,
+        false => RECORD_RETENTION_MS,
     }
 }
 
-/// Whether `name` is the one that writes a case into the store, of the instances that live and hear it,
-/// itself included or not.
+/// Returns whether instance `name` is the one that writes the record of a request into the store.
+/// `reachable` are the live instances that reach the store, with or without itself.
 pub fn is_writer<'a>(
     name: &Name,
-    hear_store: impl Iterator<Item = &'a Name>,
+    reachable: impl Iterator<Item = &'a Name>,
     request: Fingerprint,
 ) -> bool {
-    let matter = request.to_string();
-    let ranks = hear_store.map(|n| rank_for(n, &matter));
-    is_among_first(1, rank_for(name, &matter), ranks)
+    let key = request.to_string();
+    let ranks = reachable.map(|n| rank_for(n, &key));
+    is_among_first(1, rank_for(name, &key), ranks)
 }
--- a/policy/tests/relay_quarantine.rs
+++ b/policy/tests/relay_quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which runners end: which are held, and that all instances hold the same.
+//! Quarantine of lethal requests: which requests are quarantined, and that all instances agree.
 
 #[path = "support/lethal.rs"]
 mod lethal;
@@ -9,7 +9,7 @@
 use jacinthweir_policy::relay::quarantine::{
     BrokenRun, CRASH_THRESHOLD, CrashRecord, LifetimeState, Quarantine, Verdict,
 };
-use lethal::{Replay, fingerprint};
+use lethal::{Simulation, fingerprint};
 use proptest::prelude::{any, proptest};
 use proptest::prop_assert_eq;
 
@@ -20,21 +20,21 @@
     }
 }
 
-/// A quarantine in which the runners `n` ended under a request, one after the other.
-fn struck(ends: impl IntoIterator<Item = u64>) -> Quarantine {
+/// Returns a quarantine in which the given runners crashed under request 0, one after the other.
+fn after_crashes(runners: impl IntoIterator<Item = u64>) -> Quarantine {
     let mut quarantine = Quarantine::default();
-    for n in ends {
+    for n in runners {
         quarantine.record_broken_run(broken(0, [n], n));
-        let _settled = quarantine.evaluate(n, |_| LifetimeState::Ended);
+        let _evaluation = quarantine.evaluate(n, |_| LifetimeState::Ended);
     }
     quarantine
 }
 
-/// A run of request `n` that had begun and passed through the runners `ends` breaks off.
-fn broken(n: u64, ends: impl IntoIterator<Item = u64>, at_ms: u64) -> BrokenRun {
+/// Returns a broken run of request `n` that had begun and passed through the given runners.
+fn broken(n: u64, runners: impl IntoIterator<Item = u64>, at_ms: u64) -> BrokenRun {
     BrokenRun {
         request: fingerprint(n),
-        through: ends.into_iter().map(lifetime).collect(),
+        through: runners.into_iter().map(lifetime).collect(),
         seen_by: "one".into(),
         sent_ms: at_ms.saturating_sub(1),
         begun: true,
@@ -42,19 +42,19 @@
     }
 }
 
-fn is_held(quarantine: &Quarantine, n: u64, now: u64) -> bool {
+fn is_quarantined(quarantine: &Quarantine, n: u64, now: u64) -> bool {
     matches!(
         quarantine.verdict(fingerprint(n), now),
         Verdict::Quarantined(_)
     )
 }
 
-fn told(quarantine: &Quarantine) -> Vec<CrashRecord> {
+fn updates(quarantine: &Quarantine) -> Vec<CrashRecord> {
     quarantine.updates(1_000_000, true, 1_000).collect()
 }
 
 #[gtest]
-fn who_sends_where_and_what_tells_requests_apart() {
+fn the_fingerprint_depends_on_organisation_path_and_body() {
     let of = |org, path, body: &[u8]| Fingerprint::of(Some(org), "host", path, body);
     let one = of("org", "/a", b"body");
     expect_that!(of("org", "/a", b"body"), eq(one));
@@ -66,88 +66,91 @@
 }
 
 #[gtest]
-fn a_request_is_held_once_three_runners_ended_under_it() {
-    expect_false!(is_held(&struck(1..=2), 0, 10));
-    expect_true!(is_held(&struck(1..=3), 0, 10));
-    expect_true!(is_held(&struck(1..=3), 0, 300_000));
-    expect_false!(is_held(&struck(1..=3), 1, 10));
+fn a_request_is_quarantined_after_three_crashes() {
+    expect_false!(is_quarantined(&after_crashes(1..=2), 0, 10));
+    expect_true!(is_quarantined(&after_crashes(1..=3), 0, 10));
+    expect_true!(is_quarantined(&after_crashes(1..=3), 0, 300_000));
+    expect_false!(is_quarantined(&after_crashes(1..=3), 1, 10));
 }
 
-/// A chain of three parts loses its machines at once: one end of its runs, and no more.
+/// A chain loses the machines of its three runners at once, which must count as a single crash.
 #[gtest]
-fn one_break_is_one_strike_however_many_parts_ended() {
+fn a_broken_run_counts_as_one_crash() {
     let mut quarantine = Quarantine::default();
     quarantine.record_broken_run(broken(0, 1..=3, 0));
-    let settled = quarantine.evaluate(0, |_| LifetimeState::Ended);
-    expect_that!(settled.new_crashes.len(), eq(1));
-    expect_that!(settled.new_crashes[0].count, eq(1));
+    let evaluation = quarantine.evaluate(0, |_| LifetimeState::Ended);
+    expect_that!(evaluation.new_crashes.len(), eq(1));
+    expect_that!(evaluation.new_crashes[0].count, eq(1));
 }
 
-/// A request without a body comes at many instances at a time, and a rack is lost: each sees another part of
-/// its chain end.
+/// Requests without a body have the same fingerprint at many instances. When a rack is lost, each
+/// instance sees another runner of its chain end, which must count as one event.
 #[gtest]
-fn what_several_instances_see_within_a_second_is_one_event() {
-    let seen = |by: &str, n: u64, at_ms: u64| {
+fn crashes_seen_by_several_instances_within_a_second_are_one_event() {
+    let seen_by = |by: &str, n: u64, at_ms: u64| {
         let mut one = Quarantine::default();
         one.record_broken_run(BrokenRun {
             seen_by: by.into(),
             ..broken(0, [n], at_ms)
         });
-        let _settled = one.evaluate(at_ms, |_| LifetimeState::Ended);
+        let _evaluation = one.evaluate(at_ms, |_| LifetimeState::Ended);
         one.updates(1_000_000, true, 5_000)
             .collect::<Vec<CrashRecord>>()
     };
-    let hear = |all: Vec<Vec<CrashRecord>>| {
+    let quarantined_after = |all: Vec<Vec<CrashRecord>>| {
         let mut quarantine = Quarantine::default();
-        for case in all.iter().flatten() {
-            quarantine.merge(case, 5_000);
+        for record in all.iter().flatten() {
+            quarantine.merge(record, 5_000);
         }
-        is_held(&quarantine, 0, 5_000)
+        is_quarantined(&quarantine, 0, 5_000)
     };
     let one_event = vec![
-        seen("a", 1, 1_000),
-        seen("b", 2, 1_300),
-        seen("c", 3, 1_900),
+        seen_by("a", 1, 1_000),
+        seen_by("b", 2, 1_300),
+        seen_by("c", 3, 1_900),
     ];
-    expect_false!(hear(one_event));
-    let three = vec![
-        seen("a", 1, 1_000),
-        seen("b", 2, 2_100),
-        seen("c", 3, 3_200),
+    expect_false!(quarantined_after(one_event));
+    let three_events = vec![
+        seen_by("a", 1, 1_000),
+        seen_by("b", 2, 2_100),
+        seen_by("c", 3, 3_200),
     ];
-    expect_true!(hear(three));
-    // One instance sends the second run when it has seen the first one break.
-    let in_turn = vec![
-        seen("a", 1, 1_000),
-        seen("a", 2, 1_300),
-        seen("a", 3, 1_900),
+    expect_true!(quarantined_after(three_events));
+    // One instance sends the second run after it has seen the first one break off.
+    let consecutive = vec![
+        seen_by("a", 1, 1_000),
+        seen_by("a", 2, 1_300),
+        seen_by("a", 3, 1_900),
     ];
-    expect_true!(hear(in_turn));
+    expect_true!(quarantined_after(consecutive));
 }
 
-/// Others run at the same runner when it ends, for the first time or waiting for their turn.
+/// Other requests are running or queued on the same runner when it crashes; they must not be
+/// charged.
 #[gtest]
-fn under_whom_runners_ended_before_is_to_blame() {
-    let mut quarantine = struck(1..=2);
+fn the_suspect_with_earlier_crashes_is_charged() {
+    let mut quarantine = after_crashes(1..=2);
     quarantine.record_broken_run(broken(0, [3], 3));
     quarantine.record_broken_run(broken(1, [3], 3));
-    let settled = quarantine.evaluate(3, |_| LifetimeState::Ended);
-    let blamed: Vec<Fingerprint> = settled.new_crashes.iter().map(|s| s.request).collect();
-    expect_that!(blamed, eq(&vec![fingerprint(0)]));
+    let evaluation = quarantine.evaluate(3, |_| LifetimeState::Ended);
+    let charged: Vec<Fingerprint> = evaluation.new_crashes.iter().map(|c| c.request).collect();
+    expect_that!(charged, eq(&vec![fingerprint(0)]));
 }
 
-/// An instance that does not serve the lethal request itself sees only what broke with it.
+/// An instance that does not serve the lethal request itself sees only the other interrupted
+/// requests.
 #[gtest]
-fn an_end_under_a_held_request_is_no_strike_against_others() {
-    let mut quarantine = struck(1..=3);
+fn a_crash_attributed_to_a_quarantined_request_charges_no_other() {
+    let mut quarantine = after_crashes(1..=3);
     quarantine.record_broken_run(broken(1, [3], 4));
-    let settled = quarantine.evaluate(4, |_| LifetimeState::Ended);
-    expect_true!(settled.new_crashes.is_empty());
+    let evaluation = quarantine.evaluate(4, |_| LifetimeState::Ended);
+    expect_true!(evaluation.new_crashes.is_empty());
 }
 
-/// What waited at the same three runners was there whenever one ended.
+/// A request that was queued on the same three runners was present at each crash, but had not
+/// begun.
 #[gtest]
-fn the_last_strike_goes_to_those_that_had_begun() {
+fn the_last_crash_is_charged_to_requests_that_had_begun() {
     let mut quarantine = Quarantine::default();
     for n in 1..=3 {
         quarantine.record_broken_run(broken(0, [n], n));
@@ -156,149 +159,158 @@
             ..broken(1, [n], n)
         };
         quarantine.record_broken_run(waiting);
-        let _settled = quarantine.evaluate(n, |_| LifetimeState::Ended);
+        let _evaluation = quarantine.evaluate(n, |_| LifetimeState::Ended);
     }
-    expect_true!(is_held(&quarantine, 0, 10));
-    expect_false!(is_held(&quarantine, 1, 10));
+    expect_true!(is_quarantined(&quarantine, 0, 10));
+    expect_false!(is_quarantined(&quarantine, 1, 10));
 }
 
-/// The third runner broke off a moment ago: sent on before it shows whether it ended, the request would meet
-/// a fourth.
+/// The run on the third runner broke off a moment ago. If the request were sent on before it is
+/// known whether that runner ended, it would reach a fourth.
 #[gtest]
-fn the_last_strike_is_waited_for() {
-    let mut quarantine = struck(1..=2);
+fn the_verdict_is_undecided_while_the_last_crash_is_unconfirmed() {
+    let mut quarantine = after_crashes(1..=2);
     quarantine.record_broken_run(broken(0, [3], 10));
     expect_that!(
         quarantine.verdict(fingerprint(0), 10),
         eq(Verdict::Undecided)
     );
-    let settled = quarantine.evaluate(6_000, |_| LifetimeState::Running);
-    expect_false!(settled.is_news());
+    let evaluation = quarantine.evaluate(6_000, |_| LifetimeState::Running);
+    expect_false!(evaluation.is_news());
     expect_that!(
         quarantine.verdict(fingerprint(0), 6_000),
         eq(Verdict::Allowed)
     );
 }
 
-/// What ran on the same runners goes on elsewhere to its end: it is not to blame.
+/// A request that was interrupted on the same runners completes elsewhere, so it was not the cause.
 #[gtest]
-fn a_run_that_comes_to_its_end_voids_all_strikes() {
-    let mut quarantine = struck(1..=2);
+fn a_completed_run_clears_all_crashes() {
+    let mut quarantine = after_crashes(1..=2);
     expect_true!(quarantine.record_survival(fingerprint(0), 10));
     expect_false!(quarantine.record_survival(fingerprint(0), 11));
-    // The same ends told by another instance count no more.
-    for case in told(&struck(1..=3)) {
-        quarantine.merge(&case, 12);
+    // Records of the same crashes from another instance do not count any more.
+    for record in updates(&after_crashes(1..=3)) {
+        quarantine.merge(&record, 12);
     }
-    expect_false!(is_held(&quarantine, 0, 13));
+    expect_false!(is_quarantined(&quarantine, 0, 13));
 }
 
-/// Three runners were cut off, not dead: they answer again, and the request is free.
+/// Three runners were partitioned, not dead. When they answer again, the request is allowed again.
 #[gtest]
-fn an_end_that_was_none_is_void() {
-    let mut quarantine = struck(1..=3);
-    let settled = quarantine.evaluate(20, |l| match l.born_ms {
+fn a_crash_of_a_recovered_runner_is_cleared() {
+    let mut quarantine = after_crashes(1..=3);
+    let evaluation = quarantine.evaluate(20, |l| match l.born_ms {
         3 => LifetimeState::Recovered(15),
         _ => LifetimeState::Ended,
     });
-    expect_true!(settled.cleared);
-    expect_false!(is_held(&quarantine, 0, 20));
+    expect_true!(evaluation.cleared);
+    expect_false!(is_quarantined(&quarantine, 0, 20));
 }
 
-/// One that has not noticed the end yet still has the runner's earlier answers in mind.
+/// An instance that has not noticed the crash yet still knows of earlier answers of the runner.
 #[gtest]
-fn an_answer_from_before_the_strike_voids_nothing() {
+fn an_answer_from_before_the_crash_clears_nothing() {
     let mut quarantine = Quarantine::default();
-    for case in told(&struck(1..=3)) {
-        quarantine.merge(&case, 100);
+    for record in updates(&after_crashes(1..=3)) {
+        quarantine.merge(&record, 100);
     }
-    let settled = quarantine.evaluate(110, |_| LifetimeState::Recovered(50));
-    expect_false!(settled.cleared);
-    expect_true!(is_held(&quarantine, 0, 110));
+    let evaluation = quarantine.evaluate(110, |_| LifetimeState::Recovered(50));
+    expect_false!(evaluation.cleared);
+    expect_true!(is_quarantined(&quarantine, 0, 110));
 }
 
-/// Two instances tell each other of a held request in each round: neither may keep it alive for ever.
+/// Two instances exchange the record of a quarantined request in each round. Neither may keep it
+/// alive forever.
 #[gtest]
-fn a_held_request_is_released_at_last_at_all_instances() {
-    let mut quarantines = [struck(1..=CRASH_THRESHOLD as u64), Quarantine::default()];
+fn quarantine_expires_at_all_instances() {
+    let mut quarantines = [
+        after_crashes(1..=CRASH_THRESHOLD as u64),
+        Quarantine::default(),
+    ];
     let mut now = 1_000;
-    let held = |quarantines: &[Quarantine; 2], now| {
-        let held = quarantines.iter().filter(|q| is_held(q, 0, now));
-        held.count()
+    let count_quarantined = |quarantines: &[Quarantine; 2], now| {
+        let quarantined = quarantines.iter().filter(|q| is_quarantined(q, 0, now));
+        quarantined.count()
     };
-    while now < 2_000_000 && (now < 10_000 || held(&quarantines, now) > 0) {
+    while now < 2_000_000 && (now < 10_000 || count_quarantined(&quarantines, now) > 0) {
         for (from, to) in [(0, 1), (1, 0)] {
-            let told: Vec<CrashRecord> = quarantines[from].updates(3_000, true, now).collect();
-            told.iter().for_each(|case| {
-                quarantines[to].merge(case, now);
+            let records: Vec<CrashRecord> = quarantines[from].updates(3_000, true, now).collect();
+            records.iter().for_each(|record| {
+                quarantines[to].merge(record, now);
             });
-            let _settled = quarantines[to].evaluate(now, |_| LifetimeState::Ended);
+            let _evaluation = quarantines[to].evaluate(now, |_| LifetimeState::Ended);
         }
         now += 300;
     }
     expect_that!(now, ge(600_000));
     expect_that!(now, lt(700_000));
     for quarantine in &mut quarantines {
-        let _settled = quarantine.evaluate(now, |_| LifetimeState::Ended);
+        let _evaluation = quarantine.evaluate(now, |_| LifetimeState::Ended);
         expect_true!(quarantine.is_idle());
     }
 }
 
 proptest! {
-    /// Instances that heard the same in another order, and more than once, hold the same.
+    /// Instances that received the same records in another order, and more than once, agree.
     #[test]
-    fn the_order_of_what_is_told_does_not_matter(
-        ends in proptest::collection::vec((0_u64..6, any::<bool>()), 0..12),
-        again in proptest::collection::vec(0_usize..12, 0..12),
+    fn the_order_of_merges_does_not_matter(
+        crashes in proptest::collection::vec((0_u64..6, any::<bool>()), 0..12),
+        repeated in proptest::collection::vec(0_usize..12, 0..12),
     ) {
-        let cases: Vec<CrashRecord> = ends
+        let records: Vec<CrashRecord> = crashes
             .iter()
             .flat_map(|(n, survives)| {
-                let mut one = struck([*n]);
+                let mut one = after_crashes([*n]);
                 if *survives {
                     one.record_survival(fingerprint(0), 5);
                 }
-                told(&one)
+                updates(&one)
             })
             .collect();
-        let mut forth = Quarantine::default();
-        cases.iter().for_each(|c| { forth.merge(c, 1_000); });
-        let mut back = Quarantine::default();
-        cases.iter().rev().for_each(|c| { back.merge(c, 1_000); });
-        again.iter().filter_map(|i| cases.get(*i)).for_each(|c| { back.merge(c, 1_000); });
-        prop_assert_eq!(told(&forth), told(&back));
+        let mut forward = Quarantine::default();
+        records.iter().for_each(|r| { forward.merge(r, 1_000); });
+        let mut backward = Quarantine::default();
+        records.iter().rev().for_each(|r| { backward.merge(r, 1_000); });
+        repeated.iter().filter_map(|i| records.get(*i)).for_each(|r| { backward.merge(r, 1_000); });
+        prop_assert_eq!(updates(&forward), updates(&backward));
     }
 }
 
-/// Sends of a lethal request later than this after its third runner ended are counted, and so many allowed.
-const LATER_MS: u64 = 3_000;
-const SENDS_LATER: usize = 3;
+/// Time after the third crash of a lethal request from which on its sends are counted, in
+/// milliseconds.
+const GRACE_MS: u64 = 3_000;
+
+/// Sends of a lethal request allowed after that time.
+const MAX_LATE_SENDS: usize = 3;
 
-/// Fleets of all sizes, lethal requests that come again at any instance beside others, words that take
-/// their time: whatever the draw, no runner ends for a known reason.
+/// Simulates fleets of all sizes in which lethal requests arrive at any instance beside others, and
+/// messages are delayed. No lethal request may keep crashing runners.
 #[gtest]
-fn no_lethal_request_is_sent_on_in_any_replay() {
+fn no_lethal_request_is_sent_after_its_third_crash_in_any_simulation() {
     let mut others = 0;
-    let mut others_held = 0;
+    let mut others_quarantined = 0;
     for seed in 0..60 {
-        let ended = Replay::of(seed).play(true);
-        for sends in ended.sends_after(LATER_MS) {
-            expect_that!(sends, le(SENDS_LATER), "seed {seed}");
+        let outcome = Simulation::new(seed).run(true);
+        for sends in outcome.sends_after(GRACE_MS) {
+            expect_that!(sends, le(MAX_LATE_SENDS), "seed {seed}");
         }
-        others += ended.others;
-        others_held += ended.others_held.len();
+        others += outcome.others;
+        others_quarantined += outcome.others_quarantined.len();
     }
-    // A hundred times more is served than is held with it.
-    expect_that!(others_held * 100, lt(others));
+    // Less than one in a hundred of the other requests may be quarantined.
+    expect_that!(others_quarantined * 100, lt(others));
 }
 
-/// The check above can fail: without the quarantine it does for nearly every seed.
+/// Negative control: without quarantine the check above fails for nearly every seed.
 #[gtest]
-fn lethal_requests_are_sent_on_where_nobody_keeps_account() {
-    let breaks = |seed| {
-        let ended = Replay::of(seed).play(false);
-        ended.sends_after(LATER_MS).any(|sends| sends > SENDS_LATER)
+fn lethal_requests_are_sent_on_without_quarantine() {
+    let fails = |seed| {
+        let outcome = Simulation::new(seed).run(false);
+        outcome
+            .sends_after(GRACE_MS)
+            .any(|sends| sends > MAX_LATE_SENDS)
     };
-    let broken = (0..12).filter(|seed| breaks(*seed)).count();
-    expect_that!(broken, gt(9));
+    let failed = (0..12).filter(|seed| fails(*seed)).count();
+    expect_that!(failed, gt(9));
 }
--- a/policy/tests/support/lethal.rs
+++ b/policy/tests/support/lethal.rs
@@ -1,4 +1,4 @@
-//! A replay of a fleet whose runners end under some requests.
+//! Simulation of a fleet in which some requests crash the runners that run them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,33 +10,40 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Step, length of a replay, and time after which no new request comes, in milliseconds.
+/// Step and length of a simulation, in milliseconds.
 const STEP_MS: u64 = 10;
 const LENGTH_MS: u64 = 15_000;
 
-/// Time from a send to the beginning of a run, from there to the runner's end, and the longest until that
-/// is known at an instance, in milliseconds.
-const BEGIN_MS: (u64, u64) = (60, 340);
-const DYING_MS: (u64, u64) = (20, 120);
-const NAMED_MS: (u64, u64) = (10, 400);
+/// Time from the sending of a request to the start of its run, in milliseconds.
+const START_MS: (u64, u64) = (60, 340);
 
-/// Time until a chain is whole again, and that a word takes, in milliseconds.
+/// Time from the start of a lethal run to the crash of its runner, in milliseconds.
+const CRASH_MS: (u64, u64) = (20, 120);
+
+/// Time from a crash to its detection by an instance, in milliseconds.
+const DETECTION_MS: (u64, u64) = (10, 400);
+
+/// Time until a chain is complete again, in milliseconds.
 const REPAIR_MS: (u64, u64) = (300, 1_500);
-const WORD_MS: (u64, u64) = (10, 600);
 
-/// Sends of one attempt at the most, and attempts of one caller.
-const SENDS: usize = 4;
-const ATTEMPTS: usize = 2;
+/// Message delay between instances, in milliseconds.
+const MESSAGE_MS: (u64, u64) = (10, 600);
+
+/// Maximum number of sends of one attempt.
+const MAX_SENDS: usize = 4;
+
+/// Maximum number of attempts of one caller.
+const MAX_ATTEMPTS: usize = 2;
 
 pub fn fingerprint(n: u64) -> Fingerprint {
     Fingerprint::of(None, "host", "/path", &n.to_be_bytes())
 }
 
 struct Chain {
-    /// Its first runner's lifetime; the runner lives.
+    /// Start of the current lifetime of its runner.
     born_ms: u64,
     up_from_ms: u64,
-    ends_ms: Option<u64>,
+    crash_ms: Option<u64>,
 }
 
 struct Run {
@@ -45,7 +52,7 @@
     chain: usize,
     lifetime: Lifetime,
     sent_ms: u64,
-    begins_ms: u64,
+    starts_ms: u64,
     ends_ms: u64,
     sends: usize,
     attempts: usize,
@@ -53,87 +60,90 @@
 
 struct Instance {
     quarantine: Quarantine,
-    /// Lifetimes that are over, and from when this instance knows it.
-    over: BTreeMap<Lifetime, u64>,
-    heard: Vec<(u64, Vec<CrashRecord>)>,
+    /// Lifetimes that ended, and when this instance detects that.
+    ended: BTreeMap<Lifetime, u64>,
+    /// Messages under way to this instance, with their arrival times.
+    inbox: Vec<(u64, Vec<CrashRecord>)>,
 }
 
-/// What a replay showed.
+/// Result of a simulation.
 pub struct Outcome {
-    /// When runners ended under each lethal request, and when it was sent to one.
+    /// Times of the crashes under each lethal request, and of its sends.
     lethal: BTreeMap<u64, (Vec<u64>, Vec<u64>)>,
-    /// Number of other requests, and those of them that were held.
+    /// Number of other requests.
     pub others: usize,
-    pub others_held: BTreeSet<u64>,
+    /// Other requests that were quarantined.
+    pub others_quarantined: BTreeSet<u64>,
 }
 
 impl Outcome {
-    /// Sends of each lethal request later than `later_ms` after the end of its third runner.
-    pub fn sends_after(&self, later_ms: u64) -> impl Iterator<Item = usize> {
-        self.lethal.values().filter_map(move |(ends, sends)| {
-            let third = ends.get(2)?;
-            let later = sends.iter().filter(|at| **at > third + later_ms);
-            Some(later.count())
+    /// Returns the number of sends of each lethal request later than `grace_ms` after its third
+    /// crash.
+    pub fn sends_after(&self, grace_ms: u64) -> impl Iterator<Item = usize> {
+        self.lethal.values().filter_map(move |(crashes, sends)| {
+            let third = crashes.get(2)?;
+            let late = sends.iter().filter(|at| **at > third + grace_ms);
+            Some(late.count())
         })
     }
 }
 
-pub struct Replay {
+pub struct Simulation {
     rng: ChaCha8Rng,
     instances: Vec<Instance>,
     chains: Vec<Chain>,
     runs: Vec<Run>,
-    /// Requests that wait for their verdict: instance, sends, attempts.
+    /// Requests with an undecided verdict: request, instance, sends, attempts.
     waiting: Vec<(u64, usize, usize, usize)>,
     lethal: u64,
-    pause_ms: u64,
+    repeat_ms: u64,
     load: f64,
-    keeps_account: bool,
+    has_quarantine: bool,
     out: Outcome,
 }
 
-impl Replay {
-    pub fn of(seed: u64) -> Replay {
+impl Simulation {
+    pub fn new(seed: u64) -> Simulation {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let instances = rng.random_range(1..=12);
         let chains = rng.random_range(2..=8);
         let instance = || Instance {
             quarantine: Quarantine::default(),
-            over: BTreeMap::new(),
-            heard: Vec::new(),
+            ended: BTreeMap::new(),
+            inbox: Vec::new(),
         };
         let chain = |i| Chain {
             born_ms: i,
             up_from_ms: 0,
-            ends_ms: None,
+            crash_ms: None,
         };
-        Replay {
+        Simulation {
             instances: (0..instances).map(|_| instance()).collect(),
             chains: (0..chains).map(chain).collect(),
             runs: Vec::new(),
             waiting: Vec::new(),
             lethal: rng.random_range(1..=3),
-            pause_ms: rng.random_range(100..2_000),
+            repeat_ms: rng.random_range(100..2_000),
             load: rng.random_range(0.05..0.5),
-            keeps_account: true,
+            has_quarantine: true,
             out: Outcome {
                 lethal: BTreeMap::new(),
                 others: 0,
-                others_held: BTreeSet::new(),
+                others_quarantined: BTreeSet::new(),
             },
             rng,
         }
     }
 
-    pub fn play(mut self, keeps_account: bool) -> Outcome {
-        self.keeps_account = keeps_account;
+    pub fn run(mut self, has_quarantine: bool) -> Outcome {
+        self.has_quarantine = has_quarantine;
         let mut next_ms: Vec<u64> = (0..self.lethal).map(|n| n * 400 + 1_000).collect();
         let mut other = self.lethal;
         for now in (0..LENGTH_MS).step_by(STEP_MS as usize) {
             for lethal in 0..self.lethal {
                 if now >= next_ms[lethal as usize] {
                     next_ms[lethal as usize] =
-                        now + self.draw((self.pause_ms / 2, self.pause_ms * 2));
+                        now + self.draw((self.repeat_ms / 2, self.repeat_ms * 2));
                     self.arrive(lethal, 1, now);
                 }
             }
@@ -142,9 +152,9 @@
                 self.arrive(other, 1, now);
                 other += 1;
             }
-            self.end_runners(now);
-            self.end_runs(now);
-            self.tell(now);
+            self.crash_runners(now);
+            self.complete_runs(now);
+            self.exchange(now);
             for (request, instance, sends, attempts) in std::mem::take(&mut self.waiting) {
                 self.send(request, instance, sends, attempts, now);
             }
@@ -166,13 +176,13 @@
             .quarantine
             .verdict(fingerprint(request), now);
         match verdict {
-            Verdict::Quarantined(_) if self.keeps_account => {
+            Verdict::Quarantined(_) if self.has_quarantine => {
                 if request >= self.lethal {
-                    self.out.others_held.insert(request);
+                    self.out.others_quarantined.insert(request);
                 }
                 return;
             }
-            Verdict::Undecided if self.keeps_account => {
+            Verdict::Undecided if self.has_quarantine => {
                 self.waiting.push((request, instance, sends, attempts));
                 return;
             }
@@ -181,19 +191,19 @@
         let up: Vec<usize> = (0..self.chains.len())
             .filter(|c| self.chains[*c].up_from_ms <= now)
             .collect();
-        if up.is_empty() || sends > SENDS {
-            return self.come_again(request, attempts, now);
+        if up.is_empty() || sends > MAX_SENDS {
+            return self.retry(request, attempts, now);
         }
         let chain = up[self.rng.random_range(0..up.len())];
-        let begins_ms = now + self.draw(BEGIN_MS);
+        let starts_ms = now + self.draw(START_MS);
         let is_lethal = request < self.lethal;
         if is_lethal {
             self.out.lethal.entry(request).or_default().1.push(now);
-            let ends_ms = begins_ms + self.draw(DYING_MS);
+            let crash_ms = starts_ms + self.draw(CRASH_MS);
             let chain = &mut self.chains[chain];
-            chain.ends_ms = Some(chain.ends_ms.map_or(ends_ms, |e| e.min(ends_ms)));
+            chain.crash_ms = Some(chain.crash_ms.map_or(crash_ms, |at| at.min(crash_ms)));
         }
-        let lasts_ms = self.draw((200, 4_000));
+        let duration_ms = self.draw((200, 4_000));
         self.runs.push(Run {
             request,
             instance,
@@ -203,57 +213,59 @@
                 born_ms: self.chains[chain].born_ms,
             },
             sent_ms: now,
-            begins_ms,
+            starts_ms,
             ends_ms: if is_lethal {
                 u64::MAX
             } else {
-                begins_ms + lasts_ms
+                starts_ms + duration_ms
             },
             sends,
             attempts,
         });
     }
 
-    fn come_again(&mut self, request: u64, attempts: usize, now: u64) {
-        if attempts < ATTEMPTS && request >= self.lethal {
+    fn retry(&mut self, request: u64, attempts: usize, now: u64) {
+        if attempts < MAX_ATTEMPTS && request >= self.lethal {
             self.arrive(request, attempts + 1, now);
         }
     }
 
-    fn end_runners(&mut self, now: u64) {
+    fn crash_runners(&mut self, now: u64) {
         for c in 0..self.chains.len() {
-            if self.chains[c].ends_ms.is_none_or(|at| at > now) {
+            if self.chains[c].crash_ms.is_none_or(|at| at > now) {
                 continue;
             }
             let lifetime = Lifetime {
                 runner: format!("i-{c}").into(),
                 born_ms: self.chains[c].born_ms,
             };
-            let (broken, on): (Vec<Run>, Vec<Run>) = std::mem::take(&mut self.runs)
+            let (broken, remaining): (Vec<Run>, Vec<Run>) = std::mem::take(&mut self.runs)
                 .into_iter()
                 .partition(|r| r.chain == c);
-            self.runs = on;
+            self.runs = remaining;
             self.chains[c] = Chain {
                 born_ms: now,
                 up_from_ms: now + self.draw(REPAIR_MS),
-                ends_ms: None,
+                crash_ms: None,
             };
             for i in 0..self.instances.len() {
-                let known_ms = now + self.draw(NAMED_MS);
-                self.instances[i].over.insert(lifetime.clone(), known_ms);
+                let detected_ms = now + self.draw(DETECTION_MS);
+                self.instances[i]
+                    .ended
+                    .insert(lifetime.clone(), detected_ms);
             }
             for run in broken {
-                self.broke(&run, now);
+                self.fail_run(&run, now);
             }
         }
     }
 
-    fn broke(&mut self, run: &Run, now: u64) {
-        if run.request < self.lethal && run.begins_ms <= now {
+    fn fail_run(&mut self, run: &Run, now: u64) {
+        if run.request < self.lethal && run.starts_ms <= now {
             self.out.lethal.entry(run.request).or_default().0.push(now);
         }
         let quarantine = &mut self.instances[run.instance].quarantine;
-        match now >= run.begins_ms + SURVIVED_MS {
+        match now >= run.starts_ms + SURVIVED_MS {
             true => {
                 quarantine.record_survival(fingerprint(run.request), now);
             }
@@ -262,47 +274,48 @@
                 through: vec![run.lifetime.clone()],
                 seen_by: format!("front-{}", run.instance).into(),
                 sent_ms: run.sent_ms,
-                begun: now >= run.begins_ms,
+                begun: now >= run.starts_ms,
                 at_ms: now,
             }),
         }
         self.send(run.request, run.instance, run.sends + 1, run.attempts, now);
     }
 
-    fn end_runs(&mut self, now: u64) {
-        let (over, on): (Vec<Run>, Vec<Run>) = std::mem::take(&mut self.runs)
+    fn complete_runs(&mut self, now: u64) {
+        let (completed, remaining): (Vec<Run>, Vec<Run>) = std::mem::take(&mut self.runs)
             .into_iter()
             .partition(|r| r.ends_ms <= now);
-        self.runs = on;
-        for run in over {
+        self.runs = remaining;
+        for run in completed {
             self.instances[run.instance]
                 .quarantine
                 .record_survival(fingerprint(run.request), now);
         }
     }
 
-    /// Each instance settles what broke, and each that learnt something tells all others.
-    fn tell(&mut self, now: u64) {
+    /// Evaluates the broken runs of each instance. An instance that learned something notifies all
+    /// others.
+    fn exchange(&mut self, now: u64) {
         for i in 0..self.instances.len() {
             let one = &mut self.instances[i];
-            let due = one.heard.extract_if(.., |(at, _)| *at <= now);
-            let heard: Vec<CrashRecord> = due.flat_map(|(_, cases)| cases).collect();
+            let due = one.inbox.extract_if(.., |(at, _)| *at <= now);
+            let received: Vec<CrashRecord> = due.flat_map(|(_, records)| records).collect();
             let mut is_news = false;
-            for case in &heard {
-                is_news |= one.quarantine.merge(case, now);
+            for record in &received {
+                is_news |= one.quarantine.merge(record, now);
             }
-            let over = &one.over;
-            let settled = one.quarantine.evaluate(now, |l| match over.get(l) {
-                Some(known_ms) if *known_ms <= now => LifetimeState::Ended,
+            let ended = &one.ended;
+            let evaluation = one.quarantine.evaluate(now, |l| match ended.get(l) {
+                Some(detected_ms) if *detected_ms <= now => LifetimeState::Ended,
                 _ => LifetimeState::Running,
             });
-            if !is_news && !settled.is_news() {
+            if !is_news && !evaluation.is_news() {
                 continue;
             }
-            let told: Vec<CrashRecord> = one.quarantine.updates(400, false, now).collect();
+            let updates: Vec<CrashRecord> = one.quarantine.updates(400, false, now).collect();
             for other in 0..self.instances.len() {
-                let at = now + self.draw(WORD_MS);
-                self.instances[other].heard.push((at, told.clone()));
+                let at = now + self.draw(MESSAGE_MS);
+                self.instances[other].inbox.push((at, updates.clone()));
             }
         }
     }
