--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -12,7 +12,7 @@
 use jacinthweir_policy::need::Need;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::fingerprint::Fingerprint;
-use jacinthweir_policy::relay::following::{Behind, Outdated};
+use jacinthweir_policy::relay::following::{Outdated, PeerProgress};
 use jacinthweir_policy::relay::intent::{self, Intent, Offered};
 use jacinthweir_policy::relay::lease::Lease;
 use jacinthweir_policy::relay::limits::Limits;
@@ -97,9 +97,9 @@
     /// Something changed that all other instances should hear at once.
     pub(crate) news: Notify,
     /// What others know of the configuration, by version, and of the runners' entries.
-    pub(crate) behind_configuration: RefCell<Behind<u64>>,
+    pub(crate) behind_configuration: RefCell<PeerProgress<u64>>,
     pub(crate) outdated: Cell<Outdated>,
-    pub(crate) behind_runners: RefCell<Behind<Revision>>,
+    pub(crate) behind_runners: RefCell<PeerProgress<Revision>>,
     /// Another instance knows more than this one.
     pub(crate) overtaken: Notify,
     /// Whether the runners have been listed since the start.
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -18,7 +18,7 @@
     Action, Member, MemberDelta, MemberDigest, MemberRecord, Peer, ProbeOutcome,
 };
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::relay::following::{Confirming, Step, Watchers};
+use jacinthweir_policy::relay::following::{ChangeBatch, ConfirmScope, Watchers};
 use jacinthweir_policy::relay::lease::Bid;
 use jacinthweir_policy::relay::limits::Statement;
 use jacinthweir_policy::relay::loads::{HeadUse, Known, Load, ServiceCounts, Told};
@@ -115,7 +115,7 @@
     /// Something that all instances should know at once.
     News(News),
     /// What changed of the runners' entries.
-    Step(Step),
+    Step(ChangeBatch),
     Probe {
         address: SocketAddr,
     },
@@ -228,20 +228,20 @@
 }
 
 /// For whom this instance reads the configuration.
-pub(crate) fn confirming(node: &Node) -> Confirming {
+pub(crate) fn confirming(node: &Node) -> ConfirmScope {
     let own = &node.settings;
     let now = node.now();
     let neighbours = neighbours(node);
     let loads = node.loads.borrow();
     let hears_store = |n: &&Name| loads.hears_store(n, &own.failure_domain, now);
-    Confirming::of(&own.name, neighbours.iter().filter(hears_store))
+    ConfirmScope::of(&own.name, neighbours.iter().filter(hears_store))
 }
 
 /// Whether this instance watches the runners by itself. One that gives orders must see at once what
 /// came of them, and one that does not hear the store finds out when it does again.
 pub(crate) fn watches_runners(node: &Node) -> bool {
     let gives_orders = node.lease.borrow().held(node.now()).is_some();
-    gives_orders || !node.hears_store.get() || watchers(node).has(&node.settings.name)
+    gives_orders || !node.hears_store.get() || watchers(node).contains(&node.settings.name)
 }
 
 fn carry_out(node: &Rc<Node>, actions: Vec<Action>) {
--- a/plugins/relay/src/probe.rs
+++ b/plugins/relay/src/probe.rs
@@ -387,7 +387,7 @@
 fn doubted(node: &Node) -> Vec<Suspect> {
     let now = node.now();
     // What one instance hears it tells the others, so that each need ask less often where there are many.
-    let pause = following::watch_ms(ASK_PAUSE_MS, node.instances());
+    let pause = following::scaled_interval_ms(ASK_PAUSE_MS, node.instances());
     let mut runners = node.runners.borrow_mut();
     let all: Vec<Suspect> = {
         let is_doubted = |s: &Standing| s.dead || s.is_slow();
--- a/plugins/relay/src/watch.rs
+++ b/plugins/relay/src/watch.rs
@@ -13,7 +13,7 @@
 use jacinthweir_platform::store::{Change, Changes, Object, StoreError};
 use jacinthweir_platform::{desired, runner};
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::relay::following::{self, Confirming, RunnerChange, Step};
+use jacinthweir_policy::relay::following::{self, ChangeBatch, ConfirmScope, RunnerChange};
 use jacinthweir_policy::relay::revision::Revision;
 use jacinthweir_policy::relay::runners::RunnerEntry;
 use tokio::time::sleep;
@@ -156,25 +156,25 @@
     /// The store is asked for what others know.
     fn asked(self, node: &Node) {
         match self {
-            Followed::Configuration => node.behind_configuration.borrow_mut().asked(),
-            Followed::Runners => node.behind_runners.borrow_mut().asked(),
+            Followed::Configuration => node.behind_configuration.borrow_mut().mark_checked(),
+            Followed::Runners => node.behind_runners.borrow_mut().mark_checked(),
         }
     }
 }
 
 /// Another instance has a version of the configuration in force.
 pub(crate) fn heard_version(node: &Node, version: u64) {
-    node.behind_configuration.borrow_mut().heard(version);
+    node.behind_configuration.borrow_mut().record_peer(version);
     let own = node.intent().map_or(0, |i| i.version);
     let mut outdated = node.outdated.get();
-    outdated.heard(version, own, node.now());
+    outdated.record_peer(version, own, node.now());
     node.outdated.set(outdated);
     notify_overtaken(node, Followed::Configuration);
 }
 
 /// Another instance has seen a revision of a runner's entry.
 pub(crate) fn heard_revision(node: &Node, revision: Revision) {
-    node.behind_runners.borrow_mut().heard(revision);
+    node.behind_runners.borrow_mut().record_peer(revision);
     notify_overtaken(node, Followed::Runners);
 }
 
@@ -192,8 +192,8 @@
             notified.await;
         }
         let wait = match what {
-            Followed::Configuration => following::behind_ms(node.instances()),
-            Followed::Runners => following::behind_ms(1),
+            Followed::Configuration => following::catch_up_ms(node.instances()),
+            Followed::Runners => following::catch_up_ms(1),
         };
         sleep(Duration::from_millis(wait)).await;
         if what.is_behind(node) {
@@ -247,10 +247,10 @@
 
 fn longest_pause_ms(node: &Node) -> Millis {
     let bound = match peers::confirming(node) {
-        Confirming::ForAll => PAUSE_BOUND_MS,
-        Confirming::ForItself => LATE_PAUSE_BOUND_MS,
+        ConfirmScope::Domain => PAUSE_BOUND_MS,
+        ConfirmScope::Own => LATE_PAUSE_BOUND_MS,
     };
-    following::watch_ms(LONGEST_PAUSE_MS, node.instances()).min(bound)
+    following::scaled_interval_ms(LONGEST_PAUSE_MS, node.instances()).min(bound)
 }
 
 /// Waits after a failed call for `ms` milliseconds, or until others hear the store again that was lost at
@@ -326,7 +326,9 @@
     loop {
         let wait = match what {
             Followed::Runners => rest(node).await,
-            Followed::Configuration => following::watch_ms(CONFIGURATION_WAIT_MS, node.instances()),
+            Followed::Configuration => {
+                following::scaled_interval_ms(CONFIGURATION_WAIT_MS, node.instances())
+            }
         };
         if what == Followed::Runners {
             revision = node.runners_as_of.get();
@@ -375,10 +377,10 @@
 /// Changes that come within this time are read with one call, in milliseconds.
 fn gather_ms(node: &Node, what: Followed) -> Millis {
     match what {
-        Followed::Configuration => following::gather_ms(node.instances()),
+        Followed::Configuration => following::debounce_ms(node.instances()),
         Followed::Runners => {
             let gives_orders = node.lease.borrow().held(node.now()).is_some();
-            following::runners_gather_ms(node.now(), gives_orders)
+            following::runners_debounce_ms(node.now(), gives_orders)
         }
     }
 }
@@ -453,7 +455,7 @@
 }
 
 /// What a watch from the revision `since` brought.
-fn step(since: Revision, changes: Changes) -> Step {
+fn step(since: Revision, changes: Changes) -> ChangeBatch {
     let until = changes.revision;
     let mut newest = Revision::default();
     let mut decoded = Vec::with_capacity(changes.changes.len());
@@ -467,7 +469,7 @@
             decoded.push(RunnerChange::Put(entry));
         }
     }
-    Step {
+    ChangeBatch {
         since,
         until,
         newest,
@@ -477,7 +479,7 @@
 
 /// Tells the instances that hear of the runners from this one. Who misses it hears at an exchange that
 /// there is more, and asks the store.
-fn tell_step(node: &Node, step: Step) {
+fn tell_step(node: &Node, step: ChangeBatch) {
     if step.changes.is_empty() {
         return;
     }
@@ -486,7 +488,7 @@
     let message = Rc::new(Message::Step(step));
     let membership = node.membership.borrow();
     for m in membership.live().filter(|m| m.name != *own) {
-        if watchers.has(&m.name) || !watchers.tells(own, &m.name) {
+        if watchers.contains(&m.name) || !watchers.notifies(own, &m.name) {
             continue;
         }
         let (address, message) = (m.peers, Rc::clone(&message));
@@ -501,8 +503,8 @@
 /// The store, or another instance, tells what changed; it is taken over if nothing is missing before it
 /// and something is new. An answer of the store that was overtaken by another instance's word would
 /// bring back runners that have left since; whether it was taken over.
-pub(crate) fn hear_step(node: &Node, step: &Step) -> bool {
-    let follows = step.follows(node.runners_as_of.get());
+pub(crate) fn hear_step(node: &Node, step: &ChangeBatch) -> bool {
+    let follows = step.applies_to(node.runners_as_of.get());
     if follows {
         take_step(node, step);
     }
@@ -510,7 +512,7 @@
 }
 
 /// Logs changes that this instance read from the store; whom it tells does not log them once more.
-fn log_step(node: &Node, step: &Step) {
+fn log_step(node: &Node, step: &ChangeBatch) {
     for change in &step.changes {
         match change {
             RunnerChange::Gone(id) => {
@@ -522,7 +524,7 @@
 }
 
 /// Takes over what changed.
-fn take_step(node: &Node, step: &Step) {
+fn take_step(node: &Node, step: &ChangeBatch) {
     note_revision(node, step.newest);
     node.runners_as_of.set(step.until);
     let mut changed = false;
--- a/policy/src/relay/following.rs
+++ b/policy/src/relay/following.rs
@@ -10,10 +10,10 @@
 //! and which runners leave.
 //!
 //! Runners' entries change in bursts, and each change ends every watch. So only [`FEW`] instances
-//! watch them, and tell the others what changed: a [`Step`] from one revision to another, which
+//! watch them, and tell the others what changed: a [`ChangeBatch`] from one revision to another, which
 //! whoever knows the first takes over without a call. Who watches follows from who lives and hears
 //! the store; when one of them is lost the next takes its place. In the same way two instances of each
-//! failure domain confirm the configuration for it ([`Confirming`]).
+//! failure domain confirm the configuration for it ([`ConfirmScope`]).
 
 use serde::{Deserialize, Serialize};
 
@@ -45,7 +45,7 @@
 
 /// How long a watch waits that waits `base` milliseconds where there are few instances.
 #[must_use]
-pub fn watch_ms(base: Millis, instances: usize) -> Millis {
+pub fn scaled_interval_ms(base: Millis, instances: usize) -> Millis {
     let times = (instances as f64 / FEW as f64).max(1.0);
     ((base as f64 * times) as Millis).min(LONGEST_MS)
 }
@@ -61,7 +61,7 @@
 /// every instance, and hundreds ask the store for each of them; what is in force a second later is
 /// the same.
 #[must_use]
-pub fn gather_ms(instances: usize) -> Millis {
+pub fn debounce_ms(instances: usize) -> Millis {
     let times = (instances as f64 / FEW as f64).max(1.0);
     (GATHER_MS * times).min(LONGEST_GATHER_MS) as Millis
 }
@@ -77,8 +77,8 @@
 /// that it fills for a third of a second. Whoever had it told the others, and those broke off what they
 /// were reading to read it from the start.
 #[must_use]
-pub fn behind_ms(instances: usize) -> Millis {
-    BEHIND_MS + gather_ms(instances)
+pub fn catch_up_ms(instances: usize) -> Millis {
+    BEHIND_MS + debounce_ms(instances)
 }
 
 /// Time after its start in which an instance may not have heard yet who watches the runners, in
@@ -97,7 +97,7 @@
 /// heard of each other every one watches, and each runner that registers ends all their watches. Who
 /// gives orders must see what comes of them.
 #[must_use]
-pub fn runners_gather_ms(age_ms: Millis, gives_orders: bool) -> Millis {
+pub fn runners_debounce_ms(age_ms: Millis, gives_orders: bool) -> Millis {
     match age_ms < STARTING_MS && !gives_orders {
         true => START_GATHER_MS,
         false => RUNNERS_GATHER_MS,
@@ -106,24 +106,24 @@
 
 /// For whom an instance reads the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Confirming {
+pub enum ConfirmScope {
     /// For its failure domain.
-    ForAll,
+    Domain,
     /// For itself, where nobody's reading reaches it.
-    ForItself,
+    Own,
 }
 
-impl Confirming {
+impl ConfirmScope {
     /// For whom `name` reads among the instances of its domain that hear the store, itself included
     /// or not.
     ///
     /// Load pattern: three hundred instances each read the configuration as soon as their confirmation
     /// was old enough, every two seconds, though one reading reaches all others within one.
-    pub fn of<'a>(name: &Name, domain: impl Iterator<Item = &'a Name>) -> Confirming {
+    pub fn of<'a>(name: &Name, domain: impl Iterator<Item = &'a Name>) -> ConfirmScope {
         let ranks = domain.map(|n| rank(n));
         match is_among_first(CONFIRMERS, rank(name), ranks) {
-            true => Confirming::ForAll,
-            false => Confirming::ForItself,
+            true => ConfirmScope::Domain,
+            false => ConfirmScope::Own,
         }
     }
 }
@@ -143,11 +143,11 @@
     age: Option<Millis>,
     draw: f64,
     reading_ms: Millis,
-    confirming: Confirming,
+    confirming: ConfirmScope,
 ) -> bool {
     let from = match confirming {
-        Confirming::ForAll => CONFIRM_MS,
-        Confirming::ForItself => CONFIRM_LATE_MS,
+        ConfirmScope::Domain => CONFIRM_MS,
+        ConfirmScope::Own => CONFIRM_LATE_MS,
     };
     let reading_ms = reading_ms as f64;
     let reluctance = reading_ms / (reading_ms + LONG_READING_MS);
@@ -175,15 +175,15 @@
 
     /// Whether `name` is one of them.
     #[must_use]
-    pub fn has(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.0.iter().any(|n| **n == *name)
     }
 
     /// Whether `name` is one of those that tell `listener` what changed.
     #[must_use]
-    pub fn tells(&self, name: &str, listener: &str) -> bool {
+    pub fn notifies(&self, name: &str, listener: &str) -> bool {
         let ranks = self.0.iter().map(|n| rank_for(n, listener));
-        self.has(name) && is_among_first(TOLD_BY, rank_for(name, listener), ranks)
+        self.contains(name) && is_among_first(TOLD_BY, rank_for(name, listener), ranks)
     }
 }
 
@@ -198,7 +198,7 @@
 
 /// All changes of runners' entries between two revisions of the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Step {
+pub struct ChangeBatch {
     /// Revision before the first of them.
     pub since: Revision,
     /// Revision up to which there is none besides, in the same era.
@@ -209,10 +209,10 @@
     pub changes: Vec<RunnerChange>,
 }
 
-impl Step {
+impl ChangeBatch {
     /// Whether one that knows everything up to `revision` can take it over and learns something.
     #[must_use]
-    pub fn follows(&self, revision: Revision) -> bool {
+    pub fn applies_to(&self, revision: Revision) -> bool {
         let same_era = self.since.era == revision.era;
         same_era && self.since <= revision && revision < self.until
     }
@@ -220,14 +220,14 @@
 
 /// What other instances know of the store that this one may have missed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Behind<T> {
+pub struct PeerProgress<T> {
     others: T,
     checked: T,
 }
 
-impl<T: Copy + Ord> Behind<T> {
+impl<T: Copy + Ord> PeerProgress<T> {
     /// Another instance has seen `what`.
-    pub fn heard(&mut self, what: T) {
+    pub fn record_peer(&mut self, what: T) {
         self.others = self.others.max(what);
     }
 
@@ -239,7 +239,7 @@
 
     /// The store is asked. What it does not show now was of an object that is gone: without this
     /// an instance that started later would ask for ever.
-    pub fn asked(&mut self) {
+    pub fn mark_checked(&mut self) {
         self.checked = self.others;
     }
 }
@@ -261,7 +261,7 @@
 
 impl Outdated {
     /// Another instance has `version` in force, this one `own`.
-    pub fn heard(&mut self, version: u64, own: u64, now: Millis) {
+    pub fn record_peer(&mut self, version: u64, own: u64, now: Millis) {
         self.newest = self.newest.max(version);
         if version > own && self.lacking.is_none() {
             self.lacking = Some((version, now));
