--- a/policy/tests/relay_following.rs
+++ b/policy/tests/relay_following.rs
@@ -1,4 +1,4 @@
-//! How closely instances follow the store, and what they hear of it from one another.
+//! Scaling of store traffic with the fleet, and what instances learn of the store from one another.
 
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
@@ -10,26 +10,26 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// A fleet grows from six instances to some hundred. Calls to the store must not grow with it, and
-/// a watch must still end before the store cuts it.
+/// A fleet grows from six instances to some hundred. The rate of calls to the store must not grow
+/// with it, and a watch must still end before the store cuts it.
 #[gtest]
-fn watches_wait_by_the_number_of_instances() {
+fn watch_timeouts_grow_with_the_number_of_instances() {
     expect_that!(scaled_interval_ms(2_000, 1), eq(2_000));
     expect_that!(scaled_interval_ms(2_000, 6), eq(2_000));
     expect_that!(scaled_interval_ms(2_000, 60), eq(20_000));
     expect_that!(scaled_interval_ms(2_000, 600), le(30_000));
 }
 
-/// The instances of a domain, each of which exchanges with two others in each round.
+/// Simulated failure domain in which each instance gossips with two others in each round.
 struct Domain {
     names: Vec<Name>,
-    /// When the configuration was read that each knows to be confirmed.
+    /// Time of the newest read of the configuration that each instance knows of.
     confirmed_ms: Vec<u64>,
     rng: ChaCha8Rng,
 }
 
 const ROUND_MS: u64 = 300;
-const LOOK_MS: u64 = 100;
+const CHECK_MS: u64 = 100;
 
 impl Domain {
     fn new(count: usize) -> Domain {
@@ -40,25 +40,25 @@
         }
     }
 
-    /// Readings in a minute, and the oldest confirmation that anybody had.
-    fn minute(&mut self) -> (usize, u64) {
-        let (mut readings, mut oldest_ms) = (0, 0);
-        for now in (0..60_000).step_by(LOOK_MS as usize) {
+    /// Simulates a minute. Returns the number of reads and the maximum age of a confirmation.
+    fn run_minute(&mut self) -> (usize, u64) {
+        let (mut reads, mut oldest_ms) = (0, 0);
+        for now in (0..60_000).step_by(CHECK_MS as usize) {
             for i in 0..self.names.len() {
-                readings += usize::from(self.look(i, now));
+                reads += usize::from(self.check(i, now));
                 oldest_ms = oldest_ms.max(now - self.confirmed_ms[i]);
-                if (now + LOOK_MS * i as u64).is_multiple_of(ROUND_MS) {
+                if (now + CHECK_MS * i as u64).is_multiple_of(ROUND_MS) {
                     self.exchange(i);
                 }
             }
         }
-        (readings, oldest_ms)
+        (reads, oldest_ms)
     }
 
-    fn look(&mut self, i: usize, now: u64) -> bool {
+    fn check(&mut self, i: usize, now: u64) -> bool {
         let age = now - self.confirmed_ms[i];
-        let confirming = ConfirmScope::of(&self.names[i], self.names.iter());
-        let reads = should_confirm(Some(age), self.rng.random(), 4, confirming);
+        let scope = ConfirmScope::of(&self.names[i], self.names.iter());
+        let reads = should_confirm(Some(age), self.rng.random(), 4, scope);
         if reads {
             self.confirmed_ms[i] = now;
         }
@@ -73,19 +73,19 @@
     }
 }
 
-/// Every instance reads the configuration though one reading reaches all.
+/// Guards against every instance reading the configuration although one read reaches all of them.
 #[gtest]
-fn a_few_instances_of_each_domain_confirm_the_configuration_for_all() {
-    let (few, few_ms) = Domain::new(6).minute();
-    let (many, many_ms) = Domain::new(60).minute();
+fn two_instances_confirm_the_configuration_for_their_domain() {
+    let (few, few_ms) = Domain::new(6).run_minute();
+    let (many, many_ms) = Domain::new(60).run_minute();
     expect_that!(many, le(few * 10 / 2));
     expect_that!(few_ms, le(4_000));
     expect_that!(many_ms, le(4_000));
 }
 
-/// Those that read for a domain are lost, and the others refuse their callers.
+/// Guards against instances refusing their callers after the confirmers of their domain were lost.
 #[gtest]
-fn an_instance_that_hears_of_no_reading_reads_by_itself() {
+fn an_instance_without_confirmation_reads_by_itself() {
     let all = names(&["east"], 60);
     let for_all = |n: &&Name| ConfirmScope::of(n, all.iter()) == ConfirmScope::Domain;
     expect_that!(all.iter().filter(for_all).count(), eq(2));
@@ -108,46 +108,46 @@
     domains.iter().flat_map(of).collect()
 }
 
-/// Each change of a runner's entry ended the watches of all sixty instances, and each asked the store
-/// again. Six watch and tell the others. When these are lost together six others take their place,
-/// and as long as one of two tellers lives everybody hears.
+/// Each change of a runner's entry ended the watches of all sixty instances, and each of them
+/// called the store again. Only six instances must watch and notify the others. If these are lost
+/// together, six others must take their place, and one of its two notifiers must suffice for an
+/// instance.
 #[gtest]
-fn a_few_instances_watch_the_runners_for_all() {
+fn six_instances_watch_the_runners_for_all() {
     let all = names(&["east", "north", "west"], 20);
     let watchers = Watchers::of(all.iter());
     let watching: Vec<&Name> = all.iter().filter(|n| watchers.contains(n)).collect();
     expect_that!(watching.len(), eq(6));
-    for listener in &all {
-        let tellers = all.iter().filter(|n| watchers.notifies(n, listener));
-        expect_that!(tellers.count(), eq(2));
+    for receiver in &all {
+        let notifiers = all.iter().filter(|n| watchers.notifies(n, receiver));
+        expect_that!(notifiers.count(), eq(2));
     }
     let left = all.iter().filter(|n| !watchers.contains(n));
     let next = Watchers::of(left);
     expect_that!(all.iter().filter(|n| next.contains(n)).count(), eq(6));
     expect_true!(watching.iter().all(|n| !next.contains(n)));
-    // A small fleet watches as before.
+    // In a small fleet every instance watches.
     let few = names(&["east", "west"], 3);
     let watchers = Watchers::of(few.iter());
     expect_true!(few.iter().all(|n| watchers.contains(n)));
 }
 
-/// Watchers tell their steps at their own pace, and a word may be lost. What goes on from something
-/// that this instance has not seen must not be taken over: the change between would stay unknown.
-/// Nor must what it has already: an own watch's answer that another instance's word overtook would
-/// bring back a runner that has left since.
+/// Watchers send batches independently, and messages may be lost. A batch that starts beyond the
+/// known revision must not be applied, since the changes between would stay unknown. Nor must a
+/// batch that is already known: a late one would bring back a runner that has left since.
 #[gtest]
-fn a_step_is_taken_over_only_if_nothing_is_missing_before_it() {
-    expect_true!(step(0, (10, 14)).applies_to(at(0, 10)));
-    expect_true!(step(0, (10, 14)).applies_to(at(0, 12)));
-    expect_false!(step(0, (10, 14)).applies_to(at(0, 9)));
-    expect_false!(step(0, (10, 14)).applies_to(at(0, 14)));
+fn a_batch_is_applied_only_without_a_gap() {
+    expect_true!(batch(0, (10, 14)).applies_to(at(0, 10)));
+    expect_true!(batch(0, (10, 14)).applies_to(at(0, 12)));
+    expect_false!(batch(0, (10, 14)).applies_to(at(0, 9)));
+    expect_false!(batch(0, (10, 14)).applies_to(at(0, 14)));
 }
 
 fn at(era: u64, number: u64) -> Revision {
     Revision { era, number }
 }
 
-fn step(era: u64, (since, until): (u64, u64)) -> ChangeBatch {
+fn batch(era: u64, (since, until): (u64, u64)) -> ChangeBatch {
     ChangeBatch {
         since: at(era, since),
         until: at(era, until),
@@ -156,74 +156,76 @@
     }
 }
 
-/// The store came back from an older copy: the same numbers name other changes.
+/// After the store was restored from an older copy, the same numbers name other changes.
 #[gtest]
-fn a_step_is_taken_over_within_its_era_only() {
-    expect_false!(step(1, (10, 14)).applies_to(at(0, 12)));
-    expect_false!(step(0, (10, 14)).applies_to(at(1, 12)));
-    expect_true!(step(1, (10, 14)).applies_to(at(1, 12)));
+fn a_batch_is_applied_within_its_era_only() {
+    expect_false!(batch(1, (10, 14)).applies_to(at(0, 12)));
+    expect_false!(batch(0, (10, 14)).applies_to(at(1, 12)));
+    expect_true!(batch(1, (10, 14)).applies_to(at(1, 12)));
 }
 
-/// What the watchers see after a restore has smaller numbers than what all saw before it.
+/// After a restore, watchers see smaller revision numbers than all instances saw before it.
 #[gtest]
-fn what_others_saw_in_a_later_era_is_more() {
-    let mut behind = PeerProgress::default();
-    behind.record_peer(at(0, 500));
-    expect_false!(behind.is_behind(at(0, 500)));
-    behind.record_peer(at(1, 480));
-    expect_true!(behind.is_behind(at(0, 500)));
-    behind.mark_checked();
-    expect_false!(behind.is_behind(at(1, 470)));
-    behind.record_peer(at(1, 490));
-    expect_true!(behind.is_behind(at(1, 480)));
+fn a_later_era_is_ahead_whatever_the_number() {
+    let mut progress = PeerProgress::default();
+    progress.record_peer(at(0, 500));
+    expect_false!(progress.is_behind(at(0, 500)));
+    progress.record_peer(at(1, 480));
+    expect_true!(progress.is_behind(at(0, 500)));
+    progress.mark_checked();
+    expect_false!(progress.is_behind(at(1, 470)));
+    progress.record_peer(at(1, 490));
+    expect_true!(progress.is_behind(at(1, 480)));
 }
 
-/// A watch fell silent and hides a change that another instance tells of. The store is asked once
-/// for it; what it does not show then was of an object that is gone, and is not asked for again.
+/// A watch fell silent and hides a change that another instance reports. The store must be read
+/// once for it. What that read does not show belonged to a removed object, and must not be read for
+/// again.
 #[gtest]
-fn an_instance_that_is_behind_asks_once() {
-    let mut behind = PeerProgress::default();
-    expect_false!(behind.is_behind(0));
-    behind.record_peer(7);
-    expect_true!(behind.is_behind(6));
-    expect_false!(behind.is_behind(7));
-    behind.mark_checked();
-    expect_false!(behind.is_behind(6));
-    behind.record_peer(8);
-    expect_true!(behind.is_behind(6));
+fn an_instance_that_is_behind_reads_once() {
+    let mut progress = PeerProgress::default();
+    expect_false!(progress.is_behind(0));
+    progress.record_peer(7);
+    expect_true!(progress.is_behind(6));
+    expect_false!(progress.is_behind(7));
+    progress.mark_checked();
+    expect_false!(progress.is_behind(6));
+    progress.record_peer(8);
+    expect_true!(progress.is_behind(6));
 }
 
-/// A configuration of 0.7 MB was read again some eighteen times a second by 71 instances, nearly all of
-/// them on links that it fills for a third of a second. Those for which it is quick read it first; if
-/// they are lost, the others do so no later than before.
+/// 71 instances read a configuration of 0.7 MB some eighteen times a second, nearly all of them on
+/// links that it saturates for a third of a second. Instances with fast reads must read first;
+/// without them, the others must read no later than the deadline.
 #[gtest]
-fn instances_with_long_readings_leave_them_to_others() {
-    let read_at = |draw: f64, reading_ms: u64, confirming: ConfirmScope| {
-        let due = |age: &u64| should_confirm(Some(*age), draw, reading_ms, confirming);
+fn instances_with_slow_reads_leave_them_to_others() {
+    let read_at = |draw: f64, read_ms: u64, scope: ConfirmScope| {
+        let due = |age: &u64| should_confirm(Some(*age), draw, read_ms, scope);
         (0..10_000).find(due).expect("at some age")
     };
-    let first_at = |reading_ms: u64| read_at(0.0, reading_ms, ConfirmScope::Domain);
+    let first_at = |read_ms: u64| read_at(0.0, read_ms, ConfirmScope::Domain);
     expect_that!(first_at(4), le(first_at(0) + 100));
     expect_that!(first_at(300), ge(first_at(4) + 1_000));
-    for reading_ms in [0, 4, 300, 900] {
-        for confirming in [ConfirmScope::Domain, ConfirmScope::Own] {
-            expect_that!(read_at(1.0, reading_ms, confirming), le(3_200));
+    for read_ms in [0, 4, 300, 900] {
+        for scope in [ConfirmScope::Domain, ConfirmScope::Own] {
+            expect_that!(read_at(1.0, read_ms, scope), le(3_200));
         }
     }
 }
 
-/// Every instance reads every configuration of a quick succession.
+/// Guards against every instance reading every configuration of a quick succession.
 #[gtest]
-fn configurations_in_quick_succession_are_read_together_in_a_large_fleet() {
+fn a_large_fleet_coalesces_configurations_in_quick_succession() {
     expect_that!(debounce_ms(6), le(20));
     let gap_ms = 330;
     expect_that!(debounce_ms(300), gt(gap_ms));
     expect_that!(debounce_ms(3_000), le(1_000));
 }
 
-/// A fleet that starts reads the runners once for each of them and each instance.
+/// Guards against every instance of a starting fleet reading the runners once for each that
+/// registers.
 #[gtest]
-fn instances_that_have_just_started_do_not_read_each_runner_that_registers() {
+fn starting_instances_coalesce_the_registration_of_runners() {
     let (starting, later) = (300, 5_000);
     expect_that!(
         runners_debounce_ms(starting, false),
@@ -235,17 +237,18 @@
     );
 }
 
-/// A watch is broken off while it brings a large configuration.
+/// Guards against a watch being aborted while it delivers a large configuration.
 #[gtest]
-fn a_watch_that_brings_a_large_configuration_is_given_its_time() {
+fn a_watch_may_finish_the_transfer_of_a_large_configuration() {
     expect_that!(catch_up_ms(6), le(150));
     expect_that!(catch_up_ms(300), ge(900));
     expect_that!(catch_up_ms(3_000), le(1_500));
 }
 
-/// The version that others have does not come, as where the store has lost it.
+/// The version that other instances have does not arrive, for instance because the store has lost
+/// it.
 #[gtest]
-fn an_instance_acts_on_no_configuration_that_others_have_replaced_for_long() {
+fn a_configuration_that_peers_replaced_becomes_outdated() {
     let mut outdated = Outdated::default();
     outdated.record_peer(7, 7, 0);
     expect_false!(outdated.is_outdated(10_000));
@@ -253,7 +256,7 @@
     outdated.record_peer(9, 7, 10_400);
     expect_false!(outdated.is_outdated(10_500));
     expect_true!(outdated.is_outdated(11_900));
-    // One of those that it lacked: it follows, if behind the newest.
+    // One of the missing versions, though not the newest, restarts the time limit.
     outdated.in_force(8, 12_000);
     expect_false!(outdated.is_outdated(12_100));
     expect_true!(outdated.is_outdated(13_900));
