--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -22,7 +22,7 @@
 use jacinthweir_policy::relay::rooms::{Flow, Shortage};
 use jacinthweir_policy::relay::runners::Runners;
 use jacinthweir_policy::relay::spending::{Counts, Spending, SpendingConfig};
-use jacinthweir_policy::relay::vouch::Vouch;
+use jacinthweir_policy::relay::vouch::ConfigConfirmation;
 use jacinthweir_policy::relay::words::FailureReports;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -70,7 +70,7 @@
     pub(crate) intent: RefCell<Option<Rc<Intent>>>,
     /// Revision of the object that the configuration in force was read from.
     pub(crate) configuration_revision: Cell<Option<Revision>>,
-    pub(crate) vouch: RefCell<Vouch>,
+    pub(crate) vouch: RefCell<ConfigConfirmation>,
     pub(crate) runners: RefCell<Runners>,
     /// Whether the store answered the last call that ended.
     pub(crate) hears_store: Cell<bool>,
@@ -157,7 +157,7 @@
             store: Store::open(settings.store, STORE_TIME),
             intent: RefCell::default(),
             configuration_revision: Cell::default(),
-            vouch: RefCell::new(Vouch::new(settings.bounds.revocation_ms)),
+            vouch: RefCell::new(ConfigConfirmation::new(settings.bounds.revocation_ms)),
             runners: RefCell::default(),
             hears_store: Cell::new(false),
             era: Cell::default(),
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -199,14 +199,14 @@
     let now = node.now();
     let own = &node.settings.name;
     if node.draining.get() || !node.hears_store.get() {
-        return Bid::Leave;
+        return Bid::Abstain;
     }
     let loads = node.loads.borrow();
     let membership = node.membership.borrow();
     let mut before = membership.live().filter(|m| m.name < *own);
     match before.any(|m| loads.hears_store(&m.name, &m.domain, now)) {
-        true => Bid::Keep,
-        false => Bid::Take,
+        true => Bid::Retain,
+        false => Bid::Acquire,
     }
 }
 
--- a/plugins/relay/src/placer.rs
+++ b/plugins/relay/src/placer.rs
@@ -160,11 +160,11 @@
     };
     note_answer(node, written.as_ref().err());
     match written.as_ref().map(grant_of) {
-        Ok(Some(grant)) => node.lease.borrow_mut().granted(sent, grant),
+        Ok(Some(grant)) => node.lease.borrow_mut().write_accepted(sent, grant),
         Ok(None) => log::error!("the lease that was written cannot be read"),
         Err(cause) => {
             log::warn!(cause:% = cause; "lease not written");
-            node.lease.borrow_mut().lost(node.now());
+            node.lease.borrow_mut().write_failed(node.now());
         }
     }
 }
@@ -176,7 +176,7 @@
     match found {
         Ok(object) => {
             let grant = object.as_ref().and_then(grant_of);
-            node.lease.borrow_mut().read(node.now(), grant);
+            node.lease.borrow_mut().observe(node.now(), grant);
         }
         Err(StoreError::Refused { .. } | StoreError::NoAnswer(_)) => {}
         Err(cause) => log::warn!(cause:% = cause; "lease not read"),
--- a/policy/src/relay/lease.rs
+++ b/policy/src/relay/lease.rs
@@ -27,11 +27,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bid {
     /// It is the one that should.
-    Take,
+    Acquire,
     /// Another one comes before it: it keeps what it holds and takes nothing.
-    Keep,
+    Retain,
     /// It must not.
-    Leave,
+    Abstain,
 }
 
 /// What to do about the lease.
@@ -131,9 +131,9 @@
     /// give orders for a whole time to live, just when most are due.
     pub fn step(&mut self, now: Millis, bid: Bid) -> LeaseStep {
         let bids = match bid {
-            Bid::Take => true,
-            Bid::Keep => self.held(now).is_some(),
-            Bid::Leave => false,
+            Bid::Acquire => true,
+            Bid::Retain => self.held(now).is_some(),
+            Bid::Abstain => false,
         };
         if !bids || now < self.next_ms {
             return LeaseStep::Wait;
@@ -166,7 +166,7 @@
     }
 
     /// A read showed `grant`, or that the object is absent.
-    pub fn read(&mut self, now: Millis, grant: Option<Grant>) {
+    pub fn observe(&mut self, now: Millis, grant: Option<Grant>) {
         self.unread = false;
         let Some(grant) = grant else {
             self.absent_ms.get_or_insert(now);
@@ -186,7 +186,7 @@
     }
 
     /// A write that was sent at `sent_ms` was accepted.
-    pub fn granted(&mut self, sent_ms: Millis, grant: Grant) {
+    pub fn write_accepted(&mut self, sent_ms: Millis, grant: Grant) {
         self.absent_ms = None;
         self.unread = false;
         self.seen = Some((grant, sent_ms));
@@ -195,7 +195,7 @@
 
     /// A write met another state, or its answer was lost: what stands now is read before anything
     /// else is written.
-    pub fn lost(&mut self, now: Millis) {
+    pub fn write_failed(&mut self, now: Millis) {
         self.absent_ms = None;
         self.unread = true;
         self.next_ms = now + self.ttl_ms / (2 * RENEWALS);
--- a/policy/src/relay/vouch.rs
+++ b/policy/src/relay/vouch.rs
@@ -17,16 +17,16 @@
 
 /// When the configuration in force was last known to be the newest.
 #[derive(Clone, Copy, Debug)]
-pub struct Vouch {
+pub struct ConfigConfirmation {
     bound_ms: Millis,
     confirmed_ms: Option<Millis>,
 }
 
-impl Vouch {
+impl ConfigConfirmation {
     /// Nothing confirmed yet; keys that were taken away must be refused within `bound_ms`.
     #[must_use]
-    pub fn new(bound_ms: Millis) -> Vouch {
-        Vouch {
+    pub fn new(bound_ms: Millis) -> ConfigConfirmation {
+        ConfigConfirmation {
             bound_ms,
             confirmed_ms: None,
         }
--- a/policy/tests/relay_lease.rs
+++ b/policy/tests/relay_lease.rs
@@ -22,20 +22,20 @@
 #[gtest]
 fn an_absent_lease_is_created_and_renewed() {
     let mut lease = Lease::new(Name::from("a"), 2_400);
-    expect_that!(lease.step(0, Bid::Leave), eq(&LeaseStep::Wait));
-    expect_that!(lease.step(0, Bid::Take), eq(&LeaseStep::Read));
-    lease.read(5, None);
+    expect_that!(lease.step(0, Bid::Abstain), eq(&LeaseStep::Wait));
+    expect_that!(lease.step(0, Bid::Acquire), eq(&LeaseStep::Read));
+    lease.observe(5, None);
     expect_that!(
-        lease.step(800, Bid::Take),
+        lease.step(800, Bid::Acquire),
         eq(&LeaseStep::Create { term: 1 })
     );
-    lease.granted(800, grant("a", 1, 10));
+    lease.write_accepted(800, grant("a", 1, 10));
     expect_that!(lease.held(900), some(eq(1)));
     let renewal = LeaseStep::Replace {
         term: 1,
         revision: at(10),
     };
-    expect_that!(lease.step(1_600, Bid::Take), eq(&renewal));
+    expect_that!(lease.step(1_600, Bid::Acquire), eq(&renewal));
 }
 
 /// Two instances give orders at once, and runners load what the other has them give up. An
@@ -44,13 +44,13 @@
 #[gtest]
 fn a_lease_is_taken_over_only_when_it_stood_still() {
     let mut holder = Lease::new(Name::from("a"), 2_400);
-    holder.granted(0, grant("a", 1, 10));
+    holder.write_accepted(0, grant("a", 1, 10));
     let mut other = Lease::new(Name::from("b"), 2_400);
-    other.read(100, Some(grant("a", 1, 10)));
+    other.observe(100, Some(grant("a", 1, 10)));
     let mut taken_at = None;
     for now in (100..6_000).step_by(50) {
-        match other.step(now, Bid::Take) {
-            LeaseStep::Read => other.read(now, Some(grant("a", 1, 10))),
+        match other.step(now, Bid::Acquire) {
+            LeaseStep::Read => other.observe(now, Some(grant("a", 1, 10))),
             LeaseStep::Replace { term, revision } => {
                 expect_that!((term, revision), eq((2, at(10))));
                 taken_at = Some(now);
@@ -74,8 +74,8 @@
         if now % 800 == 0 {
             revision += 1;
         }
-        match other.step(now, Bid::Take) {
-            LeaseStep::Read => other.read(now, Some(grant("a", 1, revision))),
+        match other.step(now, Bid::Acquire) {
+            LeaseStep::Read => other.observe(now, Some(grant("a", 1, revision))),
             step => expect_that!(step, eq(&LeaseStep::Wait)),
         }
     }
@@ -84,12 +84,12 @@
 #[gtest]
 fn a_lost_write_is_read_back_before_anything_else() {
     let mut lease = Lease::new(Name::from("a"), 2_400);
-    lease.read(0, None);
-    let _ = lease.step(0, Bid::Take);
-    lease.lost(1_000);
+    lease.observe(0, None);
+    let _ = lease.step(0, Bid::Acquire);
+    lease.write_failed(1_000);
     // After a pause: a store that turns this instance away is not asked ten times a second.
-    expect_that!(lease.step(1_050, Bid::Take), eq(&LeaseStep::Wait));
-    expect_that!(lease.step(1_400, Bid::Take), eq(&LeaseStep::Read));
+    expect_that!(lease.step(1_050, Bid::Acquire), eq(&LeaseStep::Wait));
+    expect_that!(lease.step(1_400, Bid::Acquire), eq(&LeaseStep::Read));
 }
 
 /// The store comes back from an older copy in which the last holder's grant is not. Its term must not come
@@ -98,11 +98,11 @@
 fn a_term_that_a_restore_of_the_store_lost_is_not_given_out_again() {
     let lost = grant("a", 5, 50);
     let mut holder = Lease::new(Name::from("a"), 2_400);
-    holder.granted(0, lost.clone());
+    holder.write_accepted(0, lost.clone());
     expect_that!(holder.held(100), some(eq(5)));
     holder.begin_era(1);
     expect_that!(holder.held(100), none());
-    expect_that!(holder.step(100, Bid::Take), eq(&LeaseStep::Read));
+    expect_that!(holder.step(100, Bid::Acquire), eq(&LeaseStep::Read));
 
     let mut other = Lease::new(Name::from("b"), 2_400);
     other.begin_era(1);
@@ -110,10 +110,10 @@
         revision: Revision { era: 1, number: 40 },
         ..grant("c", 4, 0)
     };
-    other.read(0, Some(older));
+    other.observe(0, Some(older));
     let taken = (0..4_000)
         .step_by(50)
-        .find_map(|now| match other.step(now, Bid::Take) {
+        .find_map(|now| match other.step(now, Bid::Acquire) {
             LeaseStep::Replace { term, .. } => Some(term),
             _ => None,
         });
@@ -123,10 +123,10 @@
     first.begin_era(1);
     let created = (0..4_000)
         .step_by(50)
-        .find_map(|now| match first.step(now, Bid::Take) {
+        .find_map(|now| match first.step(now, Bid::Acquire) {
             LeaseStep::Create { term } => Some((term, now)),
             LeaseStep::Read => {
-                first.read(now, None);
+                first.observe(now, None);
                 None
             }
             _ => None,
@@ -143,19 +143,19 @@
 #[gtest]
 fn a_holder_that_comes_back_reads_before_it_writes() {
     let mut lease = Lease::new(Name::from("a"), 2_400);
-    lease.granted(0, grant("a", 1, 10));
-    lease.lost(1_000);
-    expect_that!(lease.step(9_000, Bid::Take), eq(&LeaseStep::Read));
-    lease.read(9_000, Some(grant("b", 2, 20)));
+    lease.write_accepted(0, grant("a", 1, 10));
+    lease.write_failed(1_000);
+    expect_that!(lease.step(9_000, Bid::Acquire), eq(&LeaseStep::Read));
+    lease.observe(9_000, Some(grant("b", 2, 20)));
     expect_that!(lease.held(9_000), none());
-    expect_that!(lease.step(9_900, Bid::Take), eq(&LeaseStep::Read));
+    expect_that!(lease.step(9_900, Bid::Acquire), eq(&LeaseStep::Read));
 }
 
 fn bid(rng: &mut ChaCha8Rng) -> Bid {
     match rng.random_range(0..10) {
-        0..8 => Bid::Take,
-        8 => Bid::Keep,
-        _ => Bid::Leave,
+        0..8 => Bid::Acquire,
+        8 => Bid::Retain,
+        _ => Bid::Abstain,
     }
 }
 
@@ -164,16 +164,16 @@
 #[gtest]
 fn a_holder_keeps_the_lease_though_another_comes_before_it() {
     let mut holder = Lease::new(Name::from("b"), 1_800);
-    holder.granted(0, grant("b", 2, 10));
+    holder.write_accepted(0, grant("b", 2, 10));
     let renewal = LeaseStep::Replace {
         term: 2,
         revision: at(10),
     };
-    expect_that!(holder.step(600, Bid::Keep), eq(&renewal));
-    expect_that!(holder.step(1_200, Bid::Leave), eq(&LeaseStep::Wait));
+    expect_that!(holder.step(600, Bid::Retain), eq(&renewal));
+    expect_that!(holder.step(1_200, Bid::Abstain), eq(&LeaseStep::Wait));
     // It takes nothing that it does not hold.
-    expect_that!(holder.step(5_000, Bid::Keep), eq(&LeaseStep::Wait));
-    expect_that!(holder.step(5_000, Bid::Take), not(eq(&LeaseStep::Wait)));
+    expect_that!(holder.step(5_000, Bid::Retain), eq(&LeaseStep::Wait));
+    expect_that!(holder.step(5_000, Bid::Acquire), not(eq(&LeaseStep::Wait)));
 }
 
 /// One register, as the store keeps the lease, with writes whose answers are lost and reads that
@@ -196,7 +196,7 @@
                     LeaseStep::Wait => continue,
                     LeaseStep::Read if lost_store => continue,
                     LeaseStep::Read => {
-                        lease.read(now, register.clone());
+                        lease.observe(now, register.clone());
                         continue;
                     }
                     LeaseStep::Create { term } => (term, None),
@@ -204,7 +204,7 @@
                 };
                 let standing = register.as_ref().map(|g| g.revision);
                 if lost_store && rng.random_bool(0.5) || standing != expected {
-                    lease.lost(now);
+                    lease.write_failed(now);
                     continue;
                 }
                 let before = register.as_ref().map_or(0, |g| g.term);
@@ -213,9 +213,9 @@
                 let written = grant(names[i], term, revision);
                 register = Some(written.clone());
                 if lost_store {
-                    lease.lost(now);
+                    lease.write_failed(now);
                 } else {
-                    lease.granted(now, written);
+                    lease.write_accepted(now, written);
                 }
             }
             let held = leases.iter().filter(|l| l.held(now).is_some()).count();
--- a/policy/tests/relay_restores.rs
+++ b/policy/tests/relay_restores.rs
@@ -98,7 +98,8 @@
         if hears {
             self.see_era(i);
         }
-        let bid = [Bid::Take, Bid::Take, Bid::Keep, Bid::Leave][self.rng.random_range(0..4)];
+        let bid =
+            [Bid::Acquire, Bid::Acquire, Bid::Retain, Bid::Abstain][self.rng.random_range(0..4)];
         let step = self.leases[i].step(now, bid);
         let is_lost = self.rng.random_bool(0.1);
         match step {
@@ -106,7 +107,7 @@
             LeaseStep::Read if is_lost => {}
             LeaseStep::Read => {
                 self.see_era(i);
-                self.leases[i].read(now, self.store.grant.clone());
+                self.leases[i].observe(now, self.store.grant.clone());
             }
             LeaseStep::Create { term } => self.write(i, now, term, None, is_lost),
             LeaseStep::Replace { term, revision } => {
@@ -128,7 +129,7 @@
         let standing = self.store.grant.as_ref().map(|g| g.revision.number);
         if standing != expected.map(|r| r.number) {
             self.see_era(i);
-            return self.leases[i].lost(now);
+            return self.leases[i].write_failed(now);
         }
         self.store.number += 1;
         let grant = Grant {
@@ -139,9 +140,9 @@
         self.store.grant = Some(grant.clone());
         // The answer shows another era than the one that the write was made for.
         if self.see_era(i) || is_lost {
-            self.leases[i].lost(now);
+            self.leases[i].write_failed(now);
         } else {
-            self.leases[i].granted(now, grant);
+            self.leases[i].write_accepted(now, grant);
         }
     }
 
--- a/policy/tests/relay_rules.rs
+++ b/policy/tests/relay_rules.rs
@@ -14,7 +14,7 @@
 use jacinthweir_policy::relay::rooms::{FILL, Refusals, Room, choose, demand};
 use jacinthweir_policy::relay::runners::Runners;
 use jacinthweir_policy::relay::spending::{Counts, Spending, SpendingConfig};
-use jacinthweir_policy::relay::vouch::Vouch;
+use jacinthweir_policy::relay::vouch::ConfigConfirmation;
 use support::runner;
 
 fn route(name: &str, prefix: &str) -> Route {
@@ -106,7 +106,7 @@
 /// last confirmed read was sent.
 #[gtest]
 fn an_instance_that_is_cut_off_stops_serving_before_the_bound() {
-    let mut vouch = Vouch::new(5_000);
+    let mut vouch = ConfigConfirmation::new(5_000);
     expect_false!(vouch.may_serve(0));
     vouch.confirm(1_000);
     expect_true!(vouch.may_serve(1_000));
@@ -118,7 +118,7 @@
 
 #[gtest]
 fn only_an_instance_that_has_just_started_lets_requests_wait() {
-    let mut vouch = Vouch::new(5_000);
+    let mut vouch = ConfigConfirmation::new(5_000);
     expect_true!(vouch.is_starting(100));
     expect_false!(vouch.is_starting(4_000));
     vouch.confirm(150);
