--- a/policy/src/relay/lease.rs
+++ b/policy/src/relay/lease.rs
@@ -1,56 +1,57 @@
-//! Which instance gives orders to runners.
+//! Lease that decides which instance gives orders to runners.
 //!
-//! One object in the store names the holder. Every grant carries a greater term. The holder renews
-//! it well within its time; another instance takes over only when it has watched the object stand
-//! unchanged for the whole time to live on its own clock. Two orders that overlap all the same are
-//! told apart by the runners: each order names the state that it expects.
+//! One object in the store names the holder. The term of the grant, a fencing token, grows with
+//! each holder. The holder renews the lease well within its time to live (TTL). Another instance
+//! takes it over only after it has seen the object unchanged for the whole TTL on its own clock. If
+//! two holders overlap all the same, the runners tell their orders apart: each order names the
+//! state that it expects.
 //!
-//! When the store comes back from an older copy, grants since then are lost and their terms would be given
-//! out again. So nobody holds the lease in a new era before it has read it there, and terms of an era begin
-//! above all of the eras before.
+//! When the store is restored from an older copy, later grants are lost and their terms would be
+//! issued again. Therefore no instance holds the lease in a new era before it has read it there,
+//! and the terms of an era start above those of all earlier eras.
 
 use crate::prelude::*;
 use crate::relay::revision::Revision;
 
-/// What the store says of the lease.
+/// Grant of the lease as stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// Holder.
     pub holder: Name,
-    /// Grows with each holder.
+    /// Fencing token; grows with each holder.
     pub term: u64,
     /// Revision of the object in the store.
     pub revision: Revision,
 }
 
-/// Whether an instance should hold the lease.
+/// Whether an instance is a candidate for the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bid {
-    /// It is the one that should.
+    /// It is the preferred holder.
     Acquire,
-    /// Another one comes before it: it keeps what it holds and takes nothing.
+    /// Another instance is preferred: it renews a lease that it holds and acquires none.
     Retain,
-    /// It must not.
+    /// It must not hold the lease.
     Abstain,
 }
 
-/// What to do about the lease.
+/// Next step towards holding the lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseStep {
     /// Nothing for now.
     Wait,
     /// Read the object.
     Read,
-    /// Create the object, which is absent.
+    /// Create the object, which does not exist.
     Create {
         /// Term of the grant.
         term: u64,
     },
-    /// Replace the object at a revision.
+    /// Replace the object at the given revision.
     Replace {
         /// Term of the grant.
         term: u64,
-        /// Revision that must still stand.
+        /// Revision that the object must still have.
         revision: Revision,
     },
 }
@@ -61,24 +62,28 @@
     own: Name,
     ttl_ms: Millis,
     seen: Option<(Grant, Millis)>,
-    /// Since when the object is known to be absent, in milliseconds.
+    /// Since when the object is known not to exist, in milliseconds.
     absent_ms: Option<Millis>,
-    /// A write's result is not known: its revision must not be built on.
-    unread: bool,
+    /// Whether the object must be read before it is written, because the result of a write is
+    /// unknown or the era is new.
+    must_read: bool,
     /// Era of the store.
     era: u64,
-    held_ms: Option<Millis>,
+    /// When the last accepted write was sent, in milliseconds; `None` unless this instance is the
+    /// holder.
+    renewed_ms: Option<Millis>,
+    /// Time of the next step, in milliseconds.
     next_ms: Millis,
 }
 
-/// Renewals within a time to live.
-const RENEWALS: u64 = 3;
+/// Renewals per TTL.
+const RENEWALS_PER_TTL: u64 = 3;
 
-/// Bits of a term that count within an era; orders carry terms as numbers of 53 bits.
+/// Low bits of a term, which count within an era. Orders carry terms as numbers of 53 bits.
 const TERM_BITS: u32 = 32;
 
 impl Lease {
-    /// An instance named `own` that knows nothing of the lease yet.
+    /// Returns the view of instance `own`, which has not read the lease yet.
     #[must_use]
     pub fn new(own: Name, ttl_ms: Millis) -> Lease {
         Lease {
@@ -86,60 +91,61 @@
             ttl_ms,
             seen: None,
             absent_ms: None,
-            unread: false,
+            must_read: false,
             era: 0,
-            held_ms: None,
+            renewed_ms: None,
             next_ms: 0,
         }
     }
 
-    /// The store is in an era that was not seen before: whatever was granted in an earlier one is not
-    /// known to stand.
+    /// Starts a new era of the store, in which earlier grants may not exist.
     pub fn begin_era(&mut self, era: u64) {
         self.era = era;
         self.seen = None;
-        self.held_ms = None;
+        self.renewed_ms = None;
         self.absent_ms = None;
-        self.unread = true;
+        self.must_read = true;
         self.next_ms = 0;
     }
 
-    /// Whether an absent object was never there: in a store that came back from an older copy it may have
-    /// been lost, and its holder lives.
+    /// Returns whether a missing object means that the lease was never granted. In a store that was
+    /// restored from an older copy the object may have been lost while its holder is alive.
     fn is_never_granted(&self) -> bool {
         self.era == 0
     }
 
-    /// The term after `last`.
+    /// Returns the term after `last`.
     fn next_term(&self, last: u64) -> u64 {
         last.max(self.era << TERM_BITS) + 1
     }
 
-    /// Term, while this instance holds the lease at `now` with time to spare for an order.
+    /// Returns the term if this instance holds the lease at `now` with enough time left for an
+    /// order.
     #[must_use]
     pub fn held(&self, now: Millis) -> Option<u64> {
-        let sent = self.held_ms?;
-        let spare = self.ttl_ms / RENEWALS;
+        let renewed = self.renewed_ms?;
+        let margin = self.ttl_ms / RENEWALS_PER_TTL;
         let (grant, _) = self.seen.as_ref()?;
-        (now + spare < sent + self.ttl_ms).then_some(grant.term)
+        (now + margin < renewed + self.ttl_ms).then_some(grant.term)
     }
 
-    /// What to do at `now`.
+    /// Returns the step to take at `now`.
     ///
-    /// Load pattern: the store is back after an outage, and each instance hears it before it hears of the
-    /// others. One takes the lease, and then learns that another comes before it. If it let go, nobody would
-    /// give orders for a whole time to live, just when most are due.
+    /// Load pattern: the store is back after an outage, and each instance reaches it before it
+    /// learns of the other instances. One acquires the lease and then learns that another is
+    /// preferred. If it released the lease, no instance would give orders for a whole TTL, just
+    /// when most orders are due.
     pub fn step(&mut self, now: Millis, bid: Bid) -> LeaseStep {
-        let bids = match bid {
+        let is_candidate = match bid {
             Bid::Acquire => true,
             Bid::Retain => self.held(now).is_some(),
             Bid::Abstain => false,
         };
-        if !bids || now < self.next_ms {
+        if !is_candidate || now < self.next_ms {
             return LeaseStep::Wait;
         }
-        self.next_ms = now + self.ttl_ms / RENEWALS;
-        if self.unread {
+        self.next_ms = now + self.ttl_ms / RENEWALS_PER_TTL;
+        if self.must_read {
             return LeaseStep::Read;
         }
         match &self.seen {
@@ -151,7 +157,7 @@
                 }
                 _ => LeaseStep::Read,
             },
-            Some((grant, _)) if grant.holder == self.own && self.held_ms.is_some() => {
+            Some((grant, _)) if grant.holder == self.own && self.renewed_ms.is_some() => {
                 LeaseStep::Replace {
                     term: grant.term,
                     revision: grant.revision,
@@ -165,19 +171,19 @@
         }
     }
 
-    /// A read showed `grant`, or that the object is absent.
+    /// Records the result of a read: `grant`, or `None` if the object does not exist.
     pub fn observe(&mut self, now: Millis, grant: Option<Grant>) {
-        self.unread = false;
+        self.must_read = false;
         let Some(grant) = grant else {
             self.absent_ms.get_or_insert(now);
             self.seen = None;
-            self.held_ms = None;
+            self.renewed_ms = None;
             return;
         };
         self.absent_ms = None;
         let own_term = self.seen.as_ref().map(|(seen, _)| seen.term);
         if grant.holder != self.own || own_term != Some(grant.term) {
-            self.held_ms = None;
+            self.renewed_ms = None;
         }
         match &self.seen {
             Some((seen, _)) if seen.revision == grant.revision => {}
@@ -185,19 +191,19 @@
         }
     }
 
-    /// A write that was sent at `sent_ms` was accepted.
+    /// Records that a write sent at `sent_ms` was accepted.
     pub fn write_accepted(&mut self, sent_ms: Millis, grant: Grant) {
         self.absent_ms = None;
-        self.unread = false;
+        self.must_read = false;
         self.seen = Some((grant, sent_ms));
-        self.held_ms = Some(sent_ms);
+        self.renewed_ms = Some(sent_ms);
     }
 
-    /// A write met another state, or its answer was lost: what stands now is read before anything
-    /// else is written.
+    /// Records that a write was refused or its answer lost. The object is read before the next
+    /// write.
     pub fn write_failed(&mut self, now: Millis) {
         self.absent_ms = None;
-        self.unread = true;
-        self.next_ms = now + self.ttl_ms / (2 * RENEWALS);
+        self.must_read = true;
+        self.next_ms = now + self.ttl_ms / (2 * RENEWALS_PER_TTL);
     }
 }
--- a/policy/tests/relay_lease.rs
+++ b/policy/tests/relay_lease.rs
@@ -1,4 +1,4 @@
-//! Which instance gives orders: one at a time, and terms that only grow.
+//! Lease on giving orders: at most one holder at a time, and terms that only grow.
 
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
@@ -38,22 +38,22 @@
     expect_that!(lease.step(1_600, Bid::Acquire), eq(&renewal));
 }
 
-/// Two instances give orders at once, and runners load what the other has them give up. An
-/// instance takes over only a lease that stood unchanged for its whole time by its own clock, and
-/// the old holder stops on its own clock before that.
+/// Two instances that give orders at once would make runners load what the other has them give up.
+/// An instance must take over only a lease that it saw unchanged for the whole TTL by its own
+/// clock, and the old holder must stop by its own clock before that.
 #[gtest]
-fn a_lease_is_taken_over_only_when_it_stood_still() {
+fn a_lease_is_taken_over_only_after_it_expired() {
     let mut holder = Lease::new(Name::from("a"), 2_400);
     holder.write_accepted(0, grant("a", 1, 10));
     let mut other = Lease::new(Name::from("b"), 2_400);
     other.observe(100, Some(grant("a", 1, 10)));
-    let mut taken_at = None;
+    let mut acquired_at = None;
     for now in (100..6_000).step_by(50) {
         match other.step(now, Bid::Acquire) {
             LeaseStep::Read => other.observe(now, Some(grant("a", 1, 10))),
             LeaseStep::Replace { term, revision } => {
                 expect_that!((term, revision), eq((2, at(10))));
-                taken_at = Some(now);
+                acquired_at = Some(now);
                 break;
             }
             LeaseStep::Wait => {}
@@ -61,8 +61,8 @@
         }
         expect_true!(other.held(now).is_none());
     }
-    let taken_at = taken_at.expect("it is taken over in the end");
-    expect_that!(holder.held(taken_at), none());
+    let acquired_at = acquired_at.expect("the lease is taken over");
+    expect_that!(holder.held(acquired_at), none());
     expect_that!(holder.held(1_500), some(eq(1)));
 }
 
@@ -82,20 +82,21 @@
 }
 
 #[gtest]
-fn a_lost_write_is_read_back_before_anything_else() {
+fn a_failed_write_is_followed_by_a_read() {
     let mut lease = Lease::new(Name::from("a"), 2_400);
     lease.observe(0, None);
     let _ = lease.step(0, Bid::Acquire);
     lease.write_failed(1_000);
-    // After a pause: a store that turns this instance away is not asked ten times a second.
+    // Only after a pause, so that a store that refuses this instance is not called ten times a
+    // second.
     expect_that!(lease.step(1_050, Bid::Acquire), eq(&LeaseStep::Wait));
     expect_that!(lease.step(1_400, Bid::Acquire), eq(&LeaseStep::Read));
 }
 
-/// The store comes back from an older copy in which the last holder's grant is not. Its term must not come
-/// again: orders of both would look like those of one.
+/// The store is restored from an older copy that lacks the last holder's grant. Its term must not
+/// be issued again, since the orders of both holders would look like those of one.
 #[gtest]
-fn a_term_that_a_restore_of_the_store_lost_is_not_given_out_again() {
+fn a_term_lost_by_a_restore_is_not_issued_again() {
     let lost = grant("a", 5, 50);
     let mut holder = Lease::new(Name::from("a"), 2_400);
     holder.write_accepted(0, lost.clone());
@@ -111,13 +112,13 @@
         ..grant("c", 4, 0)
     };
     other.observe(0, Some(older));
-    let taken = (0..4_000)
+    let acquired = (0..4_000)
         .step_by(50)
         .find_map(|now| match other.step(now, Bid::Acquire) {
             LeaseStep::Replace { term, .. } => Some(term),
             _ => None,
         });
-    expect_that!(taken, some(gt(lost.term)));
+    expect_that!(acquired, some(gt(lost.term)));
 
     let mut first = Lease::new(Name::from("d"), 2_400);
     first.begin_era(1);
@@ -131,17 +132,17 @@
             }
             _ => None,
         });
-    let (term, at_ms) = created.expect("it is created in the end");
+    let (term, at_ms) = created.expect("the lease is created");
     expect_that!(term, gt(lost.term));
-    // Its holder may live.
+    // The holder of the lost grant may be alive for a TTL.
     expect_that!(at_ms, ge(2_400));
 }
 
-/// A holder loses the store for a while, and another takes the lease over with a greater term.
-/// When the store is back the old holder must not write over the new grant: orders of both would
-/// be given, and the term would go back.
+/// A holder cannot reach the store for a while, and another instance takes over with a greater
+/// term. When the old holder reaches the store again it must not overwrite the new grant: orders of
+/// both would be given, and the term would decrease.
 #[gtest]
-fn a_holder_that_comes_back_reads_before_it_writes() {
+fn a_returning_holder_reads_before_it_writes() {
     let mut lease = Lease::new(Name::from("a"), 2_400);
     lease.write_accepted(0, grant("a", 1, 10));
     lease.write_failed(1_000);
@@ -159,10 +160,10 @@
     }
 }
 
-/// After an outage the holder learns of an instance that comes before it, and nobody gives orders for a
-/// whole time to live.
+/// Guards against a holder that learns of a preferred instance after an outage releasing the lease,
+/// so that no instance gives orders for a whole TTL.
 #[gtest]
-fn a_holder_keeps_the_lease_though_another_comes_before_it() {
+fn a_holder_renews_though_another_is_preferred() {
     let mut holder = Lease::new(Name::from("b"), 1_800);
     holder.write_accepted(0, grant("b", 2, 10));
     let renewal = LeaseStep::Replace {
@@ -171,16 +172,16 @@
     };
     expect_that!(holder.step(600, Bid::Retain), eq(&renewal));
     expect_that!(holder.step(1_200, Bid::Abstain), eq(&LeaseStep::Wait));
-    // It takes nothing that it does not hold.
+    // It does not acquire a lease that it no longer holds.
     expect_that!(holder.step(5_000, Bid::Retain), eq(&LeaseStep::Wait));
     expect_that!(holder.step(5_000, Bid::Acquire), not(eq(&LeaseStep::Wait)));
 }
 
-/// One register, as the store keeps the lease, with writes whose answers are lost and reads that
-/// fail. Whatever the order: each write names the revision that it replaces, the term never goes
-/// back, and no two instances hold the lease at the same time.
+/// Simulates the lease object of the store, with writes whose answers are lost and reads that fail.
+/// In any order, each write must name the revision that it replaces, the term must never decrease,
+/// and no two instances may hold the lease at the same time.
 #[gtest]
-fn no_interleaving_gives_two_holders_or_takes_the_term_back() {
+fn no_interleaving_gives_two_holders_or_a_smaller_term() {
     for seed in 0..200 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut register: Option<Grant> = None;
@@ -190,11 +191,11 @@
         let mut holders = 0;
         for now in (0..60_000).step_by(50) {
             for (i, lease) in leases.iter_mut().enumerate() {
-                let lost_store = rng.random_bool(0.1);
+                let call_fails = rng.random_bool(0.1);
                 let step = lease.step(now, bid(&mut rng));
                 let (term, expected) = match step {
                     LeaseStep::Wait => continue,
-                    LeaseStep::Read if lost_store => continue,
+                    LeaseStep::Read if call_fails => continue,
                     LeaseStep::Read => {
                         lease.observe(now, register.clone());
                         continue;
@@ -202,8 +203,8 @@
                     LeaseStep::Create { term } => (term, None),
                     LeaseStep::Replace { term, revision } => (term, Some(revision)),
                 };
-                let standing = register.as_ref().map(|g| g.revision);
-                if lost_store && rng.random_bool(0.5) || standing != expected {
+                let current = register.as_ref().map(|g| g.revision);
+                if call_fails && rng.random_bool(0.5) || current != expected {
                     lease.write_failed(now);
                     continue;
                 }
@@ -212,7 +213,7 @@
                 revision += 1;
                 let written = grant(names[i], term, revision);
                 register = Some(written.clone());
-                if lost_store {
+                if call_fails {
                     lease.write_failed(now);
                 } else {
                     lease.write_accepted(now, written);
--- a/policy/tests/relay_restores.rs
+++ b/policy/tests/relay_restores.rs
@@ -1,4 +1,4 @@
-//! The lease on giving orders where the store comes back from older copies, again and again.
+//! Lease on giving orders while the store is repeatedly restored from older copies.
 
 use std::collections::BTreeMap;
 
@@ -13,10 +13,10 @@
 const LENGTH_MS: u64 = 60_000;
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
-/// Age of a copy at the most, in steps of the replay.
-const COPY_AGE: usize = 100;
+/// Maximum age of a copy, in steps of the simulation.
+const MAX_COPY_AGE: usize = 100;
 
-/// The store's object, and what it was at each step.
+/// Simulated store with the lease object and its state at each step.
 struct Store {
     era: u64,
     number: u64,
@@ -24,22 +24,22 @@
     history: Vec<(u64, Option<Grant>)>,
 }
 
-struct Replay {
+struct Simulation {
     rng: ChaCha8Rng,
     store: Store,
     leases: Vec<Lease>,
-    /// Era that each instance has seen.
+    /// Newest era that each instance has seen.
     eras: Vec<u64>,
-    knows_eras: bool,
-    /// Who acted on each term.
-    holders: BTreeMap<u64, Name>,
-    /// Steps in which somebody held the lease.
-    held: usize,
+    has_eras: bool,
+    /// First instance that held the lease with each term.
+    first_holders: BTreeMap<u64, Name>,
+    /// Number of steps in which an instance held the lease.
+    held_steps: usize,
 }
 
-impl Replay {
-    fn of(seed: u64, knows_eras: bool) -> Replay {
-        Replay {
+impl Simulation {
+    fn new(seed: u64, has_eras: bool) -> Simulation {
+        Simulation {
             rng: ChaCha8Rng::seed_from_u64(seed),
             store: Store {
                 era: 0,
@@ -49,14 +49,14 @@
             },
             leases: NAMES.map(|n| Lease::new(n.into(), 1_800)).into(),
             eras: vec![0; NAMES.len()],
-            knows_eras,
-            holders: BTreeMap::new(),
-            held: 0,
+            has_eras,
+            first_holders: BTreeMap::new(),
+            held_steps: 0,
         }
     }
 
-    /// What was wrong at first, if anything.
-    fn play(&mut self) -> std::result::Result<(), String> {
+    /// Runs the simulation. Returns the first violation, if any.
+    fn run(&mut self) -> std::result::Result<(), String> {
         for now in (0..LENGTH_MS).step_by(STEP_MS as usize) {
             if self.rng.random_bool(0.01) {
                 self.restore();
@@ -72,12 +72,12 @@
     }
 
     fn restore(&mut self) {
-        let age = self.rng.random_range(0..COPY_AGE);
+        let age = self.rng.random_range(0..MAX_COPY_AGE);
         let at = self.store.history.len().saturating_sub(age + 1);
         let Some((number, grant)) = self.store.history.get(at).cloned() else {
             return;
         };
-        self.store.era += u64::from(self.knows_eras);
+        self.store.era += u64::from(self.has_eras);
         self.store.number = number;
         self.store.grant = grant.map(|g| Grant {
             revision: self.revision(g.revision.number),
@@ -93,25 +93,25 @@
     }
 
     fn act(&mut self, i: usize, now: u64) {
-        // An instance may hear of the era by any other call, or not.
-        let hears = self.rng.random_bool(0.1);
-        if hears {
+        // An instance may learn of the era from any other call, or not at all.
+        let learns_era = self.rng.random_bool(0.1);
+        if learns_era {
             self.see_era(i);
         }
         let bid =
             [Bid::Acquire, Bid::Acquire, Bid::Retain, Bid::Abstain][self.rng.random_range(0..4)];
         let step = self.leases[i].step(now, bid);
-        let is_lost = self.rng.random_bool(0.1);
+        let answer_lost = self.rng.random_bool(0.1);
         match step {
             LeaseStep::Wait => {}
-            LeaseStep::Read if is_lost => {}
+            LeaseStep::Read if answer_lost => {}
             LeaseStep::Read => {
                 self.see_era(i);
                 self.leases[i].observe(now, self.store.grant.clone());
             }
-            LeaseStep::Create { term } => self.write(i, now, term, None, is_lost),
+            LeaseStep::Create { term } => self.write(i, now, term, None, answer_lost),
             LeaseStep::Replace { term, revision } => {
-                self.write(i, now, term, Some(revision), is_lost);
+                self.write(i, now, term, Some(revision), answer_lost);
             }
         }
     }
@@ -125,9 +125,16 @@
         is_new
     }
 
-    fn write(&mut self, i: usize, now: u64, term: u64, expected: Option<Revision>, is_lost: bool) {
-        let standing = self.store.grant.as_ref().map(|g| g.revision.number);
-        if standing != expected.map(|r| r.number) {
+    fn write(
+        &mut self,
+        i: usize,
+        now: u64,
+        term: u64,
+        expected: Option<Revision>,
+        answer_lost: bool,
+    ) {
+        let current = self.store.grant.as_ref().map(|g| g.revision.number);
+        if current != expected.map(|r| r.number) {
             self.see_era(i);
             return self.leases[i].write_failed(now);
         }
@@ -138,8 +145,8 @@
             revision: self.revision(self.store.number),
         };
         self.store.grant = Some(grant.clone());
-        // The answer shows another era than the one that the write was made for.
-        if self.see_era(i) || is_lost {
+        // The answer shows another era than the one that the write was meant for.
+        if self.see_era(i) || answer_lost {
             self.leases[i].write_failed(now);
         } else {
             self.leases[i].write_accepted(now, grant);
@@ -147,19 +154,22 @@
     }
 
     fn check(&mut self, now: u64) -> std::result::Result<(), String> {
-        let holding = self.leases.iter().zip(NAMES);
-        let holding: Vec<(u64, &str)> = holding
+        let holders = self.leases.iter().zip(NAMES);
+        let holders: Vec<(u64, &str)> = holders
             .filter_map(|(l, name)| Some((l.held(now)?, name)))
             .collect();
-        if holding.len() > 1 {
-            return Err(format!("{holding:?} hold it at {now}"));
+        if holders.len() > 1 {
+            return Err(format!("{holders:?} hold the lease at {now}"));
         }
-        self.held += holding.len();
-        for (term, name) in holding {
-            let first = self.holders.entry(term).or_insert_with(|| name.into());
+        self.held_steps += holders.len();
+        for (term, name) in holders {
+            let first = self
+                .first_holders
+                .entry(term)
+                .or_insert_with(|| name.into());
             if **first != *name {
                 return Err(format!(
-                    "{name} acts on the term {term} of {first} at {now}"
+                    "{name} holds the lease with term {term} of {first} at {now}"
                 ));
             }
         }
@@ -167,20 +177,25 @@
     }
 }
 
-/// A grant is lost while its holder lives, and its term and revision are given to another.
+/// Guards against a grant being lost by a restore while its holder is alive, and its term and
+/// revision being issued to another instance.
 #[gtest]
-fn no_restore_gives_two_holders_or_one_term_to_two() {
+fn no_restore_leads_to_two_holders_or_a_reused_term() {
     for seed in 0..300 {
-        let mut replay = Replay::of(seed, true);
-        let ended = replay.play();
-        expect_that!(ended, ok(()), "seed {seed}");
-        expect_that!(replay.held, gt(200), "seed {seed}: hardly ever held");
+        let mut simulation = Simulation::new(seed, true);
+        let result = simulation.run();
+        expect_that!(result, ok(()), "seed {seed}");
+        expect_that!(
+            simulation.held_steps,
+            gt(200),
+            "seed {seed}: the lease is hardly ever held"
+        );
     }
 }
 
-/// The check above can fail: where nobody knows of eras, it does.
+/// Negative control: without eras the check above fails.
 #[gtest]
-fn restores_that_nobody_knows_of_give_a_term_to_two() {
-    let broken = (0..50).filter(|seed| Replay::of(*seed, false).play().is_err());
-    expect_that!(broken.count(), gt(25));
+fn restores_without_eras_lead_to_violations() {
+    let failed = (0..50).filter(|seed| Simulation::new(*seed, false).run().is_err());
+    expect_that!(failed.count(), gt(25));
 }
