--- a/plugins/relay/src/call.rs
+++ b/plugins/relay/src/call.rs
@@ -121,7 +121,7 @@
     let now = node.now();
     let runners = node.runners.borrow();
     let domain = &node.settings.failure_domain;
-    let ranked = runners.plain(&rq.service, domain, now, || node.draw_u32());
+    let ranked = runners.service_candidates(&rq.service, domain, now, || node.draw_u32());
     let mut untried = ranked.into_iter().filter(|e| !tried.contains(&e.id));
     untried.find(|e| limits::allows(node, e)).cloned()
 }
@@ -155,7 +155,7 @@
             let failed = res.status().is_server_error();
             node.runners
                 .borrow_mut()
-                .seen(&runner.id, failed, node.now());
+                .record_outcome(&runner.id, failed, node.now());
             if failed {
                 log_attempt(rq, runner, "failed", res.status().as_str());
             }
@@ -169,7 +169,9 @@
         }
         Ok(Err(sent)) => not_answered(node, rq, runner, sent, sent_ms),
         Err(_) => {
-            node.runners.borrow_mut().seen(&runner.id, true, node.now());
+            node.runners
+                .borrow_mut()
+                .record_outcome(&runner.id, true, node.now());
             log_attempt(rq, runner, "timeout", "");
             Ended::Timeout
         }
@@ -209,7 +211,9 @@
                 cause: &cause,
             };
             breaks::note(node, broken);
-            node.runners.borrow_mut().seen(&runner.id, true, node.now());
+            node.runners
+                .borrow_mut()
+                .record_outcome(&runner.id, true, node.now());
             Ended::Failed(None)
         }
         Sent::Answer(_) => Ended::Failed(None),
@@ -219,7 +223,7 @@
 /// Nothing new goes to a runner for `ms` milliseconds.
 fn avoid_for(node: &Node, runner: &RunnerEntry, ms: Millis) {
     let until = node.now() + ms;
-    if let Some(s) = node.runners.borrow_mut().standing_mut(&runner.id) {
+    if let Some(s) = node.runners.borrow_mut().health_mut(&runner.id) {
         s.avoid_until_ms = until;
     }
 }
@@ -264,7 +268,7 @@
 
 impl Busy {
     fn open(node: &Rc<Node>, runner: &Name) -> Busy {
-        if let Some(s) = node.runners.borrow_mut().standing_mut(runner) {
+        if let Some(s) = node.runners.borrow_mut().health_mut(runner) {
             s.in_flight += 1;
         }
         Busy {
@@ -276,7 +280,7 @@
 
 impl Drop for Busy {
     fn drop(&mut self) {
-        if let Some(s) = self.node.runners.borrow_mut().standing_mut(&self.runner) {
+        if let Some(s) = self.node.runners.borrow_mut().health_mut(&self.runner) {
             s.in_flight = s.in_flight.saturating_sub(1);
         }
     }
--- a/plugins/relay/src/dump.rs
+++ b/plugins/relay/src/dump.rs
@@ -51,7 +51,7 @@
 }
 
 fn runner(node: &Node, runners: &Runners, entry: &RunnerEntry) -> RunnerDump {
-    let s = runners.standing(&entry.id);
+    let s = runners.health(&entry.id);
     RunnerDump {
         id: entry.id.clone(),
         service: entry.service.clone(),
@@ -64,7 +64,7 @@
         born_ms: entry.born_ms,
         orders: s.orders,
         pace: s.pace(),
-        failing: s.failing_at(node.now()),
+        failing: s.failure_rate_at(node.now()),
         in_flight: s.in_flight,
     }
 }
--- a/plugins/relay/src/limits.rs
+++ b/plugins/relay/src/limits.rs
@@ -57,7 +57,7 @@
             })
             .collect();
         for (l, is_limited) in limited {
-            if let Some(s) = runners.standing_mut(&l.runner) {
+            if let Some(s) = runners.health_mut(&l.runner) {
                 changed |= std::mem::replace(&mut s.limited, is_limited) != is_limited;
             }
         }
--- a/plugins/relay/src/live.rs
+++ b/plugins/relay/src/live.rs
@@ -142,7 +142,7 @@
         self.chain.stages.iter().any(|s| {
             let reborn =
                 |e: &jacinthweir_policy::relay::runners::RunnerEntry| e.born_ms != s.runner.born_ms;
-            let dead = runners.standing(&s.runner.id).dead;
+            let dead = runners.health(&s.runner.id).dead;
             dead || runners.entry(&s.runner.id).is_some_and(reborn)
         })
     }
@@ -214,7 +214,7 @@
         let (id, born_ms) = live.head();
         let runners = self.runners.borrow();
         let entry = runners.entry(id);
-        entry.is_some_and(|e| e.born_ms == born_ms) && !runners.standing(id).dead
+        entry.is_some_and(|e| e.born_ms == born_ms) && !runners.health(id).dead
     }
 
     /// The chain that took the place of a broken one behind the same first runner.
--- a/plugins/relay/src/news.rs
+++ b/plugins/relay/src/news.rs
@@ -67,7 +67,7 @@
         watch::heard_revision(node, self.runners_revision);
         let mut changed = false;
         for (id, born_ms) in &self.leaving {
-            if node.runners.borrow_mut().leaves(id, *born_ms) {
+            if node.runners.borrow_mut().mark_draining(id, *born_ms) {
                 log::info!(runner = id.as_ref(), born_ms; "another instance heard that the runner leaves");
                 node.note_leaving(id, *born_ms);
                 changed = true;
@@ -150,11 +150,11 @@
     let mut alive = Vec::new();
     let mut paces = Vec::new();
     for e in runners.entries() {
-        let standing = runners.standing(&e.id);
-        if standing.answers_since(since) {
+        let health = runners.health(&e.id);
+        if health.recovered_since(since) {
             alive.push((e.id.clone(), e.born_ms));
         }
-        if let Some((pace, at_ms)) = standing.pace_changed_since(since) {
+        if let Some((pace, at_ms)) = health.pace_changed_since(since) {
             paces.push(Pace {
                 runner: e.id.clone(),
                 born_ms: e.born_ms,
--- a/plugins/relay/src/placer.rs
+++ b/plugins/relay/src/placer.rs
@@ -250,7 +250,7 @@
     };
     metrics::counter!("jacinthweir_orders_total").increment(1);
     let answer = runner::place(m.address, m.layers, term, orders, ORDER_TIME).await;
-    if let Some(s) = node.runners.borrow_mut().standing_mut(&m.runner) {
+    if let Some(s) = node.runners.borrow_mut().health_mut(&m.runner) {
         s.orders = match &answer {
             Ok(Accepted::Begun) => Some(orders + 1),
             Ok(Accepted::Holds) => Some(orders),
@@ -285,7 +285,7 @@
 /// Orders that a runner has accepted so far: counted since it was last asked, or asked now. `None`
 /// if it gives no answer, or holds something other than the plan was made from.
 async fn accepted_orders(node: &Node, m: &Move) -> Option<u64> {
-    if let Some(orders) = node.runners.borrow().standing(&m.runner).orders {
+    if let Some(orders) = node.runners.borrow().health(&m.runner).orders {
         return Some(orders);
     }
     metrics::counter!("jacinthweir_probes_total").increment(1);
@@ -304,7 +304,7 @@
         log::info!(runner, busy = report.busy, layers:? = report.layers; "entry is behind, no order");
         return None;
     }
-    runners.standing_mut(&m.runner)?.orders = Some(report.orders);
+    runners.health_mut(&m.runner)?.orders = Some(report.orders);
     Some(report.orders)
 }
 
--- a/plugins/relay/src/probe.rs
+++ b/plugins/relay/src/probe.rs
@@ -11,7 +11,7 @@
 use jacinthweir_platform::runner::Report;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::following;
-use jacinthweir_policy::relay::runners::{ASK_PAUSE_MS, RunnerEntry, Standing};
+use jacinthweir_policy::relay::runners::{PROBE_INTERVAL_MS, RunnerEntry, RunnerHealth};
 use jacinthweir_policy::relay::silence::ProbeRound;
 use jacinthweir_policy::relay::words::{self, Advice, FailureReport};
 use tokio::time::sleep;
@@ -47,7 +47,7 @@
     loop {
         wait_for_look(node).await;
         let now = node.now();
-        let expired = node.runners.borrow_mut().expire(now);
+        let expired = node.runners.borrow_mut().expire_lapsed(now);
         if expired {
             log::info!("runners whose entries lapsed did not come back");
             node.rebuild_chains();
@@ -230,7 +230,7 @@
 pub(crate) fn set_pace(node: &Node, id: &Name, pace: f64, at_ms: Millis) -> bool {
     let mut runners = node.runners.borrow_mut();
     let changed = runners
-        .standing_mut(id)
+        .health_mut(id)
         .is_some_and(|s| s.set_pace(pace, at_ms));
     if changed {
         log::info!(runner = id.as_ref(), pace; "runner's pace");
@@ -248,8 +248,8 @@
             reporters: [node.settings.name.clone()].into(),
         };
         node.words.borrow_mut().record(&word, node.now());
-        if let Some(standing) = node.runners.borrow_mut().standing_mut(id) {
-            standing.found_here = true;
+        if let Some(health) = node.runners.borrow_mut().health_mut(id) {
+            health.found_locally = true;
         }
     }
     found
@@ -259,16 +259,16 @@
 fn mark_dead(node: &Node, id: &Name, born_ms: u64, evidence: &str) -> bool {
     let now = node.now();
     let mut runners = node.runners.borrow_mut();
-    let Some(standing) = runners.standing_mut(id) else {
+    let Some(health) = runners.health_mut(id) else {
         return false;
     };
-    if standing.dead || standing.born_ms != born_ms {
+    if health.dead || health.born_ms != born_ms {
         return false;
     }
-    standing.dead = true;
-    standing.dead_since_ms = now;
-    standing.found_here = false;
-    standing.asked_anew();
+    health.dead = true;
+    health.dead_since_ms = now;
+    health.found_locally = false;
+    health.reset_probe_backoff();
     log::warn!(runner = id.as_ref(), born_ms, evidence; "runner counts as dead");
     metrics::counter!("jacinthweir_runners_dead_total").increment(1);
     true
@@ -302,8 +302,8 @@
 /// Whether a lifetime of a runner goes on as far as is known here.
 fn is_in_doubt(node: &Node, id: &Name, born_ms: u64) -> bool {
     let runners = node.runners.borrow();
-    let standing = runners.standing(id);
-    standing.born_ms == born_ms && !standing.dead
+    let health = runners.health(id);
+    health.born_ms == born_ms && !health.dead
 }
 
 /// Believes, or asks about, runners that others found dead.
@@ -357,8 +357,8 @@
     let mut runners = node.runners.borrow_mut();
     let entry = runners.entry(id).filter(|e| e.born_ms == born_ms);
     let suspect = entry.map(|r| Suspect::of(node, r));
-    let standing = runners.standing_mut(id).filter(|s| !s.dead);
-    let due = standing.is_some_and(|s| s.should_ask(node.now(), ASK_PAUSE_MS));
+    let health = runners.health_mut(id).filter(|s| !s.dead);
+    let due = health.is_some_and(|s| s.should_probe(node.now(), PROBE_INTERVAL_MS));
     suspect.filter(|_| due)
 }
 
@@ -368,17 +368,17 @@
     let near = *domain == *node.settings.failure_domain;
     let now = node.now();
     let mut runners = node.runners.borrow_mut();
-    let standing = runners.standing_mut(id);
-    let Some(standing) = standing.filter(|s| s.dead && s.born_ms == born_ms) else {
+    let health = runners.health_mut(id);
+    let Some(health) = health.filter(|s| s.dead && s.born_ms == born_ms) else {
         return false;
     };
-    let believes = near && !standing.found_here;
+    let believes = near && !health.found_locally;
     if believes {
-        standing.answers_again(now);
+        health.mark_recovered(now);
         node.words.borrow_mut().refute(id, born_ms, node.now());
         log::info!(runner = id.as_ref(); "runner answers a neighbour again");
     } else {
-        standing.ask_soon();
+        health.probe_soon();
     }
     believes
 }
@@ -387,22 +387,22 @@
 fn doubted(node: &Node) -> Vec<Suspect> {
     let now = node.now();
     // What one instance hears it tells the others, so that each need ask less often where there are many.
-    let pause = following::scaled_interval_ms(ASK_PAUSE_MS, node.instances());
+    let pause = following::scaled_interval_ms(PROBE_INTERVAL_MS, node.instances());
     let mut runners = node.runners.borrow_mut();
     let all: Vec<Suspect> = {
-        let is_doubted = |s: &Standing| s.dead || s.is_slow();
+        let is_doubted = |s: &RunnerHealth| s.dead || s.is_slow();
         let doubted = runners
             .entries()
-            .filter(|e| is_doubted(&runners.standing(&e.id)));
+            .filter(|e| is_doubted(&runners.health(&e.id)));
         doubted.map(|r| Suspect::of(node, r)).collect()
     };
     let neighbours = peers::neighbours(node);
     let mut due = |id: &Name| {
         let asks = words::is_prober(&node.settings.name, neighbours.iter(), id);
-        let standing = runners.standing_mut(id);
-        standing.is_some_and(|s| match asks || s.found_here {
-            true => s.should_ask(now, pause),
-            false => s.should_ask_seldom(now),
+        let health = runners.health_mut(id);
+        health.is_some_and(|s| match asks || s.found_locally {
+            true => s.should_probe(now, pause),
+            false => s.should_probe_rarely(now),
         })
     };
     all.into_iter().filter(|s| due(&s.id)).collect()
@@ -437,10 +437,10 @@
 /// A runner was heard again; whether it counted as dead.
 fn answers_again(node: &Node, id: &Name, born_ms: u64) -> bool {
     let mut runners = node.runners.borrow_mut();
-    let Some(standing) = runners.standing_mut(id).filter(|s| s.dead) else {
+    let Some(health) = runners.health_mut(id).filter(|s| s.dead) else {
         return false;
     };
-    standing.answers_again(node.now());
+    health.mark_recovered(node.now());
     hear_it(node, id, born_ms);
     log::info!(runner = id.as_ref(); "runner answers again");
     true
--- a/plugins/relay/src/question.rs
+++ b/plugins/relay/src/question.rs
@@ -257,7 +257,7 @@
 fn witnesses(node: &Node, suspect: &Suspect) -> Vec<Asked> {
     let runners = node.runners.borrow();
     let sound = runners.entries().filter(|e| {
-        let doubted = e.draining || runners.standing(&e.id).dead;
+        let doubted = e.draining || runners.health(&e.id).dead;
         !doubted && e.address != suspect.asked.address
     });
     node.with_rng(|rng| sound.map(|e| Asked::of(node, e)).sample(rng, WITNESSES))
--- a/plugins/relay/src/tried.rs
+++ b/plugins/relay/src/tried.rs
@@ -183,7 +183,7 @@
     let Some((id, layers)) = found else {
         return;
     };
-    if let Some(s) = node.runners.borrow_mut().standing_mut(&id) {
+    if let Some(s) = node.runners.borrow_mut().health_mut(&id) {
         s.misreported = layers;
     }
     log::warn!(runner = id.as_ref(), layers:? = layers; "runner does not hold what its entry says");
--- a/plugins/relay/src/watch.rs
+++ b/plugins/relay/src/watch.rs
@@ -309,7 +309,7 @@
             let mut runners = node.runners.borrow_mut();
             let restored = listed.revision.era != node.runners_as_of.get().era;
             if anew || restored {
-                runners.store_is_back(now);
+                runners.store_recovered(now);
             }
             runners.replace(entries, now);
             drop(runners);
--- a/policy/src/relay/chain.rs
+++ b/policy/src/relay/chain.rs
@@ -13,7 +13,7 @@
 
 use crate::prelude::*;
 use crate::relay::intent::Engine;
-use crate::relay::runners::{RunnerEntry, Runners, Standing};
+use crate::relay::runners::{RunnerEntry, RunnerHealth, Runners};
 
 /// A runner that can take part in a chain.
 #[derive(Clone, Debug)]
@@ -124,15 +124,15 @@
         if !runners.holds_layers(entry, now) {
             continue;
         }
-        let standing = runners.standing(&entry.id);
-        if let Some(holder) = holder(entry, engine, &standing) {
+        let health = runners.health(&entry.id);
+        if let Some(holder) = holder(entry, engine, &health) {
             found.push(holder);
         }
     }
     found
 }
 
-fn holder<'a>(entry: &'a RunnerEntry, engine: &Engine, s: &Standing) -> Option<Holder<'a>> {
+fn holder<'a>(entry: &'a RunnerEntry, engine: &Engine, s: &RunnerHealth) -> Option<Holder<'a>> {
     let kind = engine.kinds.get(entry.kind.as_ref()?)?;
     let (from, to) = entry.layers?;
     let layers = (from, to.min(engine.layers));
--- a/policy/src/relay/placement.rs
+++ b/policy/src/relay/placement.rs
@@ -103,7 +103,7 @@
         let Some(mut kind) = kind.copied().filter(|_| runners.usable(entry, now)) else {
             continue;
         };
-        let slowness = runners.standing(&entry.id).slowness();
+        let slowness = runners.health(&entry.id).slowness();
         kind.pace *= slowness;
         let pending = loading.get(&entry.id).copied();
         let believed = entry.layers.filter(|_| runners.holds_layers(entry, now));
@@ -120,7 +120,7 @@
     let mut moves = Vec::new();
     for (domain, seats) in domains {
         let of_domain = runners.entries().filter(|e| e.domain == *domain);
-        let standings = of_domain.map(|e| runners.standing(&e.id));
+        let standings = of_domain.map(|e| runners.health(&e.id));
         let mut lost = standings.filter(|s| s.dead);
         let recent = lost.any(|s| now < s.dead_since_ms + CERTAIN_MS);
         let certain = runners.is_complete(now) && !recent;
--- a/policy/src/relay/runners.rs
+++ b/policy/src/relay/runners.rs
@@ -45,7 +45,7 @@
 
 /// What this instance learnt of a runner by itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct RunnerHealth {
     /// Lifetime that this holds for.
     pub born_ms: u64,
     /// Not to be used before this time, in milliseconds.
@@ -55,7 +55,7 @@
     /// When that was found, in milliseconds.
     pub dead_since_ms: Millis,
     /// Whether this instance found it by itself, and did not believe others.
-    pub found_here: bool,
+    pub found_locally: bool,
     /// It refused a part of this range, which its entry still names.
     pub misreported: Option<(u32, u32)>,
     /// It names a rate beyond which it gets no requests.
@@ -63,9 +63,9 @@
     /// Orders that it has accepted, where that is known.
     pub orders: Option<u64>,
     /// Share of recent requests that it failed, 0 to 1, at the last of them.
-    pub failing: f64,
+    pub failure_rate: f64,
     /// When that was, in milliseconds.
-    pub failing_ms: Millis,
+    pub failure_rate_ms: Millis,
     /// Requests in flight there from this instance.
     pub in_flight: u32,
     /// How slow it said to be when last asked, and when that was; 1 is as declared.
@@ -85,17 +85,17 @@
 /// Pause between two reports asked of a doubted runner where there are few instances, and the longest
 /// one, in milliseconds: twice as long each time. A runner that is gone for good is asked by every
 /// instance until its entry goes.
-pub const ASK_PAUSE_MS: Millis = 700;
+pub const PROBE_INTERVAL_MS: Millis = 700;
 const LONGEST_ASK_PAUSE_MS: Millis = 5_600;
 const MOST_DOUBLINGS: u32 = 3;
 
 /// Pause between two reports asked by an instance that leaves the questions to others, in milliseconds.
 const SELDOM_MS: Millis = 12_000;
 
-impl Standing {
+impl RunnerHealth {
     /// Whether the runner is to be asked for its report now, `pause` milliseconds after the last time
     /// or later; remembers that it was.
-    pub fn should_ask(&mut self, now: Millis, pause: Millis) -> bool {
+    pub fn should_probe(&mut self, now: Millis, pause: Millis) -> bool {
         let pause = (pause << self.asks.min(MOST_DOUBLINGS)).min(LONGEST_ASK_PAUSE_MS);
         let due = self.asked_ms.is_none_or(|at| now >= at + pause);
         if due {
@@ -106,7 +106,7 @@
     }
 
     /// The same for an instance that leaves the questions to others: they may be lost, or their word.
-    pub fn should_ask_seldom(&mut self, now: Millis) -> bool {
+    pub fn should_probe_rarely(&mut self, now: Millis) -> bool {
         let since = self.asked_ms.max(Some(self.dead_since_ms));
         let due = since.is_none_or(|at| now >= at + SELDOM_MS);
         if due {
@@ -116,41 +116,41 @@
     }
 
     /// It answers again at `now`.
-    pub fn answers_again(&mut self, now: Millis) {
+    pub fn mark_recovered(&mut self, now: Millis) {
         self.dead = false;
         self.answers_since_ms = Some(now);
-        self.asked_anew();
+        self.reset_probe_backoff();
     }
 
     /// Whether it began to answer again after `since_ms`.
     #[must_use]
-    pub fn answers_since(&self, since_ms: Millis) -> bool {
+    pub fn recovered_since(&self, since_ms: Millis) -> bool {
         !self.dead && self.answers_since_ms.is_some_and(|at| at >= since_ms)
     }
 
     /// Since when it answers again after it counted as dead, in milliseconds.
     #[must_use]
-    pub fn answering_since_ms(&self) -> Option<Millis> {
+    pub fn recovered_ms(&self) -> Option<Millis> {
         self.answers_since_ms.filter(|_| !self.dead)
     }
 
     /// It answers another instance again: it is asked at the next occasion.
-    pub fn ask_soon(&mut self) {
+    pub fn probe_soon(&mut self) {
         self.asked_ms = None;
         self.asks = 0;
     }
 
     /// It answered, or somebody found it dead anew: the next question need not wait long.
-    pub fn asked_anew(&mut self) {
+    pub fn reset_probe_backoff(&mut self) {
         self.asks = 0;
     }
 
     /// Share of recent requests that it failed. It fades with time: a runner that nobody sends
     /// anything could never show that it is well again.
     #[must_use]
-    pub fn failing_at(&self, now: Millis) -> f64 {
-        let passed = now.saturating_sub(self.failing_ms) as f64;
-        self.failing * 0.5_f64.powf(passed / FAILING_HALF_MS)
+    pub fn failure_rate_at(&self, now: Millis) -> f64 {
+        let passed = now.saturating_sub(self.failure_rate_ms) as f64;
+        self.failure_rate * 0.5_f64.powf(passed / FAILING_HALF_MS)
     }
 
     /// How many times as long as declared its work takes; never less than 1.
@@ -217,7 +217,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Runners {
     entries: BTreeMap<Name, RunnerEntry>,
-    standings: BTreeMap<Name, Standing>,
+    health: BTreeMap<Name, RunnerHealth>,
     /// Runners without an entry of which something is still known, and until when.
     parted: BTreeMap<Name, Millis>,
     /// Runners whose entry lapsed, and until when they are taken to live.
@@ -231,7 +231,7 @@
     ///
     /// Taken for gone at once, most runners of a fleet vanish as the store comes back from an
     /// outage, and the rest are told to hold what the others still hold.
-    pub fn store_is_back(&mut self, now: Millis) {
+    pub fn store_recovered(&mut self, now: Millis) {
         self.incomplete_until_ms = now + LAPSED_MS;
     }
 
@@ -242,7 +242,7 @@
     }
 
     /// Forgets runners whose entry lapsed and did not come back; whether there were any.
-    pub fn expire(&mut self, now: Millis) -> bool {
+    pub fn expire_lapsed(&mut self, now: Millis) -> bool {
         let over = self.lapsed.iter().filter(|(_, until)| now >= **until);
         let gone: Vec<Name> = over.map(|(id, _)| id.clone()).collect();
         for id in &gone {
@@ -256,7 +256,7 @@
     fn part_with(&mut self, id: &Name, now: Millis) -> bool {
         let over = self.parted.extract_if(.., |_, until| now >= *until);
         for (id, _) in over {
-            self.standings.remove(&id);
+            self.health.remove(&id);
         }
         self.lapsed.remove(id);
         let had = self.entries.remove(id).is_some();
@@ -270,13 +270,13 @@
     pub fn put(&mut self, entry: &RunnerEntry) -> bool {
         self.lapsed.remove(&entry.id);
         self.parted.remove(&entry.id);
-        let standing = self.standings.entry(entry.id.clone()).or_default();
-        if standing.born_ms != entry.born_ms {
-            let in_flight = standing.in_flight;
-            *standing = Standing {
+        let health = self.health.entry(entry.id.clone()).or_default();
+        if health.born_ms != entry.born_ms {
+            let in_flight = health.in_flight;
+            *health = RunnerHealth {
                 born_ms: entry.born_ms,
                 in_flight,
-                ..Standing::default()
+                ..RunnerHealth::default()
             };
         }
         let old = self.entries.insert(entry.id.clone(), entry.clone());
@@ -284,7 +284,7 @@
     }
 
     /// Another instance heard that a runner leaves; whether that is news.
-    pub fn leaves(&mut self, id: &str, born_ms: u64) -> bool {
+    pub fn mark_draining(&mut self, id: &str, born_ms: u64) -> bool {
         let entry = self.entries.get_mut(id);
         let Some(entry) = entry.filter(|e| e.born_ms == born_ms && !e.draining) else {
             return false;
@@ -339,53 +339,53 @@
         self.entries.values().find(|e| e.address == address)
     }
 
-    /// Standing of a runner.
+    /// Health of a runner.
     #[must_use]
-    pub fn standing(&self, id: &str) -> Standing {
-        self.standings.get(id).copied().unwrap_or_default()
+    pub fn health(&self, id: &str) -> RunnerHealth {
+        self.health.get(id).copied().unwrap_or_default()
     }
 
-    /// Standing of a runner, to be changed.
-    pub fn standing_mut(&mut self, id: &Name) -> Option<&mut Standing> {
-        self.standings.get_mut(id)
+    /// Health of a runner, to be changed.
+    pub fn health_mut(&mut self, id: &Name) -> Option<&mut RunnerHealth> {
+        self.health.get_mut(id)
     }
 
     /// What is known of one lifetime of a runner.
     #[must_use]
     pub fn lifetime_state(&self, l: &Lifetime) -> LifetimeState {
-        let s = self.standing(&l.runner);
+        let s = self.health(&l.runner);
         match self.entries.get(&l.runner) {
             Some(e) if e.born_ms != l.born_ms => LifetimeState::Ended,
             _ if s.born_ms != l.born_ms => LifetimeState::Running,
             _ if s.dead => LifetimeState::Ended,
             Some(_) => s
-                .answering_since_ms()
+                .recovered_ms()
                 .map_or(LifetimeState::Running, LifetimeState::Recovered),
             None => LifetimeState::Ended,
         }
     }
 
     /// A request's outcome at a runner.
-    pub fn seen(&mut self, id: &str, failed: bool, now: Millis) {
-        if let Some(s) = self.standings.get_mut(id) {
+    pub fn record_outcome(&mut self, id: &str, failed: bool, now: Millis) {
+        if let Some(s) = self.health.get_mut(id) {
             let sample = if failed { 1.0 } else { 0.0 };
-            let before = s.failing_at(now);
-            s.failing = before + FAILING_WEIGHT * (sample - before);
-            s.failing_ms = now;
+            let before = s.failure_rate_at(now);
+            s.failure_rate = before + FAILING_WEIGHT * (sample - before);
+            s.failure_rate_ms = now;
         }
     }
 
     /// Whether a runner may be sent new work at `now`.
     #[must_use]
     pub fn usable(&self, entry: &RunnerEntry, now: Millis) -> bool {
-        let s = self.standing(&entry.id);
+        let s = self.health(&entry.id);
         !entry.draining && !s.dead && now >= s.avoid_until_ms
     }
 
     /// Whether what a runner says it holds may be believed at `now`.
     #[must_use]
     pub fn holds_layers(&self, entry: &RunnerEntry, now: Millis) -> bool {
-        let s = self.standing(&entry.id);
+        let s = self.health(&entry.id);
         entry.held() > 0
             && self.usable(entry, now)
             && s.misreported.is_none_or(|m| entry.layers != Some(m))
@@ -394,7 +394,7 @@
     /// Runners of a plain service that may take a request, best first: those that answer well,
     /// then the least busy, then those of the own failure domain. `draw` breaks ties so that
     /// instances do not all choose the same.
-    pub fn plain(
+    pub fn service_candidates(
         &self,
         service: &str,
         domain: &str,
@@ -405,8 +405,8 @@
         let usable = of_service.filter(|e| self.usable(e, now));
         let mut ranked: Vec<_> = usable
             .map(|e| {
-                let s = self.standing(&e.id);
-                let failing = s.failing_at(now) > FAILING_LIMIT;
+                let s = self.health(&e.id);
+                let failing = s.failure_rate_at(now) > FAILING_LIMIT;
                 let elsewhere = *e.domain != *domain;
                 ((failing, s.in_flight + u32::from(elsewhere), draw()), e)
             })
--- a/policy/tests/relay_naming.rs
+++ b/policy/tests/relay_naming.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use googletest::prelude::*;
-use jacinthweir_policy::relay::runners::{ASK_PAUSE_MS, Runners};
+use jacinthweir_policy::relay::runners::{PROBE_INTERVAL_MS, Runners};
 use jacinthweir_policy::relay::silence::{EventGaps, ProbeRound, SilenceDetector};
 use support::runner;
 
@@ -101,14 +101,14 @@
     let mut runners = Runners::default();
     let entry = runner("a", "east", "l4");
     runners.put(&entry);
-    let standing = runners.standing_mut(&entry.id).expect("known");
+    let health = runners.health_mut(&entry.id).expect("known");
     let probes = (0..30_000)
         .step_by(50)
-        .filter(|now| standing.should_ask(*now, ASK_PAUSE_MS))
+        .filter(|now| health.should_probe(*now, PROBE_INTERVAL_MS))
         .count();
     expect_that!(probes, le(9));
-    standing.asked_anew();
-    expect_true!(standing.should_ask(31_000, ASK_PAUSE_MS));
+    health.reset_probe_backoff();
+    expect_true!(health.should_probe(31_000, PROBE_INTERVAL_MS));
 }
 
 /// A runner fails in an idle chain with passes of 20 ms, and in one in prefill with passes of 80 to
@@ -177,17 +177,17 @@
     let mut runners = Runners::default();
     let entry = runner("a", "east", "l4");
     runners.put(&entry);
-    let standing = runners.standing_mut(&entry.id).expect("known");
-    expect_true!(standing.set_pace(12.0, 2_000));
-    expect_false!(standing.set_pace(1.0, 1_900));
-    expect_that!(standing.slowness(), eq(12.0));
-    expect_false!(standing.set_pace(12.1, 3_000));
-    expect_that!(standing.pace_changed_since(2_500), none());
-    expect_true!(standing.set_pace(1.0, 4_000));
-    expect_that!(standing.pace_changed_since(3_900), some(eq((1.0, 4_000))));
+    let health = runners.health_mut(&entry.id).expect("known");
+    expect_true!(health.set_pace(12.0, 2_000));
+    expect_false!(health.set_pace(1.0, 1_900));
+    expect_that!(health.slowness(), eq(12.0));
+    expect_false!(health.set_pace(12.1, 3_000));
+    expect_that!(health.pace_changed_since(2_500), none());
+    expect_true!(health.set_pace(1.0, 4_000));
+    expect_that!(health.pace_changed_since(3_900), some(eq((1.0, 4_000))));
     // Another instance probed it a moment ago and shared the result, so no probe is due.
-    expect_false!(standing.should_ask(4_300, ASK_PAUSE_MS));
-    expect_true!(standing.should_ask(4_700, ASK_PAUSE_MS));
+    expect_false!(health.should_probe(4_300, PROBE_INTERVAL_MS));
+    expect_true!(health.should_probe(4_700, PROBE_INTERVAL_MS));
 }
 
 /// A runner that was partitioned answers one instance again. The others must probe it as soon as
@@ -197,17 +197,17 @@
     let mut runners = Runners::default();
     let entry = runner("a", "east", "l4");
     runners.put(&entry);
-    let standing = runners.standing_mut(&entry.id).expect("known");
-    standing.dead = true;
+    let health = runners.health_mut(&entry.id).expect("known");
+    health.dead = true;
     (0..5).for_each(|i| {
-        standing.should_ask(i * 10_000, ASK_PAUSE_MS);
+        health.should_probe(i * 10_000, PROBE_INTERVAL_MS);
     });
-    expect_false!(standing.should_ask(41_000, ASK_PAUSE_MS));
-    standing.ask_soon();
-    expect_true!(standing.should_ask(41_000, ASK_PAUSE_MS));
-    standing.answers_again(41_010);
-    expect_true!(standing.answers_since(41_000));
-    expect_false!(standing.answers_since(41_500));
+    expect_false!(health.should_probe(41_000, PROBE_INTERVAL_MS));
+    health.probe_soon();
+    expect_true!(health.should_probe(41_000, PROBE_INTERVAL_MS));
+    health.mark_recovered(41_010);
+    expect_true!(health.recovered_since(41_000));
+    expect_false!(health.recovered_since(41_500));
 }
 
 #[gtest]
--- a/policy/tests/relay_placement.rs
+++ b/policy/tests/relay_placement.rs
@@ -215,9 +215,9 @@
     domain(&mut runners, "north", &counts);
     settle(&mut runners);
     let id = Name::from("north-a100-0");
-    let standing = runners.standing_mut(&id).expect("placed");
-    standing.dead = true;
-    standing.dead_since_ms = 10_000;
+    let health = runners.health_mut(&id).expect("placed");
+    health.dead = true;
+    health.dead_since_ms = 10_000;
     let plan_at = |now| plan(&runners, SERVICE, &engine(), &BTreeMap::new(), now);
     expect_that!(plan_at(10_300).len(), le(4));
     expect_that!(plan_at(11_000).len(), ge(8));
@@ -277,7 +277,7 @@
         runners.put(&entry);
     }
     expect_true!(found(&runners)[0].has("b"));
-    let slow = runners.standing_mut(&Name::from("b")).expect("known");
+    let slow = runners.health_mut(&Name::from("b")).expect("known");
     expect_true!(slow.set_pace(12.0, 1));
     expect_true!(found(&runners)[0].has("c"));
 }
@@ -297,8 +297,8 @@
         let slow = stage.runner.id.clone();
         let mut runners = runners.clone();
         let pace = |runners: &mut Runners, pace, at_ms| {
-            let standing = runners.standing_mut(&slow).expect("known");
-            expect_true!(standing.set_pace(pace, at_ms));
+            let health = runners.health_mut(&slow).expect("known");
+            expect_true!(health.set_pace(pace, at_ms));
         };
         pace(&mut runners, 12.0, 1);
         let before = found(&runners).remove(0);
@@ -330,12 +330,12 @@
     let mut entry = runner("a", "east", "a100");
     entry.layers = Some((0, 80));
     runners.put(&entry);
-    runners.standing_mut(&entry.id).expect("known").misreported = Some((0, 80));
+    runners.health_mut(&entry.id).expect("known").misreported = Some((0, 80));
     expect_that!(found(&runners), is_empty());
     entry.layers = Some((0, 79));
     runners.put(&entry);
     entry.layers = Some((0, 80));
-    runners.standing_mut(&entry.id).expect("known").misreported = None;
+    runners.health_mut(&entry.id).expect("known").misreported = None;
     runners.put(&entry);
     expect_that!(found(&runners).len(), eq(1));
 }
@@ -440,7 +440,7 @@
     let all: Vec<RunnerEntry> = runners.entries().cloned().collect();
     let (first, lost) = (all[0].clone(), all[1].id.clone());
 
-    runners.store_is_back(10_000);
+    runners.store_recovered(10_000);
     runners.replace(vec![first], 10_000);
     let plan_at = |runners: &Runners, now| plan(runners, SERVICE, &engine(), &BTreeMap::new(), now);
     expect_that!(plan_at(&runners, 10_100), is_empty());
@@ -450,8 +450,8 @@
     for entry in all.iter().filter(|e| e.id != lost) {
         runners.put(entry);
     }
-    expect_false!(runners.expire(12_000));
-    expect_true!(runners.expire(12_300));
+    expect_false!(runners.expire_lapsed(12_000));
+    expect_true!(runners.expire_lapsed(12_300));
     expect_that!(runners.entry(&lost), none());
     expect_that!(runners.entries().count(), eq(all.len() - 1));
     expect_true!(runners.remove(&all[2].id, 12_400));
@@ -484,7 +484,7 @@
     }
     let first = found(&runners)[0].head().id.clone();
     let limit = |runners: &mut Runners, id: &Name| {
-        runners.standing_mut(id).expect("a runner").limited = true;
+        runners.health_mut(id).expect("a runner").limited = true;
     };
     limit(&mut runners, &first);
     let second = found(&runners)[0].head().id.clone();
--- a/policy/tests/relay_rules.rs
+++ b/policy/tests/relay_rules.rs
@@ -421,12 +421,12 @@
     let mut runners = Runners::default();
     let mut entry = runner("a", "east", "a100");
     runners.put(&entry);
-    runners.standing_mut(&entry.id).expect("known").dead = true;
+    runners.health_mut(&entry.id).expect("known").dead = true;
     runners.put(&entry);
-    expect_true!(runners.standing("a").dead);
+    expect_true!(runners.health("a").dead);
     entry.born_ms = 2;
     runners.put(&entry);
-    expect_false!(runners.standing("a").dead);
+    expect_false!(runners.health("a").dead);
     runners.replace(Vec::new(), 0);
     expect_that!(runners.entry("a"), none());
 }
@@ -438,10 +438,10 @@
         runners.put(&runner(id, "east", "l4"));
     }
     for _ in 0..10 {
-        runners.seen("a", true, 0);
+        runners.record_outcome("a", true, 0);
     }
     let first = |now| {
-        let ranked = runners.plain(support::SERVICE, "east", now, || 0);
+        let ranked = runners.service_candidates(support::SERVICE, "east", now, || 0);
         assert_eq!(ranked.len(), 2);
         ranked[0].id.to_string()
     };
@@ -457,9 +457,9 @@
     let mut runners = Runners::default();
     let entry = runner("a", "d", "a100");
     runners.put(&entry);
-    expect_false!(runners.leaves("a", entry.born_ms + 1));
-    expect_true!(runners.leaves("a", entry.born_ms));
-    expect_false!(runners.leaves("a", entry.born_ms));
+    expect_false!(runners.mark_draining("a", entry.born_ms + 1));
+    expect_true!(runners.mark_draining("a", entry.born_ms));
+    expect_false!(runners.mark_draining("a", entry.born_ms));
     let known = runners.entry("a").expect("known").clone();
     expect_false!(runners.usable(&known, 0));
 }
