--- a/policy/src/relay/runners.rs
+++ b/policy/src/relay/runners.rs
@@ -1,9 +1,9 @@
-//! What is known of each runner: its own word in the store, and what requests showed.
+//! Registry of runners: their entries in the store, and their health as observed by this instance.
 //!
-//! A runner's entry outlives it by seconds, and a runner whose lease in the store lapsed may live.
-//! So besides its entry each runner has a standing of this instance's own: what its refusals,
-//! silences and answers to probes showed. A standing holds for one lifetime of the runner and is
-//! forgotten when a new one begins.
+//! An entry outlives its runner by seconds, and a runner whose lease in the store lapsed may be
+//! alive. Besides the entry of each runner, this instance therefore tracks the runner's health,
+//! derived from refusals, silences and answers to probes. The health applies to one lifetime of the
+//! runner and is reset when a new one begins.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,10 +14,10 @@
 use crate::relay::lifetime::Lifetime;
 use crate::relay::quarantine::LifetimeState;
 
-/// A runner as it describes itself.
+/// Entry of a runner in the store, written by the runner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunnerEntry {
-    /// Identity, which requests name so that nobody else at the address runs them.
+    /// Identity, which requests name so that no other process at the address runs them.
     pub id: Name,
     /// Service.
     pub service: Name,
@@ -25,156 +25,163 @@
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: Name,
-    /// Whether it is leaving.
+    /// Whether it is draining.
     pub draining: bool,
-    /// Unix time of its start, in milliseconds: one value a lifetime.
+    /// Unix time of its start, in milliseconds; identifies its lifetime.
     pub born_ms: u64,
-    /// Kind of accelerator.
+    /// Accelerator type.
     pub kind: Option<Name>,
-    /// Layers held: first, and one past the last.
+    /// Range of layers held, the end exclusive.
     pub layers: Option<(u32, u32)>,
 }
 
 impl RunnerEntry {
-    /// Layers held.
+    /// Returns the number of layers held.
     #[must_use]
     pub fn held(&self) -> u32 {
         self.layers.map_or(0, |(from, to)| to.saturating_sub(from))
     }
 }
 
-/// What this instance learnt of a runner by itself.
+/// Health of a runner as known to this instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RunnerHealth {
-    /// Lifetime that this holds for.
+    /// Lifetime that this applies to.
     pub born_ms: u64,
-    /// Not to be used before this time, in milliseconds.
+    /// Time before which the runner gets no requests, in milliseconds.
     pub avoid_until_ms: Millis,
-    /// It answers nothing.
+    /// Whether it is considered dead.
     pub dead: bool,
-    /// When that was found, in milliseconds.
+    /// When it was found dead, in milliseconds.
     pub dead_since_ms: Millis,
-    /// Whether this instance found it by itself, and did not believe others.
+    /// Whether this instance found it dead itself, rather than by a quorum of reports.
     pub found_locally: bool,
-    /// It refused a part of this range, which its entry still names.
+    /// Range of layers that its entry still lists although it refused a request for part of it.
     pub misreported: Option<(u32, u32)>,
-    /// It names a rate beyond which it gets no requests.
+    /// Whether it advertises a rate limit.
     pub limited: bool,
-    /// Orders that it has accepted, where that is known.
+    /// Number of orders that it has accepted, if known.
     pub orders: Option<u64>,
-    /// Share of recent requests that it failed, 0 to 1, at the last of them.
+    /// Moving average of failed requests, 0 to 1, as of the last request.
     pub failure_rate: f64,
-    /// When that was, in milliseconds.
+    /// When the last request ended, in milliseconds.
     pub failure_rate_ms: Millis,
-    /// Requests in flight there from this instance.
+    /// Requests of this instance in flight at the runner.
     pub in_flight: u32,
-    /// How slow it said to be when last asked, and when that was; 1 is as declared.
+    /// Reported pace and the time of the report. 1 is the declared speed, 2 half of it.
     pace: Option<(f64, Millis)>,
+    /// When the pace last changed by [`PACE_STEP`], in milliseconds.
     pace_changed_ms: Option<Millis>,
-    /// When it answered again after it counted as dead, in milliseconds.
-    answers_since_ms: Option<Millis>,
-    /// When it was last asked for its report apart from its chain, and how often since it was
-    /// doubted.
-    asked_ms: Option<Millis>,
-    asks: u32,
+    /// When it answered again after it was considered dead, in milliseconds.
+    recovered_ms: Option<Millis>,
+    /// When it was last probed on its own, apart from its chain, in milliseconds.
+    probed_ms: Option<Millis>,
+    /// Number of such probes since the backoff was last reset.
+    probes: u32,
 }
 
-/// Change of a runner's pace that chains are worked out anew for.
+/// Change of a runner's pace from which on chains are rebuilt.
 const PACE_STEP: f64 = 0.5;
 
-/// Pause between two reports asked of a doubted runner where there are few instances, and the longest
-/// one, in milliseconds: twice as long each time. A runner that is gone for good is asked by every
-/// instance until its entry goes.
+/// Interval between the first two probes of a suspected runner in a small fleet, in milliseconds.
+/// It doubles with each probe, since a runner that is gone for good is probed by every instance
+/// until its entry is removed.
 pub const PROBE_INTERVAL_MS: Millis = 700;
-const LONGEST_ASK_PAUSE_MS: Millis = 5_600;
-const MOST_DOUBLINGS: u32 = 3;
 
-/// Pause between two reports asked by an instance that leaves the questions to others, in milliseconds.
-const SELDOM_MS: Millis = 12_000;
+/// Maximum interval between two probes, in milliseconds.
+const MAX_PROBE_INTERVAL_MS: Millis = 5_600;
+
+/// Maximum number of doublings of the interval.
+const MAX_DOUBLINGS: u32 = 3;
+
+/// Interval between two probes by an instance that leaves probing to others, in milliseconds.
+const RARE_PROBE_INTERVAL_MS: Millis = 12_000;
 
 impl RunnerHealth {
-    /// Whether the runner is to be asked for its report now, `pause` milliseconds after the last time
-    /// or later; remembers that it was.
-    pub fn should_probe(&mut self, now: Millis, pause: Millis) -> bool {
-        let pause = (pause << self.asks.min(MOST_DOUBLINGS)).min(LONGEST_ASK_PAUSE_MS);
-        let due = self.asked_ms.is_none_or(|at| now >= at + pause);
+    /// Returns whether the runner is to be probed now, and records the probe if so. `interval` is
+    /// the interval between the first two probes in milliseconds, to which exponential backoff
+    /// applies.
+    pub fn should_probe(&mut self, now: Millis, interval: Millis) -> bool {
+        let interval = (interval << self.probes.min(MAX_DOUBLINGS)).min(MAX_PROBE_INTERVAL_MS);
+        let due = self.probed_ms.is_none_or(|at| now >= at + interval);
         if due {
-            self.asked_ms = Some(now);
-            self.asks += 1;
+            self.probed_ms = Some(now);
+            self.probes += 1;
         }
         due
     }
 
-    /// The same for an instance that leaves the questions to others: they may be lost, or their word.
+    /// Does the same for an instance that leaves probing to others, which may be lost, or whose
+    /// messages may be lost.
     pub fn should_probe_rarely(&mut self, now: Millis) -> bool {
-        let since = self.asked_ms.max(Some(self.dead_since_ms));
-        let due = since.is_none_or(|at| now >= at + SELDOM_MS);
+        let since = self.probed_ms.max(Some(self.dead_since_ms));
+        let due = since.is_none_or(|at| now >= at + RARE_PROBE_INTERVAL_MS);
         if due {
-            self.asked_ms = Some(now);
+            self.probed_ms = Some(now);
         }
         due
     }
 
-    /// It answers again at `now`.
+    /// Records that the runner answers again at `now`.
     pub fn mark_recovered(&mut self, now: Millis) {
         self.dead = false;
-        self.answers_since_ms = Some(now);
+        self.recovered_ms = Some(now);
         self.reset_probe_backoff();
     }
 
-    /// Whether it began to answer again after `since_ms`.
+    /// Returns whether it is alive and recovered at or after `since_ms`.
     #[must_use]
     pub fn recovered_since(&self, since_ms: Millis) -> bool {
-        !self.dead && self.answers_since_ms.is_some_and(|at| at >= since_ms)
+        !self.dead && self.recovered_ms.is_some_and(|at| at >= since_ms)
     }
 
-    /// Since when it answers again after it counted as dead, in milliseconds.
+    /// Returns when it recovered after it was considered dead, in milliseconds.
     #[must_use]
     pub fn recovered_ms(&self) -> Option<Millis> {
-        self.answers_since_ms.filter(|_| !self.dead)
+        self.recovered_ms.filter(|_| !self.dead)
     }
 
-    /// It answers another instance again: it is asked at the next occasion.
+    /// Makes the next probe due at once, since the runner answers another instance again.
     pub fn probe_soon(&mut self) {
-        self.asked_ms = None;
-        self.asks = 0;
+        self.probed_ms = None;
+        self.probes = 0;
     }
 
-    /// It answered, or somebody found it dead anew: the next question need not wait long.
+    /// Resets the probe backoff after an answer or a new failure report.
     pub fn reset_probe_backoff(&mut self) {
-        self.asks = 0;
+        self.probes = 0;
     }
 
-    /// Share of recent requests that it failed. It fades with time: a runner that nobody sends
-    /// anything could never show that it is well again.
+    /// Returns the share of recent requests that failed. It decays with time, since a runner that
+    /// gets no requests could never show that it is healthy again.
     #[must_use]
     pub fn failure_rate_at(&self, now: Millis) -> f64 {
         let passed = now.saturating_sub(self.failure_rate_ms) as f64;
-        self.failure_rate * 0.5_f64.powf(passed / FAILING_HALF_MS)
+        self.failure_rate * 0.5_f64.powf(passed / FAILURE_HALF_LIFE_MS)
     }
 
-    /// How many times as long as declared its work takes; never less than 1.
+    /// Returns the factor by which its work takes longer than declared; at least 1.
     #[must_use]
     pub fn slowness(&self) -> f64 {
         self.pace.map_or(1.0, |(pace, _)| pace).max(1.0)
     }
 
-    /// How slow it said to be when last asked; 1 is as declared.
+    /// Returns its reported pace; 1 is the declared speed.
     #[must_use]
     pub fn pace(&self) -> Option<f64> {
         self.pace.map(|(pace, _)| pace)
     }
 
-    /// It said at `at_ms` how slow it is; whether that is newer than what is known and changes what
-    /// chains are worked out from.
+    /// Records a pace reported at `at_ms`. Returns whether it is newer than the known one and
+    /// differs enough for chains to be rebuilt.
     pub fn set_pace(&mut self, pace: f64, at_ms: Millis) -> bool {
         if self.pace.is_some_and(|(_, known_ms)| at_ms <= known_ms) {
             return false;
         }
         let before = self.slowness();
         self.pace = Some((pace, at_ms));
-        self.asked_ms = self.asked_ms.max(Some(at_ms));
-        self.asks = 0;
+        self.probed_ms = self.probed_ms.max(Some(at_ms));
+        self.probes = 0;
         let changed = (self.slowness() - before).abs() >= PACE_STEP;
         if changed {
             self.pace_changed_ms = Some(at_ms);
@@ -182,94 +189,97 @@
         changed
     }
 
-    /// How slow it said to be, and when, if that changed after `since_ms`.
+    /// Returns its pace and the time of the report if the pace changed at or after `since_ms`.
     #[must_use]
     pub fn pace_changed_since(&self, since_ms: Millis) -> Option<(f64, Millis)> {
         self.pace
             .filter(|_| self.pace_changed_ms.is_some_and(|at| at >= since_ms))
     }
 
-    /// Whether it is so slow that it should be asked whether it still is.
+    /// Returns whether it is so slow that it is to be probed for its pace.
     #[must_use]
     pub fn is_slow(&self) -> bool {
         self.slowness() >= 1.0 + PACE_STEP
     }
 }
 
-/// Weight of the newest request in a runner's share of failures.
-const FAILING_WEIGHT: f64 = 0.2;
+/// Weight of the newest request in a runner's failure rate.
+const FAILURE_WEIGHT: f64 = 0.2;
 
-/// Time in which a runner's share of failures fades to a half, in milliseconds.
-const FAILING_HALF_MS: f64 = 2_000.0;
+/// Half-life of a runner's failure rate, in milliseconds.
+const FAILURE_HALF_LIFE_MS: f64 = 2_000.0;
 
-/// Share of failures from which on others are preferred.
-const FAILING_LIMIT: f64 = 0.3;
+/// Failure rate above which other runners are preferred.
+const FAILURE_RATE_LIMIT: f64 = 0.3;
 
-/// Time after the store's return in which runners write their entries anew, in milliseconds, with
-/// some to spare: those whose lease lapsed meanwhile are back within two seconds if they live.
-const LAPSED_MS: Millis = 2_200;
+/// Time after a recovery of the store in which runners register again, in milliseconds. Live
+/// runners whose leases lapsed in the meantime are back within two seconds; the rest is a margin.
+const REREGISTRATION_MS: Millis = 2_200;
 
-/// How long something is known of a runner without an entry, in milliseconds: longer than requests
-/// last.
-const PARTED_KEPT_MS: Millis = 120_000;
+/// How long the health of a runner without an entry is retained, in milliseconds: longer than any
+/// request lasts.
+const REMOVED_RETENTION_MS: Millis = 120_000;
 
 /// Runners by identity.
 #[derive(Clone, Debug, Default)]
 pub struct Runners {
     entries: BTreeMap<Name, RunnerEntry>,
     health: BTreeMap<Name, RunnerHealth>,
-    /// Runners without an entry of which something is still known, and until when.
-    parted: BTreeMap<Name, Millis>,
-    /// Runners whose entry lapsed, and until when they are taken to live.
+    /// Runners without an entry, and until when their health is retained.
+    removed: BTreeMap<Name, Millis>,
+    /// Runners whose entry lapsed, and until when they are considered alive.
     lapsed: BTreeMap<Name, Millis>,
-    /// Until when entries of living runners may be missing.
+    /// Time until which entries of live runners may be missing, in milliseconds.
     incomplete_until_ms: Millis,
 }
 
 impl Runners {
-    /// The store answers anew, or for the first time: entries may be missing for a while.
+    /// Records that the store answers again, or for the first time. Entries may be missing for a
+    /// while.
     ///
-    /// Taken for gone at once, most runners of a fleet vanish as the store comes back from an
-    /// outage, and the rest are told to hold what the others still hold.
+    /// If these runners were removed at once, most of a fleet would vanish when the store recovers
+    /// from an outage, and the rest would be ordered to load the layers that the others still hold.
     pub fn store_recovered(&mut self, now: Millis) {
-        self.incomplete_until_ms = now + LAPSED_MS;
+        self.incomplete_until_ms = now + REREGISTRATION_MS;
     }
 
-    /// Whether every living runner has its entry.
+    /// Returns whether every live runner has had time to register.
     #[must_use]
     pub fn is_complete(&self, now: Millis) -> bool {
         now >= self.incomplete_until_ms
     }
 
-    /// Forgets runners whose entry lapsed and did not come back; whether there were any.
+    /// Removes runners whose entry lapsed and that did not register again. Returns whether there
+    /// were any.
     pub fn expire_lapsed(&mut self, now: Millis) -> bool {
-        let over = self.lapsed.iter().filter(|(_, until)| now >= **until);
-        let gone: Vec<Name> = over.map(|(id, _)| id.clone()).collect();
+        let expired = self.lapsed.iter().filter(|(_, until)| now >= **until);
+        let gone: Vec<Name> = expired.map(|(id, _)| id.clone()).collect();
         for id in &gone {
-            self.part_with(id, now);
+            self.remove_entry(id, now);
         }
         !gone.is_empty()
     }
 
-    /// Requests may pass through a runner after its entry is gone, so that it must still be possible to
-    /// find it dead.
-    fn part_with(&mut self, id: &Name, now: Millis) -> bool {
-        let over = self.parted.extract_if(.., |_, until| now >= *until);
-        for (id, _) in over {
+    /// Removes the entry of a runner; returns whether there was one. The health is retained for a
+    /// while: requests may still pass through the runner, so it must still be possible to find it
+    /// dead.
+    fn remove_entry(&mut self, id: &Name, now: Millis) -> bool {
+        let expired = self.removed.extract_if(.., |_, until| now >= *until);
+        for (id, _) in expired {
             self.health.remove(&id);
         }
         self.lapsed.remove(id);
-        let had = self.entries.remove(id).is_some();
-        if had {
-            self.parted.insert(id.clone(), now + PARTED_KEPT_MS);
+        let had_entry = self.entries.remove(id).is_some();
+        if had_entry {
+            self.removed.insert(id.clone(), now + REMOVED_RETENTION_MS);
         }
-        had
+        had_entry
     }
 
-    /// Takes in an entry; whether anything changed that a chain depends on.
+    /// Adds or replaces an entry. Returns whether the entry changed.
     pub fn put(&mut self, entry: &RunnerEntry) -> bool {
         self.lapsed.remove(&entry.id);
-        self.parted.remove(&entry.id);
+        self.removed.remove(&entry.id);
         let health = self.health.entry(entry.id.clone()).or_default();
         if health.born_ms != entry.born_ms {
             let in_flight = health.in_flight;
@@ -283,7 +293,8 @@
         old.as_ref() != Some(entry)
     }
 
-    /// Another instance heard that a runner leaves; whether that is news.
+    /// Marks a runner as draining by a report of another instance. Returns whether it was not
+    /// known.
     pub fn mark_draining(&mut self, id: &str, born_ms: u64) -> bool {
         let entry = self.entries.get_mut(id);
         let Some(entry) = entry.filter(|e| e.born_ms == born_ms && !e.draining) else {
@@ -293,10 +304,11 @@
         true
     }
 
-    /// A runner's entry is gone at `now`; whether the runner is taken to be gone as well.
+    /// Records that a runner's entry was removed from the store. Returns whether the runner is
+    /// removed as well; while entries may be missing, the runner is kept as lapsed.
     pub fn remove(&mut self, id: &Name, now: Millis) -> bool {
         if self.is_complete(now) {
-            return self.part_with(id, now);
+            return self.remove_entry(id, now);
         }
         if self.entries.contains_key(id) {
             let until = self.incomplete_until_ms;
@@ -305,7 +317,7 @@
         false
     }
 
-    /// Takes over a whole list at `now`: what it lacks is gone.
+    /// Replaces all entries by a complete list read at `now`. Entries that it lacks are removed.
     pub fn replace(&mut self, list: Vec<RunnerEntry>, now: Millis) {
         let ids: std::collections::BTreeSet<Name> = list.iter().map(|e| e.id.clone()).collect();
         let gone: Vec<Name> = self
@@ -322,35 +334,35 @@
         }
     }
 
-    /// Entries in the order of identities.
+    /// Returns the entries, ordered by identity.
     pub fn entries(&self) -> impl Iterator<Item = &RunnerEntry> {
         self.entries.values()
     }
 
-    /// One entry.
+    /// Returns the entry of a runner.
     #[must_use]
     pub fn entry(&self, id: &str) -> Option<&RunnerEntry> {
         self.entries.get(id)
     }
 
-    /// The runner at an address.
+    /// Returns the entry of the runner at an address.
     #[must_use]
     pub fn at(&self, address: SocketAddr) -> Option<&RunnerEntry> {
         self.entries.values().find(|e| e.address == address)
     }
 
-    /// Health of a runner.
+    /// Returns the health of a runner.
     #[must_use]
     pub fn health(&self, id: &str) -> RunnerHealth {
         self.health.get(id).copied().unwrap_or_default()
     }
 
-    /// Health of a runner, to be changed.
+    /// Returns the health of a runner for modification.
     pub fn health_mut(&mut self, id: &Name) -> Option<&mut RunnerHealth> {
         self.health.get_mut(id)
     }
 
-    /// What is known of one lifetime of a runner.
+    /// Returns what is known of a lifetime of a runner.
     #[must_use]
     pub fn lifetime_state(&self, l: &Lifetime) -> LifetimeState {
         let s = self.health(&l.runner);
@@ -365,24 +377,24 @@
         }
     }
 
-    /// A request's outcome at a runner.
+    /// Records the outcome of a request at a runner.
     pub fn record_outcome(&mut self, id: &str, failed: bool, now: Millis) {
         if let Some(s) = self.health.get_mut(id) {
             let sample = if failed { 1.0 } else { 0.0 };
             let before = s.failure_rate_at(now);
-            s.failure_rate = before + FAILING_WEIGHT * (sample - before);
+            s.failure_rate = before + FAILURE_WEIGHT * (sample - before);
             s.failure_rate_ms = now;
         }
     }
 
-    /// Whether a runner may be sent new work at `now`.
+    /// Returns whether a runner may be sent new requests at `now`.
     #[must_use]
     pub fn usable(&self, entry: &RunnerEntry, now: Millis) -> bool {
         let s = self.health(&entry.id);
         !entry.draining && !s.dead && now >= s.avoid_until_ms
     }
 
-    /// Whether what a runner says it holds may be believed at `now`.
+    /// Returns whether the layers in a runner's entry can be relied on at `now`.
     #[must_use]
     pub fn holds_layers(&self, entry: &RunnerEntry, now: Millis) -> bool {
         let s = self.health(&entry.id);
@@ -391,9 +403,10 @@
             && s.misreported.is_none_or(|m| entry.layers != Some(m))
     }
 
-    /// Runners of a plain service that may take a request, best first: those that answer well,
-    /// then the least busy, then those of the own failure domain. `draw` breaks ties so that
-    /// instances do not all choose the same.
+    /// Returns the runners of a plain service that may take a request, best first: those with a low
+    /// failure rate, then the least busy, where a runner outside the failure domain `domain` counts
+    /// as one request busier. `draw` breaks ties at random, so that instances do not all choose the
+    /// same.
     pub fn service_candidates(
         &self,
         service: &str,
@@ -406,7 +419,7 @@
         let mut ranked: Vec<_> = usable
             .map(|e| {
                 let s = self.health(&e.id);
-                let failing = s.failure_rate_at(now) > FAILING_LIMIT;
+                let failing = s.failure_rate_at(now) > FAILURE_RATE_LIMIT;
                 let elsewhere = *e.domain != *domain;
                 ((failing, s.in_flight + u32::from(elsewhere), draw()), e)
             })
