--- a/policy/src/relay.rs
+++ b/policy/src/relay.rs
@@ -4,22 +4,22 @@
 //! | module | decides |
 //! |---|---|
 //! | [`intent`] | which configuration is in force, which route a request takes, whose key it bears |
-//! | [`following`] | how closely an instance follows the store |
-//! | [`vouch`] | whether this instance may still act on that configuration |
-//! | [`runners`] | what is known of each runner |
-//! | [`lifetime`] | (a type) one lifetime of a runner |
+//! | [`following`] | how often an instance calls the store, and which instances watch it for others |
+//! | [`vouch`] | whether the configuration is confirmed recently enough to act on it |
+//! | [`runners`] | entries and health of the runners |
+//! | [`lifetime`] | (a type) a lifetime of a runner |
 //! | [`revision`] | (a type) a revision of the store |
 //! | [`chain`] | through which runners a token passes |
 //! | [`placement`] | which runner is to hold which layers |
-//! | [`lease`] | which instance gives orders |
-//! | [`silence`] | when a chain has fallen silent |
-//! | [`words`] | whether a runner is dead that others found dead, and who asks it |
+//! | [`lease`] | which instance gives orders to runners |
+//! | [`silence`] | when a chain is silent or slow and its runners are probed, and which of them is dead |
+//! | [`words`] | whether a quorum reports a runner dead, and which instances probe it |
 //! | [`rooms`] | which chain a request goes to, waits for, or is refused by |
 //! | [`limits`] | how much of the rate that a runner names an instance may send it |
 //! | [`loads`] | what all instances have in flight, and which of it goes round |
 //! | [`attempts`] | on which runners one request may run |
-//! | [`fingerprint`] | which attempts are of the same request |
-//! | [`quarantine`] | which requests end the runners that run them, and are sent to no more |
+//! | [`fingerprint`] | (a type) which attempts are of the same request |
+//! | [`quarantine`] | which requests crash runners and are not sent to any more of them |
 //! | [`spending`] | whether a request may be sent once more |
 //!
 //! None of them reads a clock or a socket.
--- a/policy/src/relay/fingerprint.rs
+++ b/policy/src/relay/fingerprint.rs
@@ -1,22 +1,23 @@
-//! What is the same in all attempts of one request.
+//! Fingerprint that identifies a request across attempts.
 //!
-//! Each attempt of a caller has an id of its own and may come at any instance. What tells that it is
-//! the same request is who sends it, to which path, and its body.
+//! Each attempt of a caller has its own id and may arrive at any instance. Attempts are of the same
+//! request if they agree in the organisation, the host, the path and the body.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes kept of the hash: enough that nobody finds two requests with the same.
+/// Bytes kept of the hash: enough to be collision-resistant.
 const BYTES: usize = 16;
 
-/// Hash of a request's caller, path and body.
+/// Hash of a request's organisation, host, path and body.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[display("{}", hex::encode(_0))]
 pub struct Fingerprint([u8; BYTES]);
 
 impl Fingerprint {
-    /// The fingerprint of a request of `organisation`, if it has one, to `path` of `host`.
+    /// Returns the fingerprint of a request to `path` of `host`, sent by `organisation` if it has
+    /// one.
     #[must_use]
     pub fn of(organisation: Option<&str>, host: &str, path: &str, body: &[u8]) -> Fingerprint {
         let mut hash = Sha256::new();
--- a/policy/src/relay/lifetime.rs
+++ b/policy/src/relay/lifetime.rs
@@ -1,11 +1,12 @@
-//! One lifetime of a runner: it may start again under the identity that it had.
+//! Lifetimes of runners. A restarted runner may keep its identity, so that one identity has
+//! several.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::prelude::*;
 
-/// One lifetime of a runner.
+/// A lifetime of a runner, from a start of its process to the end.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[display("{runner}")]
 pub struct Lifetime {
--- a/policy/src/relay/revision.rs
+++ b/policy/src/relay/revision.rs
@@ -1,13 +1,13 @@
-//! Revisions of the store, which may come back from an older copy.
+//! Revisions of the store, ordered across restores from older copies.
 //!
-//! Then it gives revisions out again, and the same number names another change. Its answers name the era,
-//! which rises by one each time. So a revision is an era and a number, and one of a later era is later
-//! whatever its number.
+//! After a restore the store issues the same revision numbers again for other changes. Its answers
+//! carry an era, which grows by one with each restore. A revision is therefore an era and a number,
+//! and a revision of a later era is newer whatever its number.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// A revision of the store. The order of the fields is that of comparison.
+/// A revision of the store. The derived order depends on the order of the fields.
 #[derive(
     Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -15,6 +15,6 @@
 pub struct Revision {
     /// Era of the store.
     pub era: u64,
-    /// Number within it.
+    /// Number within the era.
     pub number: u64,
 }
--- a/policy/tests/silence.rs
+++ b/policy/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Which runners a stall speaks against.
+//! Blame of runners for stalled streams.
 
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
@@ -15,11 +15,11 @@
 
 const NO_REPORT: fn(&Name) -> Option<Millis> = |_| None;
 
-// The caller sees nothing: its stream is resumed. Runner 1 stops; runner 0 goes on with another
-// stream, so only runner 1 is blamed. A token that another stream had from runner 1 right after
-// this one's last proves nothing, since the runner stopped after it.
+// Runner 1 stops while runner 0 continues with another stream, so only runner 1 may be blamed; the
+// stalled stream is resumed elsewhere. A token of another stream from runner 1 right after the last
+// token of the stalled one proves nothing, since the runner stopped after it.
 #[gtest]
-fn a_runner_that_went_on_meanwhile_is_not_blamed() {
+fn a_runner_that_continued_other_streams_is_not_blamed() {
     let mut silences = Silences::default();
     silences.token(1_000, [id(0), id(1)].into_iter());
     silences.token(1_010, [id(1), id(2)].into_iter());
@@ -32,24 +32,28 @@
     );
 }
 
-// Nothing else ran, so both are blamed. A report of runner 0 from after the silence's middle
-// clears it, an older one does not; a token clears runner 1.
+// No other stream ran, so both runners are blamed. Runner 0 is cleared by a report from after the
+// middle of the silence, but not by an older one; runner 1 is cleared by a token.
 #[gtest]
-fn blame_ends_by_a_report_or_a_token() {
+fn a_report_or_a_token_ends_blame() {
     let mut silences = Silences::default();
     let blamed = silences.stalled(1_400, 1_000, route(&[0, 1]).into_iter());
     expect_that!(blamed, elements_are![eq(&id(0)), eq(&id(1))]);
-    let old = |_: &Name| Some(1_150);
-    expect_that!(silences.avoided(1_500, old).len(), eq(2));
-    let of_0 = |name: &Name| (**name == *"runner-0").then_some(1_300);
-    expect_that!(silences.avoided(1_600, of_0), elements_are![eq(&id(1))]);
+    let old_report = |_: &Name| Some(1_150);
+    expect_that!(silences.avoided(1_500, old_report).len(), eq(2));
+    let of_runner_0 = |name: &Name| (**name == *"runner-0").then_some(1_300);
+    expect_that!(
+        silences.avoided(1_600, of_runner_0),
+        elements_are![eq(&id(1))]
+    );
     silences.token(1_700, [id(1)].into_iter());
     expect_that!(silences.avoided(1_700, NO_REPORT).len(), eq(0));
 }
 
-// A runner that nobody hears of is tried again after a while: its observers may be cut off.
+// A blamed runner without any report is tried again after a while, since its observers may be
+// partitioned from it.
 #[gtest]
-fn blame_ends_by_itself() {
+fn blame_expires() {
     let mut silences = Silences::default();
     let _ = silences.stalled(1_400, 1_000, route(&[0]).into_iter());
     expect_that!(silences.avoided(7_399, NO_REPORT).len(), eq(1));
