--- a/plugins/relay/src/news.rs
+++ b/plugins/relay/src/news.rs
@@ -11,10 +11,10 @@
 use std::time::Duration;
 
 use jacinthweir_policy::prelude::*;
+use jacinthweir_policy::relay::failure_reports::FailureReport;
 use jacinthweir_policy::relay::limits::Statement;
 use jacinthweir_policy::relay::quarantine::CrashRecord;
 use jacinthweir_policy::relay::revision::Revision;
-use jacinthweir_policy::relay::words::FailureReport;
 use rand::seq::IteratorRandom;
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -18,12 +18,12 @@
     Action, Member, MemberDelta, MemberDigest, MemberRecord, Peer, ProbeOutcome,
 };
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::relay::following::{ChangeBatch, ConfirmScope, Watchers};
+use jacinthweir_policy::relay::failure_reports::FailureReport;
 use jacinthweir_policy::relay::lease::Bid;
 use jacinthweir_policy::relay::limits::Statement;
 use jacinthweir_policy::relay::loads::{HeadUse, Known, Load, ServiceCounts, Told};
 use jacinthweir_policy::relay::quarantine::CrashRecord;
-use jacinthweir_policy::relay::words::FailureReport;
+use jacinthweir_policy::relay::store_watch::{ChangeBatch, ConfirmScope, Watchers};
 use serde::{Deserialize, Serialize};
 use tokio::time::interval;
 
--- a/plugins/relay/src/probe.rs
+++ b/plugins/relay/src/probe.rs
@@ -10,10 +10,10 @@
 use jacinthweir_clients::direct::DirectError;
 use jacinthweir_platform::runner::Report;
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::relay::following;
+use jacinthweir_policy::relay::failure_reports::{self, Advice, FailureReport};
 use jacinthweir_policy::relay::runners::{PROBE_INTERVAL_MS, RunnerEntry, RunnerHealth};
 use jacinthweir_policy::relay::silence::ProbeRound;
-use jacinthweir_policy::relay::words::{self, Advice, FailureReport};
+use jacinthweir_policy::relay::store_watch;
 use tokio::time::sleep;
 
 use crate::live::LiveChain;
@@ -387,7 +387,7 @@
 fn doubted(node: &Node) -> Vec<Suspect> {
     let now = node.now();
     // What one instance hears it tells the others, so that each need ask less often where there are many.
-    let pause = following::scaled_interval_ms(PROBE_INTERVAL_MS, node.instances());
+    let pause = store_watch::scaled_interval_ms(PROBE_INTERVAL_MS, node.instances());
     let mut runners = node.runners.borrow_mut();
     let all: Vec<Suspect> = {
         let is_doubted = |s: &RunnerHealth| s.dead || s.is_slow();
@@ -398,7 +398,7 @@
     };
     let neighbours = peers::neighbours(node);
     let mut due = |id: &Name| {
-        let asks = words::is_prober(&node.settings.name, neighbours.iter(), id);
+        let asks = failure_reports::is_prober(&node.settings.name, neighbours.iter(), id);
         let health = runners.health_mut(id);
         health.is_some_and(|s| match asks || s.found_locally {
             true => s.should_probe(now, pause),
--- a/plugins/relay/src/watch.rs
+++ b/plugins/relay/src/watch.rs
@@ -2,7 +2,7 @@
 //!
 //! Each of the two is listed once and then watched from the list's revision, the runners by a few
 //! instances that tell the others. A watch brings a change at once; how long it waits without one is
-//! told by [`following`]. That nothing was missed is shown
+//! told by [`store_watch`]. That nothing was missed is shown
 //! by an answer, even an empty one, by a reading of the configuration when its confirmation is old,
 //! and by what other instances have seen. When the history is gone, or a call fails, it is listed
 //! again.
@@ -13,9 +13,9 @@
 use jacinthweir_platform::store::{Change, Changes, Object, StoreError};
 use jacinthweir_platform::{desired, runner};
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::relay::following::{self, ChangeBatch, ConfirmScope, RunnerChange};
 use jacinthweir_policy::relay::revision::Revision;
 use jacinthweir_policy::relay::runners::RunnerEntry;
+use jacinthweir_policy::relay::store_watch::{self, ChangeBatch, ConfirmScope, RunnerChange};
 use tokio::time::sleep;
 
 use crate::node::Node;
@@ -95,7 +95,7 @@
         note_era(node);
         let age = node.vouch.borrow().age_ms(node.now());
         let confirming = peers::confirming(node);
-        if !following::should_confirm(age, node.draw(), reading_ms, confirming) {
+        if !store_watch::should_confirm(age, node.draw(), reading_ms, confirming) {
             continue;
         }
         let sent = node.now();
@@ -192,8 +192,8 @@
             notified.await;
         }
         let wait = match what {
-            Followed::Configuration => following::catch_up_ms(node.instances()),
-            Followed::Runners => following::catch_up_ms(1),
+            Followed::Configuration => store_watch::catch_up_ms(node.instances()),
+            Followed::Runners => store_watch::catch_up_ms(1),
         };
         sleep(Duration::from_millis(wait)).await;
         if what.is_behind(node) {
@@ -250,7 +250,7 @@
         ConfirmScope::Domain => PAUSE_BOUND_MS,
         ConfirmScope::Own => LATE_PAUSE_BOUND_MS,
     };
-    following::scaled_interval_ms(LONGEST_PAUSE_MS, node.instances()).min(bound)
+    store_watch::scaled_interval_ms(LONGEST_PAUSE_MS, node.instances()).min(bound)
 }
 
 /// Waits after a failed call for `ms` milliseconds, or until others hear the store again that was lost at
@@ -327,7 +327,7 @@
         let wait = match what {
             Followed::Runners => rest(node).await,
             Followed::Configuration => {
-                following::scaled_interval_ms(CONFIGURATION_WAIT_MS, node.instances())
+                store_watch::scaled_interval_ms(CONFIGURATION_WAIT_MS, node.instances())
             }
         };
         if what == Followed::Runners {
@@ -377,10 +377,10 @@
 /// Changes that come within this time are read with one call, in milliseconds.
 fn gather_ms(node: &Node, what: Followed) -> Millis {
     match what {
-        Followed::Configuration => following::debounce_ms(node.instances()),
+        Followed::Configuration => store_watch::debounce_ms(node.instances()),
         Followed::Runners => {
             let gives_orders = node.lease.borrow().held(node.now()).is_some();
-            following::runners_debounce_ms(node.now(), gives_orders)
+            store_watch::runners_debounce_ms(node.now(), gives_orders)
         }
     }
 }
--- a/policy/src/relay.rs
+++ b/policy/src/relay.rs
@@ -4,8 +4,8 @@
 //! | module | decides |
 //! |---|---|
 //! | [`intent`] | which configuration is in force, which route a request takes, whose key it bears |
-//! | [`following`] | how often an instance calls the store, and which instances watch it for others |
-//! | [`vouch`] | whether the configuration is confirmed recently enough to act on it |
+//! | [`store_watch`] | how often an instance calls the store, and which instances watch it for others |
+//! | [`confirmation`] | whether the configuration is confirmed recently enough to act on it |
 //! | [`runners`] | entries and health of the runners |
 //! | [`lifetime`] | (a type) a lifetime of a runner |
 //! | [`revision`] | (a type) a revision of the store |
@@ -13,7 +13,7 @@
 //! | [`placement`] | which runner is to hold which layers |
 //! | [`lease`] | which instance gives orders to runners |
 //! | [`silence`] | when a chain is silent or slow and its runners are probed, and which of them is dead |
-//! | [`words`] | whether a quorum reports a runner dead, and which instances probe it |
+//! | [`failure_reports`] | whether a quorum reports a runner dead, and which instances probe it |
 //! | [`rooms`] | which chain a request goes to, waits for, or is refused by |
 //! | [`limits`] | how much of the rate that a runner names an instance may send it |
 //! | [`loads`] | what all instances have in flight, and which of it goes round |
@@ -26,8 +26,9 @@
 
 pub mod attempts;
 pub mod chain;
+pub mod confirmation;
+pub mod failure_reports;
 pub mod fingerprint;
-pub mod following;
 pub mod intent;
 pub mod lease;
 pub mod lifetime;
@@ -41,5 +42,4 @@
 pub mod runners;
 pub mod silence;
 pub mod spending;
-pub mod vouch;
-pub mod words;
+pub mod store_watch;
--- a/policy/tests/relay_words.rs
+++ b/policy/tests/relay_failure_reports.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::relay::words::{self, Advice, FailureReport, FailureReports};
+use jacinthweir_policy::relay::failure_reports::{self, Advice, FailureReport, FailureReports};
 use rand::SeedableRng;
 use rand::seq::IteratorRandom;
 use rand_chacha::ChaCha8Rng;
@@ -208,11 +208,15 @@
     let mut all_probers: BTreeSet<Name> = BTreeSet::new();
     for r in 0..20 {
         let runner = format!("i-{r}");
-        let is_prober = |n: &&Name| words::is_prober(n, domain.iter(), &runner);
+        let is_prober = |n: &&Name| failure_reports::is_prober(n, domain.iter(), &runner);
         let probers: Vec<&Name> = domain.iter().filter(is_prober).collect();
         expect_that!(probers.len(), eq(2));
         all_probers.extend(probers.into_iter().cloned());
     }
     expect_that!(all_probers.len(), ge(15));
-    expect_true!(words::is_prober(&domain[0], domain[..2].iter(), "i-1"));
+    expect_true!(failure_reports::is_prober(
+        &domain[0],
+        domain[..2].iter(),
+        "i-1"
+    ));
 }
--- a/policy/tests/relay_rules.rs
+++ b/policy/tests/relay_rules.rs
@@ -8,13 +8,13 @@
 use jacinthweir_policy::need::Need;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::attempts::Attempts;
+use jacinthweir_policy::relay::confirmation::ConfigConfirmation;
 use jacinthweir_policy::relay::intent::{
     CallClass, Intent, Offered, Organisation, Route, UnknownKey, compare,
 };
 use jacinthweir_policy::relay::rooms::{FILL, Refusals, Room, choose, demand};
 use jacinthweir_policy::relay::runners::Runners;
 use jacinthweir_policy::relay::spending::{Counts, Spending, SpendingConfig};
-use jacinthweir_policy::relay::vouch::ConfigConfirmation;
 use support::runner;
 
 fn route(name: &str, prefix: &str) -> Route {
--- a/policy/tests/relay_following.rs
+++ b/policy/tests/relay_store_watch.rs
@@ -2,11 +2,11 @@
 
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::relay::following::{
+use jacinthweir_policy::relay::revision::Revision;
+use jacinthweir_policy::relay::store_watch::{
     ChangeBatch, ConfirmScope, Outdated, PeerProgress, Watchers, catch_up_ms, debounce_ms,
     runners_debounce_ms, scaled_interval_ms, should_confirm,
 };
-use jacinthweir_policy::relay::revision::Revision;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
