--- a/plugins/relay/src/news.rs
+++ b/plugins/relay/src/news.rs
@@ -11,10 +11,10 @@
 use std::time::Duration;
 
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::relay::quarantine::Case;
+use jacinthweir_policy::relay::failure_reports::FailureReport;
+use jacinthweir_policy::relay::quarantine::CrashRecord;
 use jacinthweir_policy::relay::rate_limits::RateReport;
 use jacinthweir_policy::relay::revision::Revision;
-use jacinthweir_policy::relay::words::Word;
 use rand::seq::IteratorRandom;
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
@@ -67,7 +67,7 @@
         watch::heard_revision(node, self.runners_revision);
         let mut changed = false;
         for (id, born_ms) in &self.leaving {
-            if node.runners.borrow_mut().leaves(id, *born_ms) {
+            if node.runners.borrow_mut().mark_draining(id, *born_ms) {
                 log::info!(runner = id.as_ref(), born_ms; "another instance heard that the runner leaves");
                 node.note_leaving(id, *born_ms);
                 changed = true;
@@ -96,14 +96,14 @@
     domain: Name,
     seen: Seen,
     /// Runners that were found dead just now.
-    dead: Vec<Word>,
+    dead: Vec<FailureReport>,
     /// Runners that answer again, by identity and lifetime.
     alive: Vec<(Name, u64)>,
     /// Runners that turned slow or quick just now.
     paces: Vec<Pace>,
     /// Requests under which runners ended just now.
     #[serde(default)]
-    cases: Vec<Case>,
+    cases: Vec<CrashRecord>,
     /// Runners that named another rate just now.
     #[serde(default)]
     limits: Vec<RateReport>,
@@ -150,11 +150,11 @@
     let mut alive = Vec::new();
     let mut paces = Vec::new();
     for e in runners.entries() {
-        let standing = runners.standing(&e.id);
-        if standing.answers_since(since) {
+        let health = runners.health(&e.id);
+        if health.recovered_since(since) {
             alive.push((e.id.clone(), e.born_ms));
         }
-        if let Some((pace, at_ms)) = standing.pace_changed_since(since) {
+        if let Some((pace, at_ms)) = health.pace_changed_since(since) {
             paces.push(Pace {
                 runner: e.id.clone(),
                 born_ms: e.born_ms,
@@ -166,11 +166,15 @@
     News {
         domain: node.settings.failure_domain.clone(),
         seen: Seen::of(node),
-        dead: node.words.borrow().since(since).collect(),
+        dead: node.words.borrow().updated_since(since).collect(),
         alive,
         paces,
         limits: node.limits.borrow().recent_reports(NEW_MS, true, now),
-        cases: node.quarantine.borrow().told(NEW_MS, false, now).collect(),
+        cases: node
+            .quarantine
+            .borrow()
+            .updates(NEW_MS, false, now)
+            .collect(),
     }
 }
 
--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -11,8 +11,9 @@
 use jacinthweir_policy::membership::{Membership, MembershipConfig};
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::chain_selection::{ReleaseRate, Shortage};
+use jacinthweir_policy::relay::confirmation::ConfigConfirmation;
+use jacinthweir_policy::relay::failure_reports::FailureReports;
 use jacinthweir_policy::relay::fingerprint::Fingerprint;
-use jacinthweir_policy::relay::following::{Behind, Outdated};
 use jacinthweir_policy::relay::intent::{self, Intent, VersionOrder};
 use jacinthweir_policy::relay::lease::Lease;
 use jacinthweir_policy::relay::loads::LoadTable;
@@ -23,8 +24,7 @@
 use jacinthweir_policy::relay::shared_retry_budget::{
     RetryCounts, SharedRetryBudget, SharedRetryBudgetConfig,
 };
-use jacinthweir_policy::relay::vouch::Vouch;
-use jacinthweir_policy::relay::words::Words;
+use jacinthweir_policy::relay::store_watch::{Outdated, PeerProgress};
 use jacinthweir_policy::retry_priority::RetryPriority;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -72,7 +72,7 @@
     pub(crate) intent: RefCell<Option<Rc<Intent>>>,
     /// Revision of the object that the configuration in force was read from.
     pub(crate) configuration_revision: Cell<Option<Revision>>,
-    pub(crate) vouch: RefCell<Vouch>,
+    pub(crate) vouch: RefCell<ConfigConfirmation>,
     pub(crate) runners: RefCell<Runners>,
     /// Whether the store answered the last call that ended.
     pub(crate) hears_store: Cell<bool>,
@@ -85,7 +85,7 @@
     /// Revision of the store up to which all changes of runners' entries are known.
     pub(crate) runners_as_of: Cell<Revision>,
     /// What others say of dead runners.
-    pub(crate) words: RefCell<Words>,
+    pub(crate) words: RefCell<FailureReports>,
     /// Rates that runners name.
     pub(crate) limits: RefCell<RunnerRateLimits>,
     /// Requests under which runners ended.
@@ -99,9 +99,9 @@
     /// Something changed that all other instances should hear at once.
     pub(crate) news: Notify,
     /// What others know of the configuration, by version, and of the runners' entries.
-    pub(crate) behind_configuration: RefCell<Behind<u64>>,
+    pub(crate) behind_configuration: RefCell<PeerProgress<u64>>,
     pub(crate) outdated: Cell<Outdated>,
-    pub(crate) behind_runners: RefCell<Behind<Revision>>,
+    pub(crate) behind_runners: RefCell<PeerProgress<Revision>>,
     /// Another instance knows more than this one.
     pub(crate) overtaken: Notify,
     /// Whether the runners have been listed since the start.
@@ -159,7 +159,7 @@
             store: Store::open(settings.store, STORE_TIME),
             intent: RefCell::default(),
             configuration_revision: Cell::default(),
-            vouch: RefCell::new(Vouch::new(settings.bounds.revocation_ms)),
+            vouch: RefCell::new(ConfigConfirmation::new(settings.bounds.revocation_ms)),
             runners: RefCell::default(),
             hears_store: Cell::new(false),
             era: Cell::default(),
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -18,12 +18,12 @@
     Action, Member, MemberDelta, MemberDigest, MemberRecord, Peer, ProbeOutcome,
 };
 use jacinthweir_policy::prelude::*;
-use jacinthweir_policy::relay::following::{Confirming, Step, Watchers};
+use jacinthweir_policy::relay::failure_reports::FailureReport;
 use jacinthweir_policy::relay::lease::Bid;
 use jacinthweir_policy::relay::loads::{HeadUse, Load, LoadDigest, LoadUpdate, ServiceCounts};
-use jacinthweir_policy::relay::quarantine::Case;
+use jacinthweir_policy::relay::quarantine::CrashRecord;
 use jacinthweir_policy::relay::rate_limits::RateReport;
-use jacinthweir_policy::relay::words::Word;
+use jacinthweir_policy::relay::store_watch::{ChangeBatch, ConfirmScope, Watchers};
 use serde::{Deserialize, Serialize};
 use tokio::time::interval;
 
@@ -59,11 +59,11 @@
     /// was written.
     confirmed_ms_ago: Option<Millis>,
     /// Runners that were found dead.
-    dead: Vec<Word>,
+    dead: Vec<FailureReport>,
     /// What it has seen of the store.
     seen: Seen,
     /// Requests that are held, and those under which runners ended of late.
-    cases: Vec<Case>,
+    cases: Vec<CrashRecord>,
     /// What runners said of late of their rates.
     limits: Vec<RateReport>,
 }
@@ -80,7 +80,7 @@
         View {
             domain: node.settings.failure_domain.clone(),
             confirmed_ms_ago: node.vouch.borrow().age_ms(node.now()),
-            dead: node.words.borrow().since(0).collect(),
+            dead: node.words.borrow().updated_since(0).collect(),
             seen: Seen::of(node),
             limits: node
                 .limits
@@ -89,7 +89,7 @@
             cases: node
                 .quarantine
                 .borrow()
-                .told(CASES_MS, true, node.now())
+                .updates(CASES_MS, true, node.now())
                 .collect(),
         }
     }
@@ -118,7 +118,7 @@
     /// Something that all instances should know at once.
     News(News),
     /// What changed of the runners' entries.
-    Step(Step),
+    Step(ChangeBatch),
     Probe {
         address: SocketAddr,
     },
@@ -202,14 +202,14 @@
     let now = node.now();
     let own = &node.settings.name;
     if node.draining.get() || !node.hears_store.get() {
-        return Bid::Leave;
+        return Bid::Abstain;
     }
     let loads = node.loads.borrow();
     let membership = node.membership.borrow();
     let mut before = membership.live().filter(|m| m.name < *own);
     match before.any(|m| loads.hears_store(&m.name, &m.domain, now)) {
-        true => Bid::Keep,
-        false => Bid::Take,
+        true => Bid::Retain,
+        false => Bid::Acquire,
     }
 }
 
@@ -231,20 +231,20 @@
 }
 
 /// For whom this instance reads the configuration.
-pub(crate) fn confirming(node: &Node) -> Confirming {
+pub(crate) fn confirming(node: &Node) -> ConfirmScope {
     let own = &node.settings;
     let now = node.now();
     let neighbours = neighbours(node);
     let loads = node.loads.borrow();
     let hears_store = |n: &&Name| loads.hears_store(n, &own.failure_domain, now);
-    Confirming::of(&own.name, neighbours.iter().filter(hears_store))
+    ConfirmScope::of(&own.name, neighbours.iter().filter(hears_store))
 }
 
 /// Whether this instance watches the runners by itself. One that gives orders must see at once what
 /// came of them, and one that does not hear the store finds out when it does again.
 pub(crate) fn watches_runners(node: &Node) -> bool {
     let gives_orders = node.lease.borrow().held(node.now()).is_some();
-    gives_orders || !node.hears_store.get() || watchers(node).has(&node.settings.name)
+    gives_orders || !node.hears_store.get() || watchers(node).contains(&node.settings.name)
 }
 
 fn carry_out(node: &Rc<Node>, actions: Vec<Action>) {
--- a/policy/src/relay.rs
+++ b/policy/src/relay.rs
@@ -4,22 +4,22 @@
 //! | module | decides |
 //! |---|---|
 //! | [`intent`] | which configuration is in force, which route a request takes, whose key it has |
-//! | [`following`] | how closely an instance follows the store |
-//! | [`vouch`] | whether this instance may still act on that configuration |
-//! | [`runners`] | what is known of each runner |
-//! | [`lifetime`] | (a type) one lifetime of a runner |
+//! | [`store_watch`] | how often an instance calls the store, and which instances watch it for others |
+//! | [`confirmation`] | whether the configuration is confirmed recently enough to act on it |
+//! | [`runners`] | entries and health of the runners |
+//! | [`lifetime`] | (a type) a lifetime of a runner |
 //! | [`revision`] | (a type) a revision of the store |
 //! | [`chain`] | which runners form a chain that runs all layers of a model |
 //! | [`placement`] | which runner holds which layers |
-//! | [`lease`] | which instance gives orders |
-//! | [`silence`] | when a chain has fallen silent |
-//! | [`words`] | whether a runner is dead that others found dead, and who asks it |
+//! | [`lease`] | which instance gives orders to runners |
+//! | [`silence`] | when a chain is silent or slow and its runners are probed, and which of them is dead |
+//! | [`failure_reports`] | whether a quorum reports a runner dead, and which instances probe it |
 //! | [`chain_selection`] | which chain a request is sent to, or whether it waits or is refused |
 //! | [`rate_limits`] | which share of a runner's announced rate limit an instance may use |
 //! | [`loads`] | what all instances have in flight, and which of it is gossiped |
 //! | [`attempts`] | on which runners, and how often, one request may be tried |
-//! | [`fingerprint`] | which attempts are of the same request |
-//! | [`quarantine`] | which requests end the runners that run them, and are sent to no more |
+//! | [`fingerprint`] | (a type) which attempts are of the same request |
+//! | [`quarantine`] | which requests crash runners and are not sent to any more of them |
 //! | [`shared_retry_budget`] | whether a request may be retried within the retry budget of all instances |
 //!
 //! None of them reads a clock or a socket.
@@ -27,8 +27,9 @@
 pub mod attempts;
 pub mod chain;
 pub mod chain_selection;
+pub mod confirmation;
+pub mod failure_reports;
 pub mod fingerprint;
-pub mod following;
 pub mod intent;
 pub mod lease;
 pub mod lifetime;
@@ -41,5 +42,4 @@
 pub mod runners;
 pub mod shared_retry_budget;
 pub mod silence;
-pub mod vouch;
-pub mod words;
+pub mod store_watch;
--- a/policy/src/relay/placement.rs
+++ b/policy/src/relay/placement.rs
@@ -104,7 +104,7 @@
         let Some(mut kind) = kind.copied().filter(|_| runners.usable(entry, now)) else {
             continue;
         };
-        let slowness = runners.standing(&entry.id).slowness();
+        let slowness = runners.health(&entry.id).slowness();
         kind.pace *= slowness;
         let pending = loading.get(&entry.id).copied();
         let reported = entry.layers.filter(|_| runners.holds_layers(entry, now));
@@ -121,7 +121,7 @@
     let mut moves = Vec::new();
     for (domain, planned) in domains {
         let of_domain = runners.entries().filter(|e| e.domain == *domain);
-        let standings = of_domain.map(|e| runners.standing(&e.id));
+        let standings = of_domain.map(|e| runners.health(&e.id));
         let mut dead = standings.filter(|s| s.dead);
         let lost_recently = dead.any(|s| now < s.dead_since_ms + LOSS_CONFIRM_MS);
         let settled = runners.is_complete(now) && !lost_recently;
--- a/policy/tests/relay_rules.rs
+++ b/policy/tests/relay_rules.rs
@@ -10,6 +10,7 @@
 use jacinthweir_policy::relay::chain_selection::{
     ChainCandidate, MAX_FILL, RefusalBackoff, demand, select,
 };
+use jacinthweir_policy::relay::confirmation::ConfigConfirmation;
 use jacinthweir_policy::relay::intent::{
     CallClass, Intent, Organisation, Route, UnknownKey, VersionOrder, compare_versions,
 };
@@ -17,7 +18,6 @@
 use jacinthweir_policy::relay::shared_retry_budget::{
     RetryCounts, SharedRetryBudget, SharedRetryBudgetConfig,
 };
-use jacinthweir_policy::relay::vouch::Vouch;
 use jacinthweir_policy::retry_priority::RetryPriority;
 use support::runner;
 
@@ -112,7 +112,7 @@
 /// has to stop serving within the revocation bound, counted from when its last confirmed read was sent.
 #[gtest]
 fn a_disconnected_instance_stops_serving_within_the_bound() {
-    let mut vouch = Vouch::new(5_000);
+    let mut vouch = ConfigConfirmation::new(5_000);
     expect_false!(vouch.may_serve(0));
     vouch.confirm(1_000);
     expect_true!(vouch.may_serve(1_000));
@@ -124,7 +124,7 @@
 
 #[gtest]
 fn only_an_instance_that_has_just_started_queues_requests() {
-    let mut vouch = Vouch::new(5_000);
+    let mut vouch = ConfigConfirmation::new(5_000);
     expect_true!(vouch.is_starting(100));
     expect_false!(vouch.is_starting(4_000));
     vouch.confirm(150);
@@ -429,12 +429,12 @@
     let mut runners = Runners::default();
     let mut entry = runner("a", "east", "a100");
     runners.put(&entry);
-    runners.standing_mut(&entry.id).expect("known").dead = true;
+    runners.health_mut(&entry.id).expect("known").dead = true;
     runners.put(&entry);
-    expect_true!(runners.standing("a").dead);
+    expect_true!(runners.health("a").dead);
     entry.born_ms = 2;
     runners.put(&entry);
-    expect_false!(runners.standing("a").dead);
+    expect_false!(runners.health("a").dead);
     runners.replace(Vec::new(), 0);
     expect_that!(runners.entry("a"), none());
 }
@@ -446,10 +446,10 @@
         runners.put(&runner(id, "east", "l4"));
     }
     for _ in 0..10 {
-        runners.seen("a", true, 0);
+        runners.record_outcome("a", true, 0);
     }
     let first = |now| {
-        let ranked = runners.plain(support::SERVICE, "east", now, || 0);
+        let ranked = runners.service_candidates(support::SERVICE, "east", now, || 0);
         assert_eq!(ranked.len(), 2);
         ranked[0].id.to_string()
     };
@@ -465,9 +465,9 @@
     let mut runners = Runners::default();
     let entry = runner("a", "d", "a100");
     runners.put(&entry);
-    expect_false!(runners.leaves("a", entry.born_ms + 1));
-    expect_true!(runners.leaves("a", entry.born_ms));
-    expect_false!(runners.leaves("a", entry.born_ms));
+    expect_false!(runners.mark_draining("a", entry.born_ms + 1));
+    expect_true!(runners.mark_draining("a", entry.born_ms));
+    expect_false!(runners.mark_draining("a", entry.born_ms));
     let known = runners.entry("a").expect("known").clone();
     expect_false!(runners.usable(&known, 0));
 }
--- /dev/null
+++ b/policy/tests/relay_store_watch.rs
@@ -0,0 +1,265 @@
+//! Scaling of store traffic with the fleet, and what instances learn of the store from one another.
+
+use googletest::prelude::*;
+use jacinthweir_policy::prelude::*;
+use jacinthweir_policy::relay::revision::Revision;
+use jacinthweir_policy::relay::store_watch::{
+    ChangeBatch, ConfirmScope, Outdated, PeerProgress, Watchers, catch_up_ms, debounce_ms,
+    runners_debounce_ms, scaled_interval_ms, should_confirm,
+};
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+
+/// A fleet grows from six instances to some hundred. The rate of calls to the store must not grow
+/// with it, and a watch must still end before the store cuts it.
+#[gtest]
+fn watch_timeouts_grow_with_the_number_of_instances() {
+    expect_that!(scaled_interval_ms(2_000, 1), eq(2_000));
+    expect_that!(scaled_interval_ms(2_000, 6), eq(2_000));
+    expect_that!(scaled_interval_ms(2_000, 60), eq(20_000));
+    expect_that!(scaled_interval_ms(2_000, 600), le(30_000));
+}
+
+/// Simulated failure domain in which each instance gossips with two others in each round.
+struct Domain {
+    names: Vec<Name>,
+    /// Time of the newest read of the configuration that each instance knows of.
+    confirmed_ms: Vec<u64>,
+    rng: ChaCha8Rng,
+}
+
+const ROUND_MS: u64 = 300;
+const CHECK_MS: u64 = 100;
+
+impl Domain {
+    fn new(count: usize) -> Domain {
+        Domain {
+            names: names(&["east"], count),
+            confirmed_ms: vec![0; count],
+            rng: ChaCha8Rng::seed_from_u64(7),
+        }
+    }
+
+    /// Simulates a minute. Returns the number of reads and the maximum age of a confirmation.
+    fn run_minute(&mut self) -> (usize, u64) {
+        let (mut reads, mut oldest_ms) = (0, 0);
+        for now in (0..60_000).step_by(CHECK_MS as usize) {
+            for i in 0..self.names.len() {
+                reads += usize::from(self.check(i, now));
+                oldest_ms = oldest_ms.max(now - self.confirmed_ms[i]);
+                if (now + CHECK_MS * i as u64).is_multiple_of(ROUND_MS) {
+                    self.exchange(i);
+                }
+            }
+        }
+        (reads, oldest_ms)
+    }
+
+    fn check(&mut self, i: usize, now: u64) -> bool {
+        let age = now - self.confirmed_ms[i];
+        let scope = ConfirmScope::of(&self.names[i], self.names.iter());
+        let reads = should_confirm(Some(age), self.rng.random(), 4, scope);
+        if reads {
+            self.confirmed_ms[i] = now;
+        }
+        reads
+    }
+
+    fn exchange(&mut self, i: usize) {
+        for _ in 0..2 {
+            let peer = self.rng.random_range(0..self.names.len());
+            self.confirmed_ms[i] = self.confirmed_ms[i].max(self.confirmed_ms[peer]);
+        }
+    }
+}
+
+/// Guards against every instance reading the configuration although one read reaches all of them.
+#[gtest]
+fn two_instances_confirm_the_configuration_for_their_domain() {
+    let (few, few_ms) = Domain::new(6).run_minute();
+    let (many, many_ms) = Domain::new(60).run_minute();
+    expect_that!(many, le(few * 10 / 2));
+    expect_that!(few_ms, le(4_000));
+    expect_that!(many_ms, le(4_000));
+}
+
+/// Guards against instances refusing their callers after the confirmers of their domain were lost.
+#[gtest]
+fn an_instance_without_confirmation_reads_by_itself() {
+    let all = names(&["east"], 60);
+    let for_all = |n: &&Name| ConfirmScope::of(n, all.iter()) == ConfirmScope::Domain;
+    expect_that!(all.iter().filter(for_all).count(), eq(2));
+    expect_that!(
+        ConfirmScope::of(&all[0], all[..2].iter()),
+        eq(ConfirmScope::Domain)
+    );
+    expect_false!(should_confirm(None, 0.0, 4, ConfirmScope::Domain));
+    expect_false!(should_confirm(Some(1_000), 0.0, 4, ConfirmScope::Domain));
+    expect_true!(should_confirm(Some(2_100), 0.9, 4, ConfirmScope::Domain));
+    expect_false!(should_confirm(Some(2_100), 0.0, 4, ConfirmScope::Own));
+    expect_true!(should_confirm(Some(3_300), 1.0, 4, ConfirmScope::Own));
+}
+
+fn names(domains: &[&str], each: usize) -> Vec<Name> {
+    let of = |d: &&str| {
+        let d = (*d).to_owned();
+        (0..each).map(move |i| Name::from(format!("front-{d}-{i}")))
+    };
+    domains.iter().flat_map(of).collect()
+}
+
+/// Each change of a runner's entry ended the watches of all sixty instances, and each of them
+/// called the store again. Only six instances must watch and notify the others. If these are lost
+/// together, six others must take their place, and one of its two notifiers must suffice for an
+/// instance.
+#[gtest]
+fn six_instances_watch_the_runners_for_all() {
+    let all = names(&["east", "north", "west"], 20);
+    let watchers = Watchers::of(all.iter());
+    let watching: Vec<&Name> = all.iter().filter(|n| watchers.contains(n)).collect();
+    expect_that!(watching.len(), eq(6));
+    for receiver in &all {
+        let notifiers = all.iter().filter(|n| watchers.notifies(n, receiver));
+        expect_that!(notifiers.count(), eq(2));
+    }
+    let left = all.iter().filter(|n| !watchers.contains(n));
+    let next = Watchers::of(left);
+    expect_that!(all.iter().filter(|n| next.contains(n)).count(), eq(6));
+    expect_true!(watching.iter().all(|n| !next.contains(n)));
+    // In a small fleet every instance watches.
+    let few = names(&["east", "west"], 3);
+    let watchers = Watchers::of(few.iter());
+    expect_true!(few.iter().all(|n| watchers.contains(n)));
+}
+
+/// Watchers send batches independently, and messages may be lost. A batch that starts beyond the
+/// known revision must not be applied, since the changes between would stay unknown. Nor must a
+/// batch that is already known: a late one would bring back a runner that has left since.
+#[gtest]
+fn a_batch_is_applied_only_without_a_gap() {
+    expect_true!(batch(0, (10, 14)).applies_to(at(0, 10)));
+    expect_true!(batch(0, (10, 14)).applies_to(at(0, 12)));
+    expect_false!(batch(0, (10, 14)).applies_to(at(0, 9)));
+    expect_false!(batch(0, (10, 14)).applies_to(at(0, 14)));
+}
+
+fn at(era: u64, number: u64) -> Revision {
+    Revision { era, number }
+}
+
+fn batch(era: u64, (since, until): (u64, u64)) -> ChangeBatch {
+    ChangeBatch {
+        since: at(era, since),
+        until: at(era, until),
+        newest: at(era, until),
+        changes: Vec::new(),
+    }
+}
+
+/// After the store was restored from an older copy, the same numbers name other changes.
+#[gtest]
+fn a_batch_is_applied_within_its_era_only() {
+    expect_false!(batch(1, (10, 14)).applies_to(at(0, 12)));
+    expect_false!(batch(0, (10, 14)).applies_to(at(1, 12)));
+    expect_true!(batch(1, (10, 14)).applies_to(at(1, 12)));
+}
+
+/// After a restore, watchers see smaller revision numbers than all instances saw before it.
+#[gtest]
+fn a_later_era_is_ahead_whatever_the_number() {
+    let mut progress = PeerProgress::default();
+    progress.record_peer(at(0, 500));
+    expect_false!(progress.is_behind(at(0, 500)));
+    progress.record_peer(at(1, 480));
+    expect_true!(progress.is_behind(at(0, 500)));
+    progress.mark_checked();
+    expect_false!(progress.is_behind(at(1, 470)));
+    progress.record_peer(at(1, 490));
+    expect_true!(progress.is_behind(at(1, 480)));
+}
+
+/// A watch fell silent and hides a change that another instance reports. The store must be read
+/// once for it. What that read does not show belonged to a removed object, and must not be read for
+/// again.
+#[gtest]
+fn an_instance_that_is_behind_reads_once() {
+    let mut progress = PeerProgress::default();
+    expect_false!(progress.is_behind(0));
+    progress.record_peer(7);
+    expect_true!(progress.is_behind(6));
+    expect_false!(progress.is_behind(7));
+    progress.mark_checked();
+    expect_false!(progress.is_behind(6));
+    progress.record_peer(8);
+    expect_true!(progress.is_behind(6));
+}
+
+/// 71 instances read a configuration of 0.7 MB some eighteen times a second, nearly all of them on
+/// links that it saturates for a third of a second. Instances with fast reads must read first;
+/// without them, the others must read no later than the deadline.
+#[gtest]
+fn instances_with_slow_reads_leave_them_to_others() {
+    let read_at = |draw: f64, read_ms: u64, scope: ConfirmScope| {
+        let due = |age: &u64| should_confirm(Some(*age), draw, read_ms, scope);
+        (0..10_000).find(due).expect("at some age")
+    };
+    let first_at = |read_ms: u64| read_at(0.0, read_ms, ConfirmScope::Domain);
+    expect_that!(first_at(4), le(first_at(0) + 100));
+    expect_that!(first_at(300), ge(first_at(4) + 1_000));
+    for read_ms in [0, 4, 300, 900] {
+        for scope in [ConfirmScope::Domain, ConfirmScope::Own] {
+            expect_that!(read_at(1.0, read_ms, scope), le(3_200));
+        }
+    }
+}
+
+/// Guards against every instance reading every configuration of a quick succession.
+#[gtest]
+fn a_large_fleet_coalesces_configurations_in_quick_succession() {
+    expect_that!(debounce_ms(6), le(20));
+    let gap_ms = 330;
+    expect_that!(debounce_ms(300), gt(gap_ms));
+    expect_that!(debounce_ms(3_000), le(1_000));
+}
+
+/// Guards against every instance of a starting fleet reading the runners once for each that
+/// registers.
+#[gtest]
+fn starting_instances_coalesce_the_registration_of_runners() {
+    let (starting, later) = (300, 5_000);
+    expect_that!(
+        runners_debounce_ms(starting, false),
+        ge(5 * runners_debounce_ms(later, false))
+    );
+    expect_that!(
+        runners_debounce_ms(starting, true),
+        eq(runners_debounce_ms(later, false))
+    );
+}
+
+/// Guards against a watch being aborted while it delivers a large configuration.
+#[gtest]
+fn a_watch_may_finish_the_transfer_of_a_large_configuration() {
+    expect_that!(catch_up_ms(6), le(150));
+    expect_that!(catch_up_ms(300), ge(900));
+    expect_that!(catch_up_ms(3_000), le(1_500));
+}
+
+/// The version that other instances have does not arrive, for instance because the store has lost
+/// it.
+#[gtest]
+fn a_configuration_that_peers_replaced_becomes_outdated() {
+    let mut outdated = Outdated::default();
+    outdated.record_peer(7, 7, 0);
+    expect_false!(outdated.is_outdated(10_000));
+    outdated.record_peer(8, 7, 10_000);
+    outdated.record_peer(9, 7, 10_400);
+    expect_false!(outdated.is_outdated(10_500));
+    expect_true!(outdated.is_outdated(11_900));
+    // One of the missing versions, though not the newest, restarts the time limit.
+    outdated.in_force(8, 12_000);
+    expect_false!(outdated.is_outdated(12_100));
+    expect_true!(outdated.is_outdated(13_900));
+    outdated.in_force(9, 14_000);
+    expect_false!(outdated.is_outdated(20_000));
+}
