--- a/plugins/schema/tests/schema/race.rs
+++ b/plugins/schema/tests/schema/race.rs
@@ -1,7 +1,7 @@
 //! Operators race on three instances while the platform loses answers and applies writes late.
 
 use googletest::prelude::*;
-use jacinthweir_policy::config::check::{ApplyRecord, Told, told_truly};
+use jacinthweir_policy::config::check::{ApplyRecord, ReportedOutcome, check_reported_outcomes};
 use jacinthweir_testkit::platform::fault::Fault;
 use jacinthweir_wire::operator::ApplyRefused;
 use jacinthweir_wire::peer::Head;
@@ -35,14 +35,14 @@
         let change = format!("o{operator}-{n}");
         // Each change is another schema, so that none is taken for one that stands already.
         let weight = (1 + operator * 100 + n) as u32;
-        let told = match rig.apply(at, rig.revision(at), &change, weight).await {
-            Ok(reply) => Told::Committed(reply.revision),
-            Err(ApplyRefused::Unconfirmed { .. }) => Told::Unknown,
-            Err(_) => Told::Refused,
+        let outcome = match rig.apply(at, rig.revision(at), &change, weight).await {
+            Ok(reply) => ReportedOutcome::Committed(reply.revision),
+            Err(ApplyRefused::Unconfirmed { .. }) => ReportedOutcome::Unknown,
+            Err(_) => ReportedOutcome::Refused,
         };
         records.push(ApplyRecord {
             change: change.into(),
-            told,
+            outcome,
         });
     }
     records
@@ -60,7 +60,10 @@
     let applies = futures::future::join_all(runs).await.concat();
     rig.platform.set_fault(Fault::None);
     let head: Head = serde_json::from_str(&rig.head().await.value).unwrap();
-    expect_that!(told_truly(&applies, &head.history), ok(eq(&())));
+    expect_that!(
+        check_reported_outcomes(&applies, &head.history),
+        ok(eq(&()))
+    );
     let revisions: Vec<u64> = head
         .history
         .iter()
@@ -70,7 +73,7 @@
     expect_that!(revisions, eq(&(1..=head.revision).collect::<Vec<_>>()));
     let committed = applies
         .iter()
-        .filter(|apply| matches!(apply.told, Told::Committed(_)));
+        .filter(|apply| matches!(apply.outcome, ReportedOutcome::Committed(_)));
     expect_that!(committed.count(), ge(1));
     rig.everywhere(head.revision).await;
 }
--- a/policy/src/config/check.rs
+++ b/policy/src/config/check.rs
@@ -43,12 +43,12 @@
     /// Change id; an apply asked again is another record with the same id.
     pub change: Name,
     /// What was said.
-    pub told: Told,
+    pub outcome: ReportedOutcome,
 }
 
 /// What was said of an apply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum ReportedOutcome {
     /// Committed as this revision.
     Committed(u64),
     /// Nothing was committed.
@@ -62,7 +62,7 @@
 pub enum Violation {
     /// A revision came into force after a greater one.
     #[display("{instance}: revision {after} came into force after {before}")]
-    WentBack {
+    Reverted {
         /// Instance.
         instance: Name,
         /// Revision in force before.
@@ -72,7 +72,7 @@
     },
     /// One revision number stood for two contents.
     #[display("{instance}: revision {revision} has other content here than elsewhere")]
-    TwoContents {
+    ConflictingContent {
         /// Instance.
         instance: Name,
         /// Revision.
@@ -96,13 +96,13 @@
     },
     /// A change stands twice.
     #[display("change {change} stands twice")]
-    Twice {
+    CommittedTwice {
         /// Change.
         change: Name,
     },
     /// An accepted revision was not in force in time.
     #[display("{instance}: nothing from revision {revision} on in force {within_ms} ms after")]
-    Late {
+    NotInForceInTime {
         /// Instance.
         instance: Name,
         /// Accepted revision.
@@ -117,7 +117,7 @@
 /// # Errors
 ///
 /// The first violation.
-pub fn never_reverts(
+pub fn check_never_reverts(
     accepted: &[AcceptedRecord],
     in_force: &[InForceRecord],
 ) -> Result<(), Violation> {
@@ -133,7 +133,7 @@
         let before = newest.entry((instance, record.incarnation)).or_default();
         if *revision < *before {
             let (instance, before) = (instance.clone(), *before);
-            return Err(Violation::WentBack {
+            return Err(Violation::Reverted {
                 instance,
                 before,
                 after: *revision,
@@ -142,7 +142,7 @@
         *before = *revision;
         if *contents.entry(*revision).or_insert(&record.content) != &record.content {
             let instance = instance.clone();
-            return Err(Violation::TwoContents {
+            return Err(Violation::ConflictingContent {
                 instance,
                 revision: *revision,
             });
@@ -157,7 +157,7 @@
 /// # Errors
 ///
 /// The first violation.
-pub fn in_force_within(
+pub fn check_in_force_within(
     instances: &[Name],
     accepted: &[AcceptedRecord],
     in_force: &[InForceRecord],
@@ -173,7 +173,7 @@
             });
             if !reached {
                 let (instance, revision) = (instance.clone(), change.revision);
-                return Err(Violation::Late {
+                return Err(Violation::NotInForceInTime {
                     instance,
                     revision,
                     within_ms,
@@ -190,21 +190,24 @@
 /// # Errors
 ///
 /// The first violation.
-pub fn told_truly(applies: &[ApplyRecord], commits: &[Commit]) -> Result<(), Violation> {
+pub fn check_reported_outcomes(
+    applies: &[ApplyRecord],
+    commits: &[Commit],
+) -> Result<(), Violation> {
     let mut stands: BTreeMap<&Name, u64> = BTreeMap::new();
     for commit in commits {
         if stands.insert(&commit.change, commit.revision).is_some() {
             let change = commit.change.clone();
-            return Err(Violation::Twice { change });
+            return Err(Violation::CommittedTwice { change });
         }
     }
     for apply in applies {
         let change = apply.change.clone();
-        match (apply.told, stands.get(&change).copied()) {
-            (Told::Committed(revision), found) if found != Some(revision) => {
+        match (apply.outcome, stands.get(&change).copied()) {
+            (ReportedOutcome::Committed(revision), found) if found != Some(revision) => {
                 return Err(Violation::LostCommit { change, revision });
             }
-            (Told::Refused, Some(revision)) if asked_once(applies, &change) => {
+            (ReportedOutcome::Refused, Some(revision)) if asked_once(applies, &change) => {
                 return Err(Violation::RefusedButCommitted { change, revision });
             }
             _ => {}
--- a/policy/tests/config_converge.rs
+++ b/policy/tests/config_converge.rs
@@ -11,8 +11,8 @@
 
 use googletest::prelude::*;
 use jacinthweir_policy::config::check::{
-    AcceptedRecord, ApplyRecord, InForceRecord, Told, Violation, in_force_within, never_reverts,
-    told_truly,
+    AcceptedRecord, ApplyRecord, InForceRecord, ReportedOutcome, Violation, check_in_force_within,
+    check_never_reverts, check_reported_outcomes,
 };
 use jacinthweir_policy::config::converge::{Alarm, Event, PeerView, Source};
 
@@ -225,24 +225,27 @@
         content: "y".into(),
     }];
     let good = [record(1, "x", 5), record(2, "y", 20)];
-    expect_that!(never_reverts(&accepted, &good), ok(eq(&())));
+    expect_that!(check_never_reverts(&accepted, &good), ok(eq(&())));
     let back = [record(2, "y", 5), record(1, "x", 20)];
-    let wanted = Violation::WentBack {
+    let wanted = Violation::Reverted {
         instance: "a".into(),
         before: 2,
         after: 1,
     };
-    expect_that!(never_reverts(&accepted, &back), err(eq(&wanted)));
+    expect_that!(check_never_reverts(&accepted, &back), err(eq(&wanted)));
     let other = [record(2, "z", 5)];
-    let wanted = Violation::TwoContents {
+    let wanted = Violation::ConflictingContent {
         instance: "a".into(),
         revision: 2,
     };
-    expect_that!(never_reverts(&accepted, &other), err(eq(&wanted)));
+    expect_that!(check_never_reverts(&accepted, &other), err(eq(&wanted)));
     let names = ["a".into()];
-    expect_that!(in_force_within(&names, &accepted, &good, 10), ok(eq(&())));
     expect_that!(
-        in_force_within(&names, &accepted, &good, 9),
+        check_in_force_within(&names, &accepted, &good, 10),
+        ok(eq(&()))
+    );
+    expect_that!(
+        check_in_force_within(&names, &accepted, &good, 9),
         err(anything())
     );
 }
@@ -251,28 +254,31 @@
 fn untrue_answers_to_operators_are_rejected_by_the_check() {
     let heads = lineage(2);
     let commits = &heads[1].history;
-    let record = |change: &str, told| ApplyRecord {
+    let record = |change: &str, outcome| ApplyRecord {
         change: change.into(),
-        told,
+        outcome,
     };
-    let good = [record("c0", Told::Committed(1)), record("x", Told::Refused)];
-    expect_that!(told_truly(&good, commits), ok(eq(&())));
-    let lost = [record("x", Told::Committed(2))];
+    let good = [
+        record("c0", ReportedOutcome::Committed(1)),
+        record("x", ReportedOutcome::Refused),
+    ];
+    expect_that!(check_reported_outcomes(&good, commits), ok(eq(&())));
+    let lost = [record("x", ReportedOutcome::Committed(2))];
     let wanted = Violation::LostCommit {
         change: "x".into(),
         revision: 2,
     };
-    expect_that!(told_truly(&lost, commits), err(eq(&wanted)));
-    let refused = [record("c1", Told::Refused)];
+    expect_that!(check_reported_outcomes(&lost, commits), err(eq(&wanted)));
+    let refused = [record("c1", ReportedOutcome::Refused)];
     let wanted = Violation::RefusedButCommitted {
         change: "c1".into(),
         revision: 2,
     };
-    expect_that!(told_truly(&refused, commits), err(eq(&wanted)));
+    expect_that!(check_reported_outcomes(&refused, commits), err(eq(&wanted)));
     let twice = [commits.clone(), commits.clone()].concat();
     expect_that!(
-        told_truly(&[], &twice),
-        err(eq(&Violation::Twice {
+        check_reported_outcomes(&[], &twice),
+        err(eq(&Violation::CommittedTwice {
             change: "c1".into()
         }))
     );
--- a/policy/tests/config_random.rs
+++ b/policy/tests/config_random.rs
@@ -10,7 +10,7 @@
 use convergence::*;
 use std::sync::Arc;
 
-use jacinthweir_policy::config::check::{AcceptedRecord, never_reverts};
+use jacinthweir_policy::config::check::{AcceptedRecord, check_never_reverts};
 use jacinthweir_policy::config::converge::Event;
 use jacinthweir_policy::head::Head;
 use jacinthweir_policy::time::Millis;
@@ -219,7 +219,7 @@
 
     fn check_invariants(state: &Random, world: &World) {
         let accepted: Vec<AcceptedRecord> = world.accepted.iter().map(accepted).collect();
-        never_reverts(&accepted, &state.instance.records).unwrap();
+        check_never_reverts(&accepted, &state.instance.records).unwrap();
         let until = state.instance.machine.serve_until();
         assert!(
             until <= state.instance.now + UNCONFIRMED_MS,
--- a/testkit/tests/configuration.rs
+++ b/testkit/tests/configuration.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use jacinthweir_policy::config::check::{InForceRecord, never_reverts};
+use jacinthweir_policy::config::check::{InForceRecord, check_never_reverts};
 use jacinthweir_testkit::fleet::deployment::Deployment;
 use jacinthweir_testkit::relay::Link;
 use jacinthweir_testkit::{Fleet, FleetCfg};
@@ -111,7 +111,7 @@
             records.last().map(|record| record.revision),
             some(eq(newest))
         );
-        expect_that!(never_reverts(&[], &records), ok(eq(&())));
+        expect_that!(check_never_reverts(&[], &records), ok(eq(&())));
     }
     fleet.stop().await.unwrap();
 }
@@ -169,7 +169,7 @@
         let last_life = in_force(&fleet, at).iter().map(|r| r.incarnation).max();
         let mut records = in_force(&fleet, at);
         records.retain(|record| at != LAST || Some(record.incarnation) == last_life);
-        expect_that!(never_reverts(&[], &records), ok(eq(&())));
+        expect_that!(check_never_reverts(&[], &records), ok(eq(&())));
         if at == LAST {
             expect_that!(
                 records.iter().all(|record| record.revision == accepted),
