--- a/plugins/schema/src/clean.rs
+++ b/plugins/schema/src/clean.rs
@@ -4,7 +4,7 @@
 
 use jacinthweir_clients::ClientError;
 use jacinthweir_kernel::prelude::*;
-use jacinthweir_policy::config::garbage::{Needless, deletable, needless};
+use jacinthweir_policy::config::garbage_collection::{Needless, deletable, needless};
 use jacinthweir_policy::config::lineage::{Relation, relation};
 
 use crate::head::{self, Standing};
--- a/policy/src/config.rs
+++ b/policy/src/config.rs
@@ -9,7 +9,7 @@
 pub mod check;
 pub mod commit;
 pub mod converge;
-pub mod garbage;
+pub mod garbage_collection;
 pub mod lineage;
 pub mod parts;
 pub mod watch;
--- a/policy/tests/config_parts.rs
+++ b/policy/tests/config_parts.rs
@@ -5,7 +5,7 @@
     Decision, MAX_LABEL_BYTES, MAX_SUMMARY, MAX_SUMMARY_CHARS, Proposal, ReadBack, decide,
     label_fault, read_back,
 };
-use jacinthweir_policy::config::garbage::{deletable, needless};
+use jacinthweir_policy::config::garbage_collection::{deletable, needless};
 use jacinthweir_policy::config::lineage::{HeadFault, MAX_HISTORY, Relation, check_head, relation};
 use jacinthweir_policy::config::parts::{JoinError, MAX_PART_BYTES, PartText, join, split};
 use jacinthweir_policy::config::watch::{WATCHERS, watches};
