--- a/plugins/schema/src/clean.rs
+++ b/plugins/schema/src/clean.rs
@@ -4,7 +4,9 @@
 
 use jacinthweir_clients::ClientError;
 use jacinthweir_kernel::prelude::*;
-use jacinthweir_policy::config::garbage_collection::{Needless, deletable, needless};
+use jacinthweir_policy::config::garbage_collection::{
+    UnreferencedParts, deletable, unreferenced_parts,
+};
 use jacinthweir_policy::config::lineage::{Relation, relation};
 
 use crate::head::{self, Standing};
@@ -13,7 +15,7 @@
 /// Looks over and over until the instance stops.
 pub(crate) async fn run(cx: Arc<Kernel>) {
     let period = Duration::from_millis(cx.settings.timing.part_clean_ms);
-    let mut before = Needless::new();
+    let mut before = UnreferencedParts::new();
     loop {
         tokio::time::sleep(period).await;
         if !head::is_cleaner(&cx) {
@@ -28,10 +30,10 @@
 }
 
 /// Deletes what this look and the one before found needless; gives what this one found.
-async fn clean(cx: &Kernel, before: &Needless) -> Result<Needless, ClientError> {
+async fn clean(cx: &Kernel, before: &UnreferencedParts) -> Result<UnreferencedParts, ClientError> {
     let Standing { head, version } = head::read(cx).await?;
     let Some(head) = head.filter(|head| is_in_force(cx, head)) else {
-        return Ok(Needless::new());
+        return Ok(UnreferencedParts::new());
     };
     let listed = cx.platform.list(keys::PARTS).await?;
     let parts = listed.objects.iter().filter(|object| object.version > 0);
@@ -39,7 +41,7 @@
         let hash = object.key.strip_prefix(keys::PARTS)?;
         Some((Name::from(hash), object.version))
     });
-    let now = needless(&head, version, parts);
+    let now = unreferenced_parts(&head, version, parts);
     for (hash, version) in deletable(before, &now) {
         if cx.platform.delete(&keys::part(&hash), version).await? {
             metrics::counter!("jacinthweir_config_parts_deleted_total").increment(1);
--- a/policy/src/config/garbage_collection.rs
+++ b/policy/src/config/garbage_collection.rs
@@ -12,23 +12,23 @@
 use crate::head::Head;
 use crate::time::Name;
 
-/// Parts found to be needless, by hash, with the versions of their objects.
-pub type Needless = BTreeMap<Name, u64>;
+/// Parts found to be unreferenced_parts, by hash, with the versions of their objects.
+pub type UnreferencedParts = BTreeMap<Name, u64>;
 
 /// Parts that a head at `head_version` and any commit over it can do without, out of those listed
 /// with their versions.
-pub fn needless(
+pub fn unreferenced_parts(
     head: &Head,
     head_version: u64,
     listed: impl Iterator<Item = (Name, u64)>,
-) -> Needless {
+) -> UnreferencedParts {
     let named: BTreeSet<&str> = head.parts.iter().map(|part| &*part.hash).collect();
     let older = listed.filter(|(_, version)| *version < head_version);
     older.filter(|(hash, _)| !named.contains(&**hash)).collect()
 }
 
 /// What may be deleted: found needless by both looks, at the same version.
-pub fn deletable(before: &Needless, now: &Needless) -> Needless {
+pub fn deletable(before: &UnreferencedParts, now: &UnreferencedParts) -> UnreferencedParts {
     let both = now
         .iter()
         .filter(|(hash, version)| before.get(*hash) == Some(version));
--- a/policy/tests/config_parts.rs
+++ b/policy/tests/config_parts.rs
@@ -5,7 +5,7 @@
     Decision, MAX_LABEL_BYTES, MAX_SUMMARY, MAX_SUMMARY_CHARS, Proposal, ReadBack, decide,
     label_fault, read_back,
 };
-use jacinthweir_policy::config::garbage_collection::{deletable, needless};
+use jacinthweir_policy::config::garbage_collection::{deletable, unreferenced_parts};
 use jacinthweir_policy::config::lineage::{HeadFault, MAX_HISTORY, Relation, check_head, relation};
 use jacinthweir_policy::config::parts::{JoinError, MAX_PART_BYTES, PartText, join, split};
 use jacinthweir_policy::config::watch::{WATCHERS, watches};
@@ -263,9 +263,12 @@
     let second = committed(Some(&first), &proposal(1, "c2", 2));
     let (old, named) = (first.parts[1].hash.clone(), second.parts[1].hash.clone());
     let at = |version| [(old.clone(), version), (named.clone(), 15)].into_iter();
-    expect_that!(needless(&second, 20, at(21)), is_empty());
-    let found = needless(&second, 20, at(10));
+    expect_that!(unreferenced_parts(&second, 20, at(21)), is_empty());
+    let found = unreferenced_parts(&second, 20, at(10));
     expect_that!(found.keys().collect::<Vec<_>>(), eq(&vec![&old]));
-    expect_that!(deletable(&needless(&second, 20, at(9)), &found), is_empty());
+    expect_that!(
+        deletable(&unreferenced_parts(&second, 20, at(9)), &found),
+        is_empty()
+    );
     expect_that!(deletable(&found, &found), eq(&found));
 }
