--- a/kernel/src/kernel.rs
+++ b/kernel/src/kernel.rs
@@ -37,7 +37,7 @@
 
 /// How long the platform must show an older head than the accepted one before that is written
 /// back, in milliseconds: a read that was merely stale is over by then.
-const WENT_BACK_MS: Millis = 2_000;
+const ROLLBACK_CONFIRM_MS: Millis = 2_000;
 
 /// When to come back to an instance that cannot serve now; another may at once.
 const RETRY_ELSEWHERE_MS: u64 = 1_000;
@@ -260,7 +260,7 @@
         expects_peers: !settings.peers.is_empty(),
         join_grace_ms: JOIN_GRACE_ROUNDS * settings.timing.gossip_ms,
         unconfirmed_ms: settings.timing.unconfirmed_ms,
-        went_back_ms: WENT_BACK_MS,
+        rollback_confirm_ms: ROLLBACK_CONFIRM_MS,
     };
     Convergence::new(0, cfg)
 }
--- a/plugins/schema/src/apply.rs
+++ b/plugins/schema/src/apply.rs
@@ -64,7 +64,7 @@
                 changes,
             })
         }
-        Decision::Already { revision } => Ok(ApplyReply {
+        Decision::AlreadyCommitted { revision } => Ok(ApplyReply {
             revision,
             changes: Vec::new(),
         }),
@@ -222,7 +222,7 @@
     {
         let mut convergence = cx.convergence();
         for part in parts {
-            convergence.hold(&part.part, part.text);
+            convergence.insert_part(&part.part, part.text);
         }
     }
     let asked_at = cx.elapsed_ms();
--- a/plugins/schema/src/commit.rs
+++ b/plugins/schema/src/commit.rs
@@ -123,8 +123,8 @@
     let Standing { head, version } = head::read(cx).await.ok()?;
     match read_back(sent, expected, head.as_deref().map(|head| (head, version))) {
         ReadBack::Committed => Some(Committed::Yes),
-        ReadBack::Overtaken { .. } => Some(Committed::Overtaken),
-        ReadBack::Untold => Some(Committed::Unconfirmed),
+        ReadBack::Superseded { .. } => Some(Committed::Overtaken),
+        ReadBack::Indeterminate => Some(Committed::Unconfirmed),
         ReadBack::Pending => None,
     }
 }
--- a/plugins/schema/src/drive.rs
+++ b/plugins/schema/src/drive.rs
@@ -87,7 +87,7 @@
 
 fn raise(alarm: &Alarm) {
     let kind = match alarm {
-        Alarm::HeadWentBack { .. } => "head_went_back",
+        Alarm::HeadRolledBack { .. } => "head_went_back",
         Alarm::HeadForeign { .. } => "head_foreign",
         Alarm::HeadUnusable { .. } => "head_unusable",
     };
--- a/plugins/schema/src/head.rs
+++ b/plugins/schema/src/head.rs
@@ -5,7 +5,7 @@
 use jacinthweir_clients::ClientError;
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_policy::config::converge::Event;
-use jacinthweir_policy::config::watch::{rank, watches};
+use jacinthweir_policy::config::watch::{rank, should_watch};
 use jacinthweir_wire::peer::Head;
 use rand::RngExt;
 
@@ -60,7 +60,7 @@
 
 /// Whether this instance watches the head.
 pub(crate) fn is_watcher(cx: &Kernel) -> bool {
-    watches(&cx.settings.name, &live(cx))
+    should_watch(&cx.settings.name, &live(cx))
 }
 
 /// Whether this instance is the one that cleans up.
--- a/plugins/schema/src/operators.rs
+++ b/plugins/schema/src/operators.rs
@@ -3,7 +3,7 @@
 use jacinthweir_kernel::body;
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_kernel::reply::Refusal;
-use jacinthweir_policy::config::commit::label_fault;
+use jacinthweir_policy::config::commit::label_error;
 use jacinthweir_wire::caller::ErrorCode;
 use jacinthweir_wire::operator::{
     ApplyRefused, ApplyReply, ApplyRequest, Commit, HistoryReply, PlanRequest, SchemaReply,
@@ -84,7 +84,7 @@
         Err(refusal) => return refusal.write(res, None),
     };
     for (field, label) in [("change", &req.change), ("operator", &req.operator)] {
-        if let Some(fault) = label_fault(label) {
+        if let Some(fault) = label_error(label) {
             let refusal = Refusal::not_run(ErrorCode::BadRequest, format!("{field} {fault}"));
             return refusal.write(res, None);
         }
--- a/plugins/schema/src/peers.rs
+++ b/plugins/schema/src/peers.rs
@@ -71,7 +71,7 @@
     let known = {
         let convergence = cx.convergence();
         let in_force = convergence.in_force().map_or(0, |a| a.head.revision);
-        in_force.max(convergence.vouched_target().unwrap_or(0))
+        in_force.max(convergence.target_in_force_at_peer().unwrap_or(0))
     };
     let membership = cx.membership();
     let newest = membership.peers().map(|s| s.revision).max()?;
--- a/policy/src/config/commit.rs
+++ b/policy/src/config/commit.rs
@@ -25,7 +25,7 @@
 /// What is wrong with a change id or an operator's name. Both stand in the head and are shown to
 /// other operators, so a long one would make the head too large for the platform, and control
 /// characters would change what a terminal shows of the history.
-pub fn label_fault(label: &str) -> Option<&'static str> {
+pub fn label_error(label: &str) -> Option<&'static str> {
     if label.is_empty() {
         return Some("must not be empty");
     }
@@ -61,7 +61,7 @@
     /// Write this head over the one that stands.
     Commit(Head),
     /// This change was committed before: asking again is idempotent.
-    Already {
+    AlreadyCommitted {
         /// Revision that it made.
         revision: u64,
     },
@@ -91,7 +91,7 @@
         let revision = commit.revision;
         let same = commit.content == content;
         return if same {
-            Decision::Already { revision }
+            Decision::AlreadyCommitted { revision }
         } else {
             Decision::ChangeReused { revision }
         };
@@ -159,12 +159,12 @@
     /// The head stands as before, and the write may still land: repeat the same compare-and-set.
     Pending,
     /// Another commit stands in its place: it did not take effect and never can.
-    Overtaken {
+    Superseded {
         /// Standing revision.
         standing: u64,
     },
     /// The head no longer tells: it went back, or its history has grown past the commit.
-    Untold,
+    Indeterminate,
 }
 
 /// Reads a lost write back. `expected` is the version that its compare-and-set asked for (0:
@@ -174,7 +174,7 @@
         return if expected == 0 {
             ReadBack::Pending
         } else {
-            ReadBack::Untold
+            ReadBack::Indeterminate
         };
     };
     let ours = sent
@@ -184,10 +184,10 @@
     let there = commit_of(head, sent.revision).map(|commit| (&commit.change, &commit.content));
     match there {
         Some(there) if Some(there) == ours => ReadBack::Committed,
-        Some(_) => ReadBack::Overtaken {
+        Some(_) => ReadBack::Superseded {
             standing: head.revision,
         },
         None if version == expected => ReadBack::Pending,
-        None => ReadBack::Untold,
+        None => ReadBack::Indeterminate,
     }
 }
--- a/policy/src/config/converge.rs
+++ b/policy/src/config/converge.rs
@@ -22,7 +22,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::lineage::{Relation, check_head, relation};
+use super::lineage::{Relation, relation, validate_head};
 use super::parts::{is_text_of, join};
 use crate::head::{Head, PartRef};
 use crate::schema::CompiledSchema;
@@ -142,7 +142,7 @@
     }
 
     /// Revision that is being fetched, where a peer has it in force.
-    pub fn vouched_target(&self) -> Option<u64> {
+    pub fn target_in_force_at_peer(&self) -> Option<u64> {
         let told = self.target.as_ref().filter(|target| target.told_by_peer);
         told.map(|target| target.head.revision)
     }
@@ -170,7 +170,7 @@
     }
 
     /// Adds parts that this instance itself is about to commit, so that it need not fetch them.
-    pub fn hold(&mut self, part: &PartRef, text: Name) {
+    pub fn insert_part(&mut self, part: &PartRef, text: Name) {
         if is_text_of(part, &text) {
             self.held.insert(part.hash.clone(), text);
         }
@@ -220,14 +220,14 @@
         };
         if !self
             .platform
-            .behind(now, version, asked_at, self.cfg.went_back_ms)
+            .behind(now, version, asked_at, self.cfg.rollback_confirm_ms)
         {
             return;
         }
         let head = applied.head.clone();
         self.counters.heads_went_back += 1;
         self.raise(
-            Alarm::HeadWentBack {
+            Alarm::HeadRolledBack {
                 in_force: head.revision,
             },
             actions,
@@ -245,7 +245,7 @@
         heard: Heard,
         actions: &mut Vec<Action>,
     ) -> Option<Relation> {
-        if check_head(&heard.head).is_err() {
+        if validate_head(&heard.head).is_err() {
             self.counters.heads_malformed += 1;
             return None;
         }
--- a/policy/src/config/converge/types.rs
+++ b/policy/src/config/converge/types.rs
@@ -24,7 +24,7 @@
     pub unconfirmed_ms: Millis,
     /// How long the platform must show an older head before it counts as gone back, in
     /// milliseconds.
-    pub went_back_ms: Millis,
+    pub rollback_confirm_ms: Millis,
 }
 
 /// Whence a head or part comes.
@@ -132,7 +132,7 @@
         "the platform's head went back behind revision {in_force}, which is in force and is \
          written back"
     )]
-    HeadWentBack {
+    HeadRolledBack {
         /// Revision in force.
         in_force: u64,
     },
--- a/policy/src/config/lineage.rs
+++ b/policy/src/config/lineage.rs
@@ -66,7 +66,7 @@
 
 /// What is wrong with a head.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum HeadFault {
+pub enum HeadError {
     /// The newest commit is not that of the head's revision.
     #[display("the newest commit is not that of the revision")]
     Revision,
@@ -83,17 +83,17 @@
 /// # Errors
 ///
 /// What is wrong with it.
-pub fn check_head(head: &Head) -> Result<(), HeadFault> {
-    let newest = head.history.first().ok_or(HeadFault::Revision)?;
+pub fn validate_head(head: &Head) -> Result<(), HeadError> {
+    let newest = head.history.first().ok_or(HeadError::Revision)?;
     if head.revision == 0 || newest.revision != head.revision {
-        return Err(HeadFault::Revision);
+        return Err(HeadError::Revision);
     }
     let falling = head
         .history
         .windows(2)
         .all(|two| two[0].revision > two[1].revision);
     if !falling || head.history.len() > MAX_HISTORY {
-        return Err(HeadFault::History);
+        return Err(HeadError::History);
     }
     let most = SLICES as usize + 1;
     let small = head
@@ -101,10 +101,10 @@
         .iter()
         .all(|part| part.bytes <= MAX_PART_BYTES as u64);
     if head.parts.is_empty() || head.parts.len() > most || !small {
-        return Err(HeadFault::Parts);
+        return Err(HeadError::Parts);
     }
     if newest.content != super::parts::content_of(&head.parts) {
-        return Err(HeadFault::Parts);
+        return Err(HeadError::Parts);
     }
     Ok(())
 }
--- a/policy/src/config/watch.rs
+++ b/policy/src/config/watch.rs
@@ -11,7 +11,7 @@
 use crate::time::Name;
 
 /// Number of instances that watch: one may be dead and another draining.
-pub const WATCHERS: usize = 3;
+pub const WATCHER_COUNT: usize = 3;
 
 /// Place of the instance `own` among the `live` ones (with or without itself), from 0.
 pub fn rank(own: &Name, live: &[Name]) -> usize {
@@ -23,6 +23,6 @@
 }
 
 /// Whether the instance `own` watches, among the `live` ones (with or without itself).
-pub fn watches(own: &Name, live: &[Name]) -> bool {
-    rank(own, live) < WATCHERS
+pub fn should_watch(own: &Name, live: &[Name]) -> bool {
+    rank(own, live) < WATCHER_COUNT
 }
--- a/policy/tests/config_converge.rs
+++ b/policy/tests/config_converge.rs
@@ -77,12 +77,12 @@
     let mut instance = Instance::serving(&heads);
     for _ in 0..3 {
         instance.platform(Some(&heads[0]), 20);
-        instance.advance(WENT_BACK_MS);
+        instance.advance(ROLLBACK_CONFIRM_MS);
     }
     expect_that!(instance.revision(), eq(3));
     expect_that!(
         instance.alarms,
-        eq(&vec![Alarm::HeadWentBack { in_force: 3 }])
+        eq(&vec![Alarm::HeadRolledBack { in_force: 3 }])
     );
     let (head, over) = instance.republish.clone().unwrap();
     expect_that!((head.revision, over), eq((3, 20)));
--- a/policy/tests/config_parts.rs
+++ b/policy/tests/config_parts.rs
@@ -3,12 +3,14 @@
 use googletest::prelude::*;
 use jacinthweir_policy::config::commit::{
     Decision, MAX_LABEL_BYTES, MAX_SUMMARY, MAX_SUMMARY_CHARS, Proposal, ReadBack, decide,
-    label_fault, read_back,
+    label_error, read_back,
 };
 use jacinthweir_policy::config::garbage_collection::{deletable, unreferenced_parts};
-use jacinthweir_policy::config::lineage::{HeadFault, MAX_HISTORY, Relation, check_head, relation};
+use jacinthweir_policy::config::lineage::{
+    HeadError, MAX_HISTORY, Relation, relation, validate_head,
+};
 use jacinthweir_policy::config::parts::{JoinError, MAX_PART_BYTES, PartText, join, split};
-use jacinthweir_policy::config::watch::{WATCHERS, watches};
+use jacinthweir_policy::config::watch::{WATCHER_COUNT, should_watch};
 use jacinthweir_policy::head::Head;
 use jacinthweir_policy::schema::{OrgDecl, Schema, diff, key};
 use jacinthweir_policy::time::Name;
@@ -121,7 +123,7 @@
     let first = committed(None, &proposal(0, "c1", 1));
     let second = committed(Some(&first), &proposal(1, "c2", 2));
     let again = decide(Some(&second), &proposal(0, "c1", 1));
-    expect_that!(again, eq(&Decision::Already { revision: 1 }));
+    expect_that!(again, eq(&Decision::AlreadyCommitted { revision: 1 }));
     let other = decide(Some(&second), &proposal(2, "c1", 3));
     expect_that!(other, eq(&Decision::ChangeReused { revision: 1 }));
     let same = decide(Some(&second), &proposal(1, "c9", 2));
@@ -146,11 +148,11 @@
         .map(|line| line.chars().count())
         .max();
     expect_that!(longest, some(le(MAX_SUMMARY_CHARS + 3)));
-    expect_that!(check_head(&head), ok(eq(())));
+    expect_that!(validate_head(&head), ok(eq(())));
     // Without its parts: the largest that operators can make a head's history.
     let bytes = serde_json::to_string(&head.history).unwrap().len();
     expect_that!(bytes, lt(MAX_PART_BYTES / 10));
-    expect_that!(label_fault(&head.history[0].change), none());
+    expect_that!(label_error(&head.history[0].change), none());
 }
 
 #[gtest]
@@ -167,10 +169,10 @@
         (Some((&ours, 8)), ReadBack::Committed),
         (Some((&after, 9)), ReadBack::Committed),
         (Some((&first, 7)), ReadBack::Pending),
-        (Some((&theirs, 8)), ReadBack::Overtaken { standing: 2 }),
-        (Some((&untold, 9)), ReadBack::Untold),
-        (Some((&first, 6)), ReadBack::Untold),
-        (None, ReadBack::Untold),
+        (Some((&theirs, 8)), ReadBack::Superseded { standing: 2 }),
+        (Some((&untold, 9)), ReadBack::Indeterminate),
+        (Some((&first, 6)), ReadBack::Indeterminate),
+        (None, ReadBack::Indeterminate),
     ];
     for (standing, wanted) in cases {
         expect_that!(read_back(&ours, 7, standing), eq(wanted));
@@ -202,46 +204,46 @@
                 revision: 5,
                 ..head.clone()
             },
-            HeadFault::Revision,
+            HeadError::Revision,
         ),
         (
             Head {
                 history: vec![],
                 ..head.clone()
             },
-            HeadFault::Revision,
+            HeadError::Revision,
         ),
         (
             Head {
                 history: vec![head.history[0].clone(); 2],
                 ..head.clone()
             },
-            HeadFault::History,
+            HeadError::History,
         ),
         (
             Head {
                 parts: vec![],
                 ..head.clone()
             },
-            HeadFault::Parts,
+            HeadError::Parts,
         ),
         (
             Head {
                 parts: other.parts,
                 ..head.clone()
             },
-            HeadFault::Parts,
+            HeadError::Parts,
         ),
         (
             Head {
                 parts: vec![head.parts[0].clone(); 200],
                 ..head.clone()
             },
-            HeadFault::Parts,
+            HeadError::Parts,
         ),
     ];
     for (head, fault) in cases {
-        expect_that!(check_head(&head), err(eq(fault)));
+        expect_that!(validate_head(&head), err(eq(fault)));
     }
 }
 
@@ -249,8 +251,11 @@
 fn a_few_instances_watch_whatever_their_number() {
     for fleet in [1, 3, 6, 340] {
         let names: Vec<Name> = (0..fleet).map(|n| format!("i{n}").into()).collect();
-        let watching = names.iter().filter(|name| watches(name, &names)).count();
-        expect_that!(watching, eq(WATCHERS.min(fleet)));
+        let watching = names
+            .iter()
+            .filter(|name| should_watch(name, &names))
+            .count();
+        expect_that!(watching, eq(WATCHER_COUNT.min(fleet)));
     }
 }
 
--- a/policy/tests/support/convergence.rs
+++ b/policy/tests/support/convergence.rs
@@ -15,7 +15,7 @@
 pub const MAX_CHANGES: u32 = 90;
 pub const GRACE_MS: Millis = 1_500;
 pub const UNCONFIRMED_MS: Millis = 15_000;
-pub const WENT_BACK_MS: Millis = 2_000;
+pub const ROLLBACK_CONFIRM_MS: Millis = 2_000;
 
 pub fn cfg() -> ConvergenceConfig {
     ConvergenceConfig {
@@ -23,7 +23,7 @@
         expects_peers: true,
         join_grace_ms: GRACE_MS,
         unconfirmed_ms: UNCONFIRMED_MS,
-        went_back_ms: WENT_BACK_MS,
+        rollback_confirm_ms: ROLLBACK_CONFIRM_MS,
     }
 }
 
