--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -142,7 +142,7 @@
         let cfg = MembershipConfig {
             round_ms: ROUND_MS,
             fanout: FANOUT,
-            outward: OUTWARD,
+            cross_domain_senders: OUTWARD,
             ..MembershipConfig::default()
         };
         let now = Now {
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -173,7 +173,7 @@
     for name in named.difference(&now) {
         let member = membership.member(name);
         let suspected = member.is_some_and(Member::suspected);
-        let heard_ms_ago = member.map(|m| node.now().saturating_sub(m.heard_ms));
+        let heard_ms_ago = member.map(|m| node.now().saturating_sub(m.last_contact_ms));
         log::warn!(
             peer = name.as_ref(),
             suspected,
--- a/plugins/schema/src/peers.rs
+++ b/plugins/schema/src/peers.rs
@@ -55,7 +55,7 @@
         .others()
         .filter(|m| m.state().phase != Phase::Gone);
     let view = |member: &Member| {
-        let heard_at = now.saturating_sub(mono.saturating_sub(member.heard_ms));
+        let heard_at = now.saturating_sub(mono.saturating_sub(member.last_contact_ms));
         PeerView {
             name: member.state().name.clone(),
             revision: member.state().revision,
--- a/plugins/schema/src/status.rs
+++ b/plugins/schema/src/status.rs
@@ -51,7 +51,7 @@
     let other = |member: &Member| InstanceStatus {
         member: member.state().clone(),
         suspected: member.suspected(),
-        silent_ms: now.saturating_sub(member.heard_ms),
+        silent_ms: now.saturating_sub(member.last_contact_ms),
     };
     let mut all: Vec<InstanceStatus> = std::iter::once(own).chain(known.map(other)).collect();
     all.sort_by(|a, b| a.member.name.cmp(&b.member.name));
--- a/policy/src/membership.rs
+++ b/policy/src/membership.rs
@@ -256,7 +256,7 @@
             if let Verdict::Doubted(_) = m.verdict {
                 m.verdict = Verdict::Alive;
             }
-            m.heard_round = self.round;
+            m.last_contact_round = self.round;
         }
     }
 
@@ -271,7 +271,7 @@
     fn forget(&mut self) {
         let (round, limit) = (self.round, self.cfg.forget_rounds);
         self.members
-            .retain(|_, m| m.reachable() || round - m.heard_round <= limit);
+            .retain(|_, m| m.reachable() || round - m.last_contact_round <= limit);
     }
 
     fn exchanges(&self, rng: &mut impl Rng) -> Vec<Action> {
@@ -295,8 +295,8 @@
         let within = |m: &&Member| m.state().domain == *domain;
         let reachable = || self.members.values().filter(|m| m.reachable());
         let neighbours = reachable().filter(within).count();
-        let many = neighbours >= self.cfg.outward;
-        if many && rng.random_range(0..=neighbours) >= self.cfg.outward {
+        let many = neighbours >= self.cfg.cross_domain_senders;
+        if many && rng.random_range(0..=neighbours) >= self.cfg.cross_domain_senders {
             return reachable()
                 .filter(within)
                 .map(peer)
--- a/policy/src/membership/config.rs
+++ b/policy/src/membership/config.rs
@@ -12,7 +12,7 @@
     /// Instances of one failure domain that exchange with other domains in one round, on average:
     /// all while there are no more. Bytes between domains then grow with the domains and not with
     /// the instances in them.
-    pub outward: usize,
+    pub cross_domain_senders: usize,
     /// Rounds of silence that are allowed on top of the spreading time of a heartbeat.
     pub silence_slack_rounds: u64,
     /// Peers that must fail to reach a member before it is suspected, where that many are there.
@@ -35,7 +35,7 @@
         MembershipConfig {
             round_ms: 1_000,
             fanout: 1,
-            outward: usize::MAX,
+            cross_domain_senders: usize::MAX,
             silence_slack_rounds: 4,
             confirmations: 2,
             max_probes: 8,
--- a/policy/src/membership/dump.rs
+++ b/policy/src/membership/dump.rs
@@ -64,7 +64,7 @@
         suspected: m.suspected(),
         verdict: m.verdict.to_string(),
         listed_leaving: m.listed_leaving,
-        silent_ms: mono_ms.saturating_sub(m.heard_ms),
+        silent_ms: mono_ms.saturating_sub(m.last_contact_ms),
     }
 }
 
--- a/policy/src/membership/member.rs
+++ b/policy/src/membership/member.rs
@@ -14,9 +14,9 @@
     /// Whether the platform lists this incarnation, or a later one, as leaving.
     pub listed_leaving: bool,
     /// Own round in which its heartbeat last grew here.
-    pub heard_round: u64,
+    pub last_contact_round: u64,
     /// Monotonic time at which its heartbeat last grew here, in milliseconds.
-    pub heard_ms: Millis,
+    pub last_contact_ms: Millis,
     /// Monotonic time at which the call was made that brought the newest heartbeat, in
     /// milliseconds; absent before the first such call. An answer that lay in a socket while this
     /// process was stopped is as old as its question.
@@ -65,8 +65,8 @@
             record,
             verdict: Verdict::Alive,
             listed_leaving: false,
-            heard_round: round,
-            heard_ms: mono_ms,
+            last_contact_round: round,
+            last_contact_ms: mono_ms,
             asked_ms: None,
         }
     }
@@ -98,6 +98,6 @@
     /// Its heartbeat by now if it went on since it was last heard, in rounds of this instance.
     #[must_use]
     pub fn expected_heartbeat(&self, round: u64) -> u64 {
-        self.state().heartbeat + round.saturating_sub(self.heard_round)
+        self.state().heartbeat + round.saturating_sub(self.last_contact_round)
     }
 }
--- a/policy/src/membership/suspect.rs
+++ b/policy/src/membership/suspect.rs
@@ -96,7 +96,7 @@
         let round = self.round;
         let mut silent = Vec::new();
         for (name, m) in &mut self.members {
-            if !m.reachable() || round - m.heard_round <= bound {
+            if !m.reachable() || round - m.last_contact_round <= bound {
                 continue;
             }
             if m.verdict == Verdict::Alive {
@@ -169,7 +169,7 @@
         let Verdict::Doubted(doubt) = &m.verdict else {
             return;
         };
-        let silent = round - m.heard_round;
+        let silent = round - m.last_contact_round;
         let confirmed = needed > 0 && doubt.own_misses > 0 && doubt.unreached_by.len() >= needed;
         let factor = if needed == 0 { 1 } else { UNCONFIRMED_FACTOR };
         let unconfirmed = doubt.own_misses > 0 && silent > factor * bound;
@@ -224,8 +224,8 @@
         let Some(m) = self.members.get_mut(name) else {
             return;
         };
-        m.heard_round = round;
-        m.heard_ms = now.mono_ms;
+        m.last_contact_round = round;
+        m.last_contact_ms = now.mono_ms;
         if m.suspected() {
             self.counts.false_alarms += 1;
         }
@@ -265,8 +265,8 @@
             self.counts.false_alarms += 1;
         }
         m.verdict = Verdict::Alive;
-        m.heard_round = self.round;
-        m.heard_ms = now.mono_ms;
+        m.last_contact_round = self.round;
+        m.last_contact_ms = now.mono_ms;
     }
 
     fn take_in(&mut self, now: Now, record: MemberRecord) {
--- a/policy/tests/membership.rs
+++ b/policy/tests/membership.rs
@@ -263,10 +263,10 @@
 /// Most messages of a large fleet go between its domains.
 #[gtest]
 fn few_messages_of_a_large_fleet_leave_their_domain() {
-    let (count, domains, outward) = (300, 3, 8);
+    let (count, domains, cross_domain_senders) = (300, 3, 8);
     let cfg = MembershipConfig {
         fanout: 2,
-        outward,
+        cross_domain_senders,
         ..MembershipConfig::default()
     };
     let mut fleet = Fleet::new(count, 1, 7, &cfg);
@@ -285,7 +285,7 @@
     let observed = 20;
     fleet.rounds(observed);
     fleet.meter = None;
-    let most = observed * domains * outward * cfg.fanout;
+    let most = observed * domains * cross_domain_senders * cfg.fanout;
     expect_that!(crossing.get(), le(most * 5 / 4));
     fleet.nodes[3].run = Run::Dead;
     let rounds = rounds_until(&mut fleet, 100, |f| f.suspecting(3) == count - 1);
