--- a/kernel/src/life.rs
+++ b/kernel/src/life.rs
@@ -17,7 +17,7 @@
 use crate::plugin::{Face, sorted};
 use crate::{Kernel, KernelError, Settings, logs};
 
-pub use jacinthweir_policy::drain::Ended;
+pub use jacinthweir_policy::drain::DrainOutcome;
 
 /// Time that tasks get to return once the instance stops.
 const TASKS_TIMEOUT: Duration = Duration::from_secs(2);
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// When it cannot start.
-pub async fn run(settings: Settings) -> Result<Ended, KernelError> {
+pub async fn run(settings: Settings) -> Result<DrainOutcome, KernelError> {
     logs::open(&settings.log, &settings.name)?;
     fault_point::open();
     let mut signals = Signals::open()?;
@@ -92,7 +92,7 @@
         }
     }
 
-    async fn run(&mut self, signals: &mut Signals) -> Ended {
+    async fn run(&mut self, signals: &mut Signals) -> DrainOutcome {
         signals.next().await;
         let mut event = DrainEvent::Signal;
         loop {
@@ -120,10 +120,10 @@
         self.cx.records.running().len().max(usize::from(open))
     }
 
-    fn carry_out(&mut self, action: DrainAction) -> Option<Ended> {
+    fn carry_out(&mut self, action: DrainAction) -> Option<DrainOutcome> {
         log::info!("shutdown: {action}");
         match action {
-            DrainAction::LeaveAnswers => self.cx.set_phase(Phase::Draining),
+            DrainAction::WithdrawFromEntry => self.cx.set_phase(Phase::Draining),
             DrainAction::RefuseConnections => self.refuse_connections(),
             DrainAction::Cut { .. } => self.say_cut(),
             DrainAction::Exit(ended) => return Some(ended),
@@ -149,7 +149,7 @@
 /// The fault point before an action.
 async fn reach(action: &DrainAction) {
     match action {
-        DrainAction::LeaveAnswers => fault_point::reach(Step::Leaving).await,
+        DrainAction::WithdrawFromEntry => fault_point::reach(Step::Leaving).await,
         DrainAction::RefuseConnections => fault_point::reach(Step::Refusing).await,
         DrainAction::Cut { .. } | DrainAction::Exit(_) => {}
     }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -6,7 +6,7 @@
 use argh::FromArgs;
 use jacinthweir as _;
 use jacinthweir_kernel::{KernelError, Settings, life};
-use jacinthweir_relay::{Ended, RelayError, RelaySettings};
+use jacinthweir_relay::{DrainOutcome, RelayError, RelaySettings};
 
 /// Routes inference pipelines over mixed accelerators: the entry instance.
 #[derive(FromArgs)]
@@ -79,8 +79,8 @@
         }
     };
     match serve(settings) {
-        Ok(life::Ended::Clean) => ExitCode::SUCCESS,
-        Ok(life::Ended::Cut) => ExitCode::FAILURE,
+        Ok(life::DrainOutcome::Clean) => ExitCode::SUCCESS,
+        Ok(life::DrainOutcome::Cut) => ExitCode::FAILURE,
         Err(e) => {
             eprintln!("jacinthweir: {e:#}");
             ExitCode::FAILURE
@@ -97,8 +97,8 @@
         }
     };
     match relay(settings, path) {
-        Ok(Ended::Clean) => ExitCode::SUCCESS,
-        Ok(Ended::Cut) => ExitCode::FAILURE,
+        Ok(DrainOutcome::Clean) => ExitCode::SUCCESS,
+        Ok(DrainOutcome::Cut) => ExitCode::FAILURE,
         Err(e) => {
             eprintln!("jacinthweir: {e:#}");
             ExitCode::FAILURE
@@ -107,20 +107,20 @@
 }
 
 /// A relay has a quarter of a core: one thread costs no switches and needs no locks.
-fn relay(settings: RelaySettings, path: PathBuf) -> eyre::Result<Ended> {
+fn relay(settings: RelaySettings, path: PathBuf) -> eyre::Result<DrainOutcome> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     let tasks = tokio::task::LocalSet::new();
-    let ended: Result<Ended, RelayError> =
+    let ended: Result<DrainOutcome, RelayError> =
         runtime.block_on(tasks.run_until(jacinthweir_relay::run(settings, path)));
     Ok(ended?)
 }
 
-fn serve(settings: Settings) -> eyre::Result<life::Ended> {
+fn serve(settings: Settings) -> eyre::Result<life::DrainOutcome> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
-    let ended: Result<life::Ended, KernelError> = runtime.block_on(life::run(settings));
+    let ended: Result<life::DrainOutcome, KernelError> = runtime.block_on(life::run(settings));
     Ok(ended?)
 }
--- a/plugins/relay/src/lib.rs
+++ b/plugins/relay/src/lib.rs
@@ -52,7 +52,7 @@
 mod watch;
 
 pub use events::{EventError, Events};
-pub use jacinthweir_policy::drain::Ended;
+pub use jacinthweir_policy::drain::DrainOutcome;
 pub use settings::RelaySettings;
 
 use std::rc::Rc;
@@ -104,7 +104,7 @@
     }
 
     /// Leaves the entry answers, finishes what is in progress and stops.
-    pub async fn shut_down(self) -> Ended {
+    pub async fn shut_down(self) -> DrainOutcome {
         let ended = shutdown::run(&self.node, &self.servers).await;
         self.node.stop.cancel();
         ended
@@ -122,7 +122,10 @@
 ///
 /// # Errors
 /// It cannot start.
-pub async fn run(settings: RelaySettings, path: std::path::PathBuf) -> Result<Ended, RelayError> {
+pub async fn run(
+    settings: RelaySettings,
+    path: std::path::PathBuf,
+) -> Result<DrainOutcome, RelayError> {
     logs::open_stdout(&settings.log, &settings.name).map_err(RelayError::SetUp)?;
     let mut signals = shutdown::Signals::open()?;
     let relay = Relay::spawn(settings).await?;
--- a/plugins/relay/src/shutdown.rs
+++ b/plugins/relay/src/shutdown.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use jacinthweir_kernel::KernelError;
-use jacinthweir_policy::drain::Ended;
+use jacinthweir_policy::drain::DrainOutcome;
 use jacinthweir_policy::member::Phase;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::{sleep, timeout};
@@ -75,7 +75,7 @@
 }
 
 /// Shuts down.
-pub(crate) async fn run(node: &Rc<Node>, servers: &Servers) -> Ended {
+pub(crate) async fn run(node: &Rc<Node>, servers: &Servers) -> DrainOutcome {
     let began = node.now();
     let bounds = &node.settings.bounds;
     let end = began + bounds.shutdown_ms().saturating_sub(MARGIN_MS);
@@ -95,10 +95,10 @@
         }
     };
     let ended = match timeout(left, all).await {
-        Ok(()) => Ended::Clean,
-        Err(_) => Ended::Cut,
+        Ok(()) => DrainOutcome::Clean,
+        Err(_) => DrainOutcome::Cut,
     };
-    if ended == Ended::Cut {
+    if ended == DrainOutcome::Cut {
         log::warn!(requests = node.active.get(); "requests are cut at the bound");
     }
     peers::announce(node, Phase::Gone);
--- a/plugins/relay/tests/relay.rs
+++ b/plugins/relay/tests/relay.rs
@@ -475,7 +475,7 @@
             .await
             .expect("it ends")
             .expect("it ends");
-        expect_that!(ended, eq(jacinthweir_relay::Ended::Clean));
+        expect_that!(ended, eq(jacinthweir_relay::DrainOutcome::Clean));
     });
 }
 
@@ -490,7 +490,7 @@
             .expect("a connection");
         let relay = site.relay.take().expect("it runs");
         let ended = timeout(LONG, relay.shut_down()).await.expect("it ends");
-        expect_that!(ended, eq(jacinthweir_relay::Ended::Clean));
+        expect_that!(ended, eq(jacinthweir_relay::DrainOutcome::Clean));
         drop(held);
     });
 }
--- a/policy/src/drain.rs
+++ b/policy/src/drain.rs
@@ -36,7 +36,7 @@
 pub enum DrainAction {
     /// Name this instance in no entry answer, and tell the peers.
     #[display("leave answers")]
-    LeaveAnswers,
+    WithdrawFromEntry,
     /// Refuse new connections; requests on open ones are refused as not run.
     #[display("refuse connections")]
     RefuseConnections,
@@ -50,7 +50,7 @@
     },
     /// Tell the peers that this incarnation is gone, and exit.
     #[display("exit {_0}")]
-    Exit(Ended),
+    Exit(DrainOutcome),
 }
 
 /// Why requests were cut.
@@ -66,7 +66,7 @@
 
 /// How the instance ended.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Ended {
+pub enum DrainOutcome {
     /// No request was cut: exit code 0.
     #[display("clean")]
     Clean,
@@ -130,7 +130,7 @@
             (DrainStep::Serving, DrainEvent::Signal) => {
                 self.step = DrainStep::Leaving;
                 self.since_ms = now_ms;
-                vec![DrainAction::LeaveAnswers]
+                vec![DrainAction::WithdrawFromEntry]
             }
             (_, DrainEvent::Signal) => self.end(in_flight, CutCause::SecondSignal),
             (_, DrainEvent::Tick) => self.tick(now_ms, in_flight),
@@ -149,7 +149,7 @@
         }
         if self.step == DrainStep::Refusing && in_flight == 0 {
             self.step = DrainStep::Ended;
-            actions.push(DrainAction::Exit(Ended::Clean));
+            actions.push(DrainAction::Exit(DrainOutcome::Clean));
         }
         actions
     }
@@ -161,10 +161,10 @@
         }
         self.step = DrainStep::Ended;
         if requests == 0 {
-            actions.push(DrainAction::Exit(Ended::Clean));
+            actions.push(DrainAction::Exit(DrainOutcome::Clean));
         } else {
             actions.push(DrainAction::Cut { requests, cause });
-            actions.push(DrainAction::Exit(Ended::Cut));
+            actions.push(DrainAction::Exit(DrainOutcome::Cut));
         }
         actions
     }
