--- a/policy/src/membership.rs
+++ b/policy/src/membership.rs
@@ -1,18 +1,19 @@
-//! Membership of the fleet: which instances there are and which of them live.
+//! Gossip-based membership of the fleet: which instances exist and which of them are alive.
 //!
-//! Each round an instance exchanges with a random peer ([`message`]): first a digest, then only
-//! what the other side lacks, merged by one rule ([`merge`]). A member that a call did not reach,
-//! or that is silent for longer than its heartbeat takes to spread, is doubted; others are asked
-//! to reach it, and only their confirmation makes it suspected ([`suspect`]). A suspicion spreads
-//! with the exchanges and ends with a heartbeat above its floor.
+//! In each round an instance gossips with a random peer ([`message`]): it sends a digest, and the
+//! two sides then transfer only the records that one of them lacks, merged by one rule ([`merge`]).
+//! A member is doubted when a call to it fails or when no heartbeat arrives for longer than one
+//! takes to spread. Other peers are then asked to probe it, and it is suspected once they confirm
+//! the failure ([`suspect`]). Suspicions spread by gossip, and a heartbeat above a suspicion's
+//! floor refutes it.
 //!
 //! Invariants:
-//! - Within an incarnation, heartbeat, time of change and phase of a record only grow.
-//! - Silence counts in rounds of this process, so that a process that was stopped and woken
-//!   missed no round and suspects nobody for it.
-//! - The platform's list lags: it names addresses to try and marks leaving, and clears no
-//!   suspicion.
-//! - The own record is only ever written here.
+//! - Within an incarnation, the heartbeat, last change and phase of a record never decrease.
+//! - Silence is counted in rounds of this process. A process that was suspended and resumed missed
+//!   no rounds, so it suspects nobody because of the pause.
+//! - The platform's list may be stale. It supplies addresses to try and marks members as leaving,
+//!   but never clears a suspicion.
+//! - Only this module writes the record of the own instance.
 
 pub mod config;
 pub mod dump;
@@ -36,74 +37,74 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// An instance to call.
+/// An instance that can be called.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Name; unknown for an address that comes from the settings.
+    /// Name; `None` for a seed address from the settings.
     pub name: Option<Name>,
-    /// Peers' address.
+    /// Address of its peer listener.
     pub address: SocketAddr,
 }
 
-/// What the process is to do.
+/// An action for the process to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the digest; answer with [`Membership::receive_answer`] or
+    /// Send the digest to a peer; report the result with [`Membership::receive_answer`] or
     /// [`Membership::exchange_failed`].
     Exchange {
-        /// Whom to call.
+        /// Peer to call.
         peer: Peer,
         /// Round in which the call began.
         round: u64,
-        /// What to send.
+        /// Digest to send.
         digest: MemberDigest,
     },
-    /// Ask a peer to reach another one; answer with [`Membership::probe_result`].
+    /// Ask a peer to probe another one; report the result with [`Membership::probe_result`].
     Probe {
-        /// Whom to ask.
+        /// Peer that sends the probe.
         via: Peer,
-        /// Whom to reach.
+        /// Member to probe.
         suspect: Peer,
         /// Round in which the call began.
         round: u64,
     },
 }
 
-/// What a peer reported of a probe.
+/// The result of an indirect probe.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProbeOutcome {
-    /// It reached the member, which gave its record.
+    /// The peer reached the member, which returned its record.
     Reached(MemberRecord),
-    /// It did not reach the member.
+    /// The peer did not reach the member.
     NotReached,
-    /// The peer that was asked did not answer: says nothing about the member.
+    /// The peer itself did not answer, which is no evidence about the member.
     NoAnswer,
 }
 
-/// Events since the start, for metrics and the dump.
+/// Event counts since the start, for metrics and the dump.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipCounts {
     /// Members doubted.
     pub doubts: u64,
-    /// Members suspected on the evidence of this instance and others.
+    /// Members suspected on evidence from this instance and confirming peers.
     pub suspicions: u64,
-    /// Members suspected without confirmation, as nobody could be asked.
+    /// Members suspected without confirmation, because no peer was available or answered.
     pub unconfirmed: u64,
-    /// Suspicions taken over from peers.
+    /// Suspicions adopted from peers.
     pub adopted: u64,
-    /// Suspicions that a newer heartbeat ended.
+    /// Suspicions cleared because the member turned out to be alive.
     pub false_alarms: u64,
     /// Suspicions against this instance that it refuted.
     pub refuted: u64,
-    /// Times this process was stopped and woken.
+    /// Times this process was suspended and resumed.
     pub woken: u64,
-    /// Members that were not taken in, as too many are known.
+    /// Records of new members dropped because the member limit was reached.
     pub refused: u64,
-    /// Records of this instance's name with a later incarnation.
+    /// Records received for this instance's name with a later incarnation.
     pub superseded: u64,
 }
 
-/// The state of all instances as this one knows them.
+/// This instance's view of every instance in the fleet.
 #[derive(Clone, Debug)]
 pub struct Membership {
     cfg: MembershipConfig,
@@ -115,12 +116,12 @@
     started: Now,
     seen: Now,
     ticked: Option<Now>,
-    woken_round: u64,
+    resumed_round: u64,
     counts: MembershipCounts,
 }
 
 impl Membership {
-    /// The membership of an instance that knows only itself and the addresses `seeds`.
+    /// Creates the membership of an instance that knows only itself and the addresses `seeds`.
     #[must_use]
     pub fn new(
         own: MemberState,
@@ -142,116 +143,117 @@
             started: now,
             seen: now,
             ticked: None,
-            woken_round: 0,
+            resumed_round: 0,
             counts: MembershipCounts::default(),
         }
     }
 
-    /// The own record.
+    /// Returns the record of this instance.
     #[must_use]
     pub fn own(&self) -> &MemberRecord {
         &self.own
     }
 
-    /// Every other member, in the order of names.
+    /// Iterates over the other members, sorted by name.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// What is known of another member.
+    /// Returns another member by name.
     #[must_use]
     pub fn member(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
     }
 
-    /// Every instance, this one first, then in the order of names.
+    /// Iterates over all instances: this one first, then the others sorted by name.
     pub fn members(&self) -> impl Iterator<Item = &MemberState> {
         let others = self.members.values().map(Member::state);
         std::iter::once(&self.own.state).chain(others)
     }
 
-    /// Instances that callers may be sent to, this one first if it is one of them.
+    /// Iterates over the instances that callers may be sent to; this one comes first if it serves.
     pub fn live(&self) -> impl Iterator<Item = &MemberState> {
         let own = std::iter::once(&self.own.state).filter(|s| s.phase == Phase::Serving);
-        let others = self.members.values().filter(|m| m.takes_callers());
+        let others = self.members.values().filter(|m| m.is_live());
         own.chain(others.map(Member::state))
     }
 
-    /// Peers that requests may be sent to for parts of the configuration and records.
+    /// Iterates over the peers that can be asked for configuration parts and records.
     pub fn peers(&self) -> impl Iterator<Item = &MemberState> {
         let reachable = self.members.values().filter(|m| m.reachable());
         reachable.map(Member::state)
     }
 
-    /// Events since the start.
+    /// Returns the event counts since the start.
     #[must_use]
     pub fn counts(&self) -> MembershipCounts {
         self.counts
     }
 
-    /// Own round.
+    /// Returns the current gossip round of this instance.
     #[must_use]
     pub fn round(&self) -> u64 {
         self.round
     }
 
-    /// Sets the own phase; it never goes back.
+    /// Advances the phase of this instance; an earlier phase is ignored.
     pub fn set_phase(&mut self, phase: Phase) {
         if phase > self.own.state.phase {
             self.own.state.phase = phase;
-            self.own_changed();
+            self.mark_own_changed();
         }
     }
 
-    /// Sets the revision in force here and the Unix time since when, in milliseconds.
+    /// Sets the revision in force here and the Unix time, in milliseconds, at which it came into
+    /// force.
     pub fn set_revision(&mut self, revision: u64, since_ms: u64) {
         if revision != self.own.state.revision {
             self.own.state.revision = revision;
             self.own.state.revision_since_ms = since_ms;
-            self.own_changed();
+            self.mark_own_changed();
         }
     }
 
-    /// Sets the requests in flight here; travels with the next heartbeat.
+    /// Sets the number of requests in flight here, which is sent with the next heartbeat.
     pub fn set_in_flight(&mut self, in_flight: u32) {
         self.own.state.in_flight = in_flight;
     }
 
-    fn own_changed(&mut self) {
+    fn mark_own_changed(&mut self) {
         self.own.state.heartbeat += 1;
         self.own.changed = self.own.state.heartbeat;
     }
 
-    /// One round: whom to exchange with and which probes to ask for.
+    /// Runs one gossip round and returns the exchanges and probes to start.
     pub fn tick(&mut self, now: Now, rng: &mut impl Rng) -> Vec<Action> {
-        self.observe(now);
-        // A timer that catches up on ticks it missed would count rounds in which no peer had the
-        // time to answer, and silence counts in rounds.
+        self.detect_suspension(now);
+        // Ignore the burst of ticks that a timer fires to catch up: silence is counted in rounds,
+        // and no peer has time to answer within such a burst.
         let early = |t: Now| now.mono_ms.saturating_sub(t.mono_ms) < self.cfg.round_ms / 2;
         if self.ticked.is_some_and(early) {
             return Vec::new();
         }
         self.ticked = Some(now);
         self.round += 1;
-        self.beat(now);
-        self.forget();
+        self.advance_heartbeat(now);
+        self.evict_expired();
         self.doubt_silent();
         let mut actions = self.exchanges(rng);
         self.probe_doubted(rng, &mut actions);
         actions
     }
 
-    /// Notices that the process was stopped: a gap on either clock, as the monotonic one may stand
-    /// still while the machine is suspended. Calls that were under way fail when it wakes, and
-    /// without this they would count against every peer at once.
-    fn observe(&mut self, now: Now) {
+    /// Detects that the process was suspended, by a gap on either clock: the monotonic clock may
+    /// stop while the machine is suspended. Calls in flight fail on resume, and without this check
+    /// they would count as evidence against every peer at once.
+    fn detect_suspension(&mut self, now: Now) {
         let gap = now.gap_since(self.seen);
         self.seen = now;
-        if gap <= self.cfg.woken_ms() {
+        if gap <= self.cfg.suspend_threshold_ms() {
             return;
         }
         self.counts.woken += 1;
-        self.woken_round = self.round + 1;
+        self.resumed_round = self.round + 1;
         for m in self.members.values_mut() {
             if let Verdict::Doubted(_) = m.verdict {
                 m.verdict = Verdict::Alive;
@@ -260,51 +262,57 @@
         }
     }
 
-    /// Counts the heartbeat by the time since the start, so that an instance that was stopped is
-    /// at once where the others expect it to be.
-    fn beat(&mut self, now: Now) {
+    /// Advances the own heartbeat, at least to the number of rounds since the start, so that after
+    /// a suspension it immediately has the value that other instances expect.
+    fn advance_heartbeat(&mut self, now: Now) {
         let rounds = now.gap_since(self.started) / self.cfg.round_ms.max(1);
         let next = self.own.state.heartbeat + 1;
         self.own.state.heartbeat = next.max(rounds);
     }
 
-    fn forget(&mut self) {
-        let (round, limit) = (self.round, self.cfg.forget_rounds);
+    fn evict_expired(&mut self) {
+        let (round, limit) = (self.round, self.cfg.retention_rounds);
         self.members
             .retain(|_, m| m.reachable() || round - m.last_contact_round <= limit);
     }
 
     fn exchanges(&self, rng: &mut impl Rng) -> Vec<Action> {
         let mut peers = self.random_peers(rng);
-        let doubted = self.members.values().filter(|m| untried(m)).map(peer);
+        let doubted = self
+            .members
+            .values()
+            .filter(|m| not_called_yet(m))
+            .map(peer);
         peers.extend(doubted.sample(rng, self.cfg.max_probes));
         if peers.is_empty() || self.round.is_multiple_of(self.cfg.retry_every_rounds) {
-            peers.extend(self.unreached().into_iter().choose(rng));
+            peers.extend(self.unreached_peers().into_iter().choose(rng));
         }
         self.exchanges_with(peers, rng)
     }
 
-    /// Random peers of this round. Where a domain has more instances than are to exchange with other
-    /// domains, the rest of them stay within it; else in every other round from the own region, where
-    /// there are any. Loads travel within the region only, and in a fleet of many regions a peer drawn
-    /// from all is seldom near.
+    /// Selects the random peers of this round.
+    ///
+    /// In a failure domain with more instances than [`MembershipConfig::cross_domain_senders`], the
+    /// excess stays within the domain. Otherwise every second round prefers peers of the own
+    /// region, if there are any: load reports spread within the region only, and in a fleet of many
+    /// regions a uniformly drawn peer is rarely in the same one.
     fn random_peers(&self, rng: &mut impl Rng) -> Vec<Peer> {
         let domain = &self.own.state.domain;
         let region = region_of(domain);
-        let near = |m: &&Member| region_of(&m.state().domain) == region;
-        let within = |m: &&Member| m.state().domain == *domain;
+        let in_region = |m: &&Member| region_of(&m.state().domain) == region;
+        let in_domain = |m: &&Member| m.state().domain == *domain;
         let reachable = || self.members.values().filter(|m| m.reachable());
-        let neighbours = reachable().filter(within).count();
-        let many = neighbours >= self.cfg.cross_domain_senders;
-        if many && rng.random_range(0..=neighbours) >= self.cfg.cross_domain_senders {
+        let neighbours = reachable().filter(in_domain).count();
+        let large_domain = neighbours >= self.cfg.cross_domain_senders;
+        if large_domain && rng.random_range(0..=neighbours) >= self.cfg.cross_domain_senders {
             return reachable()
-                .filter(within)
+                .filter(in_domain)
                 .map(peer)
                 .sample(rng, self.cfg.fanout);
         }
-        if self.round.is_multiple_of(2) && reachable().any(|m| near(&m)) {
-            let near = reachable().filter(near);
-            return near.map(peer).sample(rng, self.cfg.fanout);
+        if self.round.is_multiple_of(2) && reachable().any(|m| in_region(&m)) {
+            let in_region = reachable().filter(in_region);
+            return in_region.map(peer).sample(rng, self.cfg.fanout);
         }
         reachable().map(peer).sample(rng, self.cfg.fanout)
     }
@@ -322,17 +330,17 @@
         actions
     }
 
-    /// Exchanges with up to `count` peers at once, outside the rounds: tells news that should not
-    /// wait for its turn, as the own leaving.
+    /// Starts exchanges with up to `count` random peers outside the regular rounds, for urgent
+    /// updates such as the departure of this instance.
     pub fn announce(&self, count: usize, rng: &mut impl Rng) -> Vec<Action> {
         let reachable = self.members.values().filter(|m| m.reachable());
         let peers = reachable.map(peer).sample(rng, count);
         self.exchanges_with(peers, rng)
     }
 
-    /// Addresses that no exchange reaches at present: suspected members, listed instances that are
-    /// not known in that incarnation, and addresses from the settings.
-    fn unreached(&self) -> Vec<Peer> {
+    /// Returns the addresses that random exchanges do not cover: suspected members, listed
+    /// instances whose incarnation is not known yet, and seed addresses from the settings.
+    fn unreached_peers(&self) -> Vec<Peer> {
         let suspected = self.members.values().filter(|m| m.suspected()).map(peer);
         let listed = self.listed.values().filter(|l| self.is_candidate(l));
         let listed = listed.map(|l| Peer {
@@ -358,9 +366,9 @@
         l.state == ListedState::Live && !known && l.name != self.own.state.name
     }
 
-    /// Takes over the platform's list, whole.
+    /// Replaces the instance list with the platform's current one.
     pub fn listed(&mut self, now: Now, list: &[ListedInstance]) {
-        self.observe(now);
+        self.detect_suspension(now);
         let own = list.iter().filter(|l| *l.group == *ENTRY_GROUP);
         self.listed = own.map(|l| (l.name.clone(), l.clone())).collect();
         for m in self.members.values_mut() {
@@ -368,7 +376,7 @@
         }
     }
 
-    /// What this instance knows, for a first message with the given salt.
+    /// Returns the digest of this instance's view, keyed with the given salt.
     #[must_use]
     pub fn digest(&self, salt: u32) -> MemberDigest {
         let mut beats = vec![beat_of(salt, &self.own)];
@@ -391,10 +399,10 @@
         suspicions
     }
 
-    /// Takes in a peer's digest; returns the answer.
+    /// Processes a peer's digest and returns the answer.
     pub fn receive_digest(&mut self, now: Now, from: &Name, digest: &MemberDigest) -> MemberDelta {
-        self.observe(now);
-        self.contacted(from, now);
+        self.detect_suspension(now);
+        self.record_contact(from, now);
         let salt = digest.salt;
         let keys = self.keys(salt);
         let mut delta = MemberDelta {
@@ -410,18 +418,18 @@
                 _ => delta.wants.push(beat.key),
             }
         }
-        self.take_beats(now, &keys, &digest.beats);
-        self.take_suspicions(&keys, &digest.suspicions);
-        self.answer(&theirs, &mut delta);
+        self.merge_beats(now, &keys, &digest.beats);
+        self.merge_suspicions(&keys, &digest.suspicions);
+        self.fill_delta(&theirs, &mut delta);
         delta.suspicions = self.suspicions(salt);
         delta
     }
 
-    fn answer(&self, theirs: &BTreeMap<u32, Beat>, delta: &mut MemberDelta) {
+    fn fill_delta(&self, theirs: &BTreeMap<u32, Beat>, delta: &mut MemberDelta) {
         let others = self.members.values().map(|m| &m.record);
         let records: Vec<&MemberRecord> = std::iter::once(&self.own).chain(others).collect();
-        // Begins elsewhere each round: a peer that lacks more records than fit is not sent the
-        // same first ones by everybody.
+        // Rotate the start each round, so that a peer that lacks more records than fit in one
+        // message does not receive the same first ones from every instance.
         let start = self.round as usize % records.len();
         let (head, tail) = records.split_at(start);
         for record in tail.iter().chain(head) {
@@ -437,12 +445,12 @@
         }
     }
 
-    /// Takes in the answer to a digest that was sent at monotonic time `asked_ms`; returns what
-    /// the sender wants.
+    /// Processes the answer to a digest sent at monotonic time `requested_ms` and returns the
+    /// records that the sender asked for.
     pub fn receive_answer(
         &mut self,
         now: Now,
-        asked_ms: Millis,
+        requested_ms: Millis,
         from: &Name,
         delta: &MemberDelta,
     ) -> Option<MemberDelta> {
@@ -451,7 +459,7 @@
         for (name, m) in &mut self.members {
             let grew = before.get(name).is_none_or(|h| *h < m.state().heartbeat);
             if grew {
-                m.asked_ms = Some(asked_ms);
+                m.requested_ms = Some(requested_ms);
             }
         }
         push
@@ -462,21 +470,21 @@
         all.map(|(name, m)| (name.clone(), m.state().heartbeat))
     }
 
-    /// Takes in a delta; returns what the sender wants of it.
+    /// Processes a delta and returns the records that the sender asked for, if any.
     pub fn receive_push(
         &mut self,
         now: Now,
         from: &Name,
         delta: &MemberDelta,
     ) -> Option<MemberDelta> {
-        self.observe(now);
+        self.detect_suspension(now);
         for record in &delta.records {
-            self.hear(now, record);
+            self.merge_record(now, record);
         }
-        self.contacted(from, now);
+        self.record_contact(from, now);
         let keys = self.keys(delta.salt);
-        self.take_beats(now, &keys, &delta.beats);
-        self.take_suspicions(&keys, &delta.suspicions);
+        self.merge_beats(now, &keys, &delta.beats);
+        self.merge_suspicions(&keys, &delta.suspicions);
         let wanted = delta.wants.iter().filter_map(|k| keys.get(k));
         let records = wanted.map(|name| self.record(name).clone());
         let records: Vec<MemberRecord> = records.take(self.cfg.max_records).collect();
@@ -497,7 +505,7 @@
         member.map_or(&self.own, |m| &m.record)
     }
 
-    fn take_beats(&mut self, now: Now, keys: &BTreeMap<u32, Name>, beats: &[Beat]) {
+    fn merge_beats(&mut self, now: Now, keys: &BTreeMap<u32, Name>, beats: &[Beat]) {
         for beat in beats {
             let Some(name) = keys.get(&beat.key) else {
                 continue;
@@ -511,7 +519,7 @@
             let mut record = m.record.clone();
             record.state.heartbeat = beat.heartbeat;
             record.state.in_flight = beat.in_flight;
-            self.hear(now, &record);
+            self.merge_record(now, &record);
         }
     }
 }
@@ -523,9 +531,10 @@
     }
 }
 
-/// Whether a member is doubted for its silence only, and no call of this instance tried it yet.
-fn untried(m: &Member) -> bool {
-    matches!(&m.verdict, Verdict::Doubted(doubt) if doubt.own_misses == 0)
+/// Returns whether a member is doubted only for its silence and this instance has not called it
+/// yet.
+fn not_called_yet(m: &Member) -> bool {
+    matches!(&m.verdict, Verdict::Doubted(doubt) if doubt.own_failures == 0)
 }
 
 fn beat_of(salt: u32, record: &MemberRecord) -> Beat {
--- a/policy/src/membership/config.rs
+++ b/policy/src/membership/config.rs
@@ -1,32 +1,33 @@
-//! Settings of the membership and the bounds that follow from the size of the fleet.
+//! Settings of the membership protocol and bounds derived from the fleet size.
 
 use crate::time::Millis;
 
-/// Settings of the membership; the same on every instance of a fleet.
+/// Settings of the membership protocol; must be the same on every instance of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipConfig {
-    /// Time between two rounds, in milliseconds; heartbeats count in this unit.
+    /// Gossip interval in milliseconds; heartbeats are counted in this unit.
     pub round_ms: Millis,
-    /// Random peers that an instance exchanges with each round.
+    /// Number of random peers that an instance gossips with in each round.
     pub fanout: usize,
-    /// Instances of one failure domain that exchange with other domains in one round, on average:
-    /// all while there are no more. Bytes between domains then grow with the domains and not with
-    /// the instances in them.
+    /// Average number of instances per failure domain that gossip with other domains in one round;
+    /// smaller domains use all their instances. Traffic between domains then grows with the number
+    /// of domains instead of the number of instances.
     pub cross_domain_senders: usize,
-    /// Rounds of silence that are allowed on top of the spreading time of a heartbeat.
+    /// Rounds of silence tolerated beyond the propagation time of a heartbeat.
     pub silence_slack_rounds: u64,
-    /// Peers that must fail to reach a member before it is suspected, where that many are there.
+    /// Number of peers that must fail to reach a member before it is suspected, if that many are
+    /// available.
     pub confirmations: usize,
-    /// The most probes that an instance asks others for in one round.
+    /// Maximum number of members that an instance has probed by others in one round.
     pub max_probes: usize,
-    /// The most whole records in one message; the rest follows in later rounds.
+    /// Maximum number of full records per message; the rest follows in later rounds.
     pub max_records: usize,
-    /// Rounds after which a member that is gone or stays suspected is forgotten.
-    pub forget_rounds: u64,
-    /// The most instances that are remembered; further ones are counted and ignored.
+    /// Rounds after which a member that is gone or still suspected is removed.
+    pub retention_rounds: u64,
+    /// Maximum number of known instances; further ones are counted and ignored.
     pub max_members: usize,
-    /// Every how many rounds one unreached address (suspected, listed, from the settings) is
-    /// tried besides the random peers.
+    /// Interval, in rounds, at which one unreached address (suspected, listed or from the settings)
+    /// is tried in addition to the random peers.
     pub retry_every_rounds: u64,
 }
 
@@ -40,7 +41,7 @@
             confirmations: 2,
             max_probes: 8,
             max_records: 128,
-            forget_rounds: 3_600,
+            retention_rounds: 3_600,
             max_members: 2_048,
             retry_every_rounds: 3,
         }
@@ -48,21 +49,22 @@
 }
 
 impl MembershipConfig {
-    /// Rounds of silence after which a member is doubted, for a fleet of `members`.
+    /// Returns the number of silent rounds after which a member is doubted in a fleet of `members`.
     ///
-    /// Push and pull with one random peer a round brings a heartbeat to everyone within about
-    /// `log3(n) + ln(ln(n))` rounds on average; twice the binary logarithm is above what was seen
-    /// in the worst of many runs, and the slack covers lost messages.
+    /// Push-pull gossip with one random peer per round spreads a heartbeat to all instances within
+    /// about `log3(n) + ln(ln(n))` rounds on average. Twice the binary logarithm exceeds the worst
+    /// case seen over many runs, and the slack covers lost messages.
     #[must_use]
     pub fn silence_rounds(&self, members: usize) -> u64 {
         let log2 = u64::from(members.max(1).ilog2());
         2 * log2 + self.silence_slack_rounds
     }
 
-    /// A gap between two ticks, in milliseconds, after which this process counts as having been
-    /// stopped: what it had asked for and did not get says nothing about the others.
+    /// Returns the gap between two observations of the clocks, in milliseconds, above which this
+    /// process is considered to have been suspended. Calls that failed across such a gap are no
+    /// evidence against the peers.
     #[must_use]
-    pub fn woken_ms(&self) -> Millis {
+    pub fn suspend_threshold_ms(&self) -> Millis {
         3 * self.round_ms
     }
 }
--- a/policy/src/membership/dump.rs
+++ b/policy/src/membership/dump.rs
@@ -1,4 +1,4 @@
-//! The membership as operators see it.
+//! The membership view shown to operators.
 
 use super::{Member, Membership, MembershipCounts, Peer};
 use crate::member::MemberState;
@@ -6,34 +6,34 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One instance.
+/// The view of one instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// Its state as last heard.
+    /// Newest known state.
     pub state: MemberState,
-    /// Whether it is suspected to be dead.
+    /// Whether it is suspected to have failed.
     pub suspected: bool,
-    /// Verdict, with its evidence.
+    /// Failure detector verdict, as text.
     pub verdict: String,
     /// Whether the platform lists it as leaving.
     pub listed_leaving: bool,
-    /// Time since its heartbeat last grew here, in milliseconds.
+    /// Time since the last heartbeat or direct contact, in milliseconds.
     pub silent_ms: Millis,
 }
 
-/// The whole membership.
+/// The complete membership view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MembershipDump {
-    /// Own round.
+    /// Current gossip round of this instance.
     pub round: u64,
-    /// Every instance, this one first.
+    /// All instances, this one first.
     pub rows: Vec<MemberRow>,
-    /// Events since the start.
+    /// Event counts since the start.
     pub counts: MembershipCounts,
 }
 
 impl Membership {
-    /// One row for every instance, this one first, then in the order of names.
+    /// Returns one row per instance: this one first, then the others sorted by name.
     #[must_use]
     pub fn rows(&self, mono_ms: Millis) -> Vec<MemberRow> {
         let own = MemberRow {
@@ -47,7 +47,7 @@
         std::iter::once(own).chain(others).collect()
     }
 
-    /// The whole membership, for the dump.
+    /// Returns the complete membership view.
     #[must_use]
     pub fn dump(&self, mono_ms: Millis) -> MembershipDump {
         MembershipDump {
--- a/policy/src/membership/member.rs
+++ b/policy/src/membership/member.rs
@@ -1,44 +1,44 @@
-//! What this instance knows of one other, and how far it trusts that it lives.
+//! The view of one other instance and the failure detector's verdict on it.
 
 use crate::member::{MemberState, Phase};
 use crate::membership::message::MemberRecord;
 use crate::time::{Millis, Name};
 
-/// What this instance knows of one instance.
+/// The view of one other instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Newest record.
+    /// Newest known record.
     pub record: MemberRecord,
-    /// Whether it is taken to live.
+    /// Verdict of the failure detector.
     pub verdict: Verdict,
     /// Whether the platform lists this incarnation, or a later one, as leaving.
     pub listed_leaving: bool,
-    /// Own round in which its heartbeat last grew here.
+    /// Own round of the last heartbeat or direct contact.
     pub last_contact_round: u64,
-    /// Monotonic time at which its heartbeat last grew here, in milliseconds.
+    /// Monotonic time of the last heartbeat or direct contact, in milliseconds.
     pub last_contact_ms: Millis,
-    /// Monotonic time at which the call was made that brought the newest heartbeat, in
-    /// milliseconds; absent before the first such call. An answer that lay in a socket while this
-    /// process was stopped is as old as its question.
-    pub asked_ms: Option<Millis>,
+    /// Monotonic time, in milliseconds, at which the exchange that returned the newest heartbeat
+    /// was sent; absent before the first one. The send time is used because an answer may have
+    /// waited in a socket buffer while this process was suspended.
+    pub requested_ms: Option<Millis>,
 }
 
-/// Whether a member is taken to live.
+/// The failure detector's verdict on a member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, derive_more::Display)]
 pub enum Verdict {
-    /// Nothing speaks against it.
+    /// There is no evidence against it.
     #[default]
     #[display("alive")]
     Alive,
-    /// It was not reached, or is silent: others are asked.
+    /// A call to it failed or it is silent; other peers are asked to probe it.
     #[display("doubted since round {}", _0.since)]
     Doubted(Doubt),
-    /// Others did not reach it either.
+    /// It is considered failed, normally because other peers could not reach it either.
     #[display("suspected since round {since}, until its heartbeat exceeds {floor}")]
     Suspected {
-        /// Own round.
+        /// Own round in which the suspicion began.
         since: u64,
-        /// A heartbeat above this one shows that it lives.
+        /// A heartbeat above this value refutes the suspicion.
         floor: u64,
     },
 }
@@ -46,19 +46,19 @@
 /// Evidence against a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Doubt {
-    /// Own round in which it began.
+    /// Own round in which the doubt began.
     pub since: u64,
-    /// A heartbeat above this one shows that it lives: what it would have had when the doubt
-    /// began.
+    /// Heartbeat that the member was expected to have when the doubt began; a greater one refutes
+    /// the evidence.
     pub floor: u64,
-    /// Own calls that failed since.
-    pub own_misses: u32,
-    /// Peers that reported that they could not reach it, in the order of their reports.
+    /// Calls from this instance that failed since then.
+    pub own_failures: u32,
+    /// Peers that reported that they could not reach it, in report order.
     pub unreached_by: Vec<Name>,
 }
 
 impl Member {
-    /// A member that was heard of for the first time.
+    /// Creates the entry for a newly discovered member.
     #[must_use]
     pub fn new(record: MemberRecord, round: u64, mono_ms: Millis) -> Member {
         Member {
@@ -67,35 +67,36 @@
             listed_leaving: false,
             last_contact_round: round,
             last_contact_ms: mono_ms,
-            asked_ms: None,
+            requested_ms: None,
         }
     }
 
-    /// Its state as last heard.
+    /// Returns its newest known state.
     #[must_use]
     pub fn state(&self) -> &MemberState {
         &self.record.state
     }
 
-    /// Whether it is suspected to be dead.
+    /// Returns whether it is suspected to have failed.
     #[must_use]
     pub fn suspected(&self) -> bool {
         matches!(self.verdict, Verdict::Suspected { .. })
     }
 
-    /// Whether callers may be sent to it.
+    /// Returns whether callers may be sent to it.
     #[must_use]
-    pub fn takes_callers(&self) -> bool {
+    pub fn is_live(&self) -> bool {
         self.state().phase == Phase::Serving && !self.listed_leaving && !self.suspected()
     }
 
-    /// Whether exchanges with it are of use.
+    /// Returns whether exchanges with it can be expected to succeed.
     #[must_use]
     pub fn reachable(&self) -> bool {
         self.state().phase != Phase::Gone && !self.suspected()
     }
 
-    /// Its heartbeat by now if it went on since it was last heard, in rounds of this instance.
+    /// Returns the heartbeat expected at `round`, assuming one increment per round since the last
+    /// contact.
     #[must_use]
     pub fn expected_heartbeat(&self, round: u64) -> u64 {
         self.state().heartbeat + round.saturating_sub(self.last_contact_round)
--- a/policy/src/membership/merge.rs
+++ b/policy/src/membership/merge.rs
@@ -1,16 +1,16 @@
-//! The merge rule of two records of the same instance.
+//! The merge rule for two records of the same instance.
 //!
-//! A higher incarnation wins. Within an incarnation the greatest heartbeat wins; the phase is the
-//! furthest of the two, since phases only move forward, and [`crate::member::Phase::Gone`] is final. The rule is
-//! commutative, associative and idempotent, so that records may arrive in any order, twice or
-//! crossed, and all instances end with the same one.
+//! The higher incarnation wins. Within an incarnation the greater heartbeat wins, and the phase is
+//! the later of the two, since phases only move forward and [`crate::member::Phase::Gone`] is
+//! final. The rule is commutative, associative and idempotent, so records may arrive out of order
+//! or more than once and all instances still converge to the same record.
 
 use crate::member::MemberState;
 use crate::membership::message::MemberRecord;
 use std::cmp::Ordering;
 use std::net::SocketAddr;
 
-/// The newer of two records of the same name.
+/// Merges two records of the same name.
 #[must_use]
 pub fn merged(a: &MemberRecord, b: &MemberRecord) -> MemberRecord {
     match a.state.incarnation.cmp(&b.state.incarnation) {
@@ -21,7 +21,7 @@
 }
 
 fn same_incarnation(a: &MemberRecord, b: &MemberRecord) -> MemberRecord {
-    let newer = if order(&a.state) < order(&b.state) {
+    let newer = if precedence(&a.state) < precedence(&b.state) {
         b
     } else {
         a
@@ -32,10 +32,10 @@
     record
 }
 
-/// Total order of everything but phase and time of change, which are joined on their own. An
-/// honest instance never gives two records with the same heartbeat; the further fields keep the
-/// rule commutative and associative if one does.
-fn order(s: &MemberState) -> (Numbers, Addresses<'_>) {
+/// Total order over all fields except phase and last change, which are merged separately. A correct
+/// instance never sends two different records with the same heartbeat; the remaining fields keep
+/// the rule commutative and associative if one does.
+fn precedence(s: &MemberState) -> (Numbers, Addresses<'_>) {
     let numbers = (s.heartbeat, s.revision, s.revision_since_ms, s.in_flight);
     let addresses = (s.callers, s.peers, s.operators, &*s.domain);
     (numbers, addresses)
--- a/policy/src/membership/message.rs
+++ b/policy/src/membership/message.rs
@@ -1,71 +1,71 @@
-//! What two instances tell each other about members.
+//! Messages of the push-pull gossip exchange.
 //!
-//! The first message is a digest of every member known: one [`Beat`] each. The answer has the
-//! beats that are newer, the whole records that the asker lacks, and the keys of records that the
-//! answerer lacks; the asker pushes those in a third message. In a steady state no record travels
-//! at all: a beat carries the heartbeat and the load, and everything else changes rarely.
+//! The first message is a digest with one [`Beat`] per known member. The answer contains newer
+//! beats, full records that the initiator lacks, and the keys of records that the responder lacks;
+//! the initiator sends those in a third message. In steady state no full record is sent: a beat
+//! carries the heartbeat and the load, and the other fields rarely change.
 //!
-//! A beat names its member by a key of 32 bits, hashed from name, incarnation and the salt of the
-//! exchange. Two members with the same key hide each other in one exchange only, since the next
-//! one has another salt.
+//! A beat identifies its member by a 32-bit key, hashed from the name, the incarnation and the salt
+//! of the exchange. If two keys collide, one of the members is left out of that exchange only,
+//! since the next exchange uses another salt.
 
 use crate::member::MemberState;
 use crate::time::Name;
 use derive_more::{From, Into};
 use serde::{Deserialize, Serialize};
 
-/// A member's record as it travels.
+/// A member's record as sent between instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The state.
+    /// State of the member.
     pub state: MemberState,
-    /// Heartbeat at which anything but heartbeat and load last changed.
+    /// Heartbeat at which any field other than heartbeat and load last changed.
     pub changed: u64,
 }
 
-/// The parts of a record that change all the time; on the wire an array of four numbers.
+/// The frequently changing fields of a record; an array of four numbers on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, From, Into, Serialize, Deserialize)]
 #[serde(from = "(u32, u64, u64, u32)", into = "(u32, u64, u64, u32)")]
 pub struct Beat {
     /// Member's key, see [`member_key`].
     pub key: u32,
-    /// Heartbeat count.
+    /// Heartbeat counter.
     pub heartbeat: u64,
-    /// Heartbeat at which the rest of the record last changed.
+    /// Heartbeat at which any other field of the record last changed.
     pub changed: u64,
     /// Requests in flight.
     pub in_flight: u32,
 }
 
-/// A confirmed suspicion; on the wire an array of two numbers.
+/// A confirmed suspicion; an array of two numbers on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, From, Into, Serialize, Deserialize)]
 #[serde(from = "(u32, u64)", into = "(u32, u64)")]
 pub struct Suspicion {
     /// Member's key, see [`member_key`].
     pub key: u32,
-    /// A heartbeat above this one shows that the member lives.
+    /// A heartbeat above this value refutes the suspicion.
     pub floor: u64,
 }
 
-/// First message of an exchange.
+/// The first message of an exchange.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MemberDigest {
-    /// Salt of the keys.
+    /// Salt of the member keys.
     pub salt: u32,
-    /// Every member that the sender knows, itself included.
+    /// One entry per member that the sender knows, including itself.
     pub beats: Vec<Beat>,
     /// Members that the sender suspects.
     pub suspicions: Vec<Suspicion>,
 }
 
-/// Second and third message of an exchange.
+/// The second and third message of an exchange.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MemberDelta {
-    /// Salt of the keys: that of the digest.
+    /// Salt of the member keys, the same as in the digest.
     pub salt: u32,
-    /// Newer heartbeats of members whose records the other side has.
+    /// Newer heartbeats of members whose records the receiver already has.
     pub beats: Vec<Beat>,
-    /// Records that the other side lacks, at most the configured number.
+    /// Records that the receiver lacks, limited to the configured maximum.
     pub records: Vec<MemberRecord>,
     /// Keys of records that the sender lacks.
     pub wants: Vec<u32>,
@@ -73,7 +73,7 @@
     pub suspicions: Vec<Suspicion>,
 }
 
-/// Key of a member within one exchange: FNV-1a over salt, name and incarnation.
+/// Returns the key of a member within one exchange: FNV-1a over salt, name and incarnation.
 #[must_use]
 pub fn member_key(salt: u32, name: &Name, incarnation: u64) -> u32 {
     const OFFSET: u32 = 0x811c_9dc5;
--- a/policy/src/membership/suspect.rs
+++ b/policy/src/membership/suspect.rs
@@ -1,4 +1,4 @@
-//! Doubt, confirmation and suspicion of members.
+//! The failure detector: doubt, confirmation and suspicion of members.
 //!
 //! ```text
 //!            call failed, or silent             a call of this instance failed and others failed
@@ -7,9 +7,9 @@
 //!     +---- heartbeat above the floor, or a call from or to it that succeeded -------+
 //! ```
 //!
-//! The floor of a suspicion is the heartbeat that the member would have had when the doubt began.
-//! Heartbeats from before its death may still be spreading; they stay below the floor and clear
-//! nothing, while those of a living member pass it within a round.
+//! The floor of a suspicion is the heartbeat that the member was expected to have when the doubt
+//! began. Heartbeats sent before a failure may still be spreading; they do not exceed the floor and
+//! refute nothing, while a member that is alive exceeds it within one round.
 
 use super::{
     Action, Doubt, Member, MemberRecord, Membership, Peer, ProbeOutcome, Suspicion, Verdict, peer,
@@ -20,12 +20,12 @@
 use rand::seq::IteratorRandom;
 use std::collections::BTreeMap;
 
-/// Silence beyond which a member is suspected without confirmation, in multiples of the bound,
-/// where others are there to be asked and don't answer. Where nobody is, the bound itself counts.
+/// Multiple of the silence bound after which a member is suspected without confirmation when the
+/// peers asked to probe it do not answer. If there are no such peers, the bound itself applies.
 const UNCONFIRMED_FACTOR: u64 = 2;
 
 impl Membership {
-    /// An exchange that began in `round` failed. Returns the probes to ask for.
+    /// Records that an exchange started in `round` failed and returns the probes to request.
     pub fn exchange_failed(
         &mut self,
         now: Now,
@@ -33,7 +33,7 @@
         round: u64,
         rng: &mut impl Rng,
     ) -> Vec<Action> {
-        self.observe(now);
+        self.detect_suspension(now);
         let mut actions = Vec::new();
         let Some(name) = &peer.name else {
             return actions;
@@ -43,7 +43,7 @@
             return actions;
         };
         let other_address = m.state().peers != peer.address;
-        if round < self.woken_round || other_address || !m.reachable() {
+        if round < self.resumed_round || other_address || !m.reachable() {
             return actions;
         }
         let first = m.verdict == Verdict::Alive;
@@ -52,11 +52,11 @@
             self.counts.doubts += 1;
             self.probe(name, rng, &mut actions);
         }
-        self.settle(name);
+        self.evaluate_evidence(name);
         actions
     }
 
-    /// A peer answered, or did not, whether it reaches `suspect`.
+    /// Records the result of a probe of `suspect` by the peer `via`.
     pub fn probe_result(
         &mut self,
         now: Now,
@@ -65,21 +65,21 @@
         round: u64,
         outcome: &ProbeOutcome,
     ) {
-        self.observe(now);
+        self.detect_suspension(now);
         match outcome {
             ProbeOutcome::NoAnswer => {}
             ProbeOutcome::Reached(record) => {
-                self.hear(now, record);
+                self.merge_record(now, record);
                 if record.state.name == *suspect {
-                    self.contacted(suspect, now);
+                    self.record_contact(suspect, now);
                 }
             }
-            ProbeOutcome::NotReached if round < self.woken_round => {}
-            ProbeOutcome::NotReached => self.not_reached(suspect, via),
+            ProbeOutcome::NotReached if round < self.resumed_round => {}
+            ProbeOutcome::NotReached => self.record_not_reached(suspect, via),
         }
     }
 
-    fn not_reached(&mut self, suspect: &Name, via: &Name) {
+    fn record_not_reached(&mut self, suspect: &Name, via: &Name) {
         let Some(m) = self.members.get_mut(suspect) else {
             return;
         };
@@ -88,7 +88,7 @@
         {
             doubt.unreached_by.push(via.clone());
         }
-        self.settle(suspect);
+        self.evaluate_evidence(suspect);
     }
 
     pub(super) fn doubt_silent(&mut self) {
@@ -106,7 +106,7 @@
             silent.push(name.clone());
         }
         for name in silent {
-            self.settle(&name);
+            self.evaluate_evidence(&name);
         }
     }
 
@@ -114,7 +114,7 @@
         self.cfg.silence_rounds(self.members.len() + 1)
     }
 
-    /// Asks for probes of the members in doubt, at most the configured number of members.
+    /// Requests probes of doubted members, up to the configured number of members.
     pub(super) fn probe_doubted(&self, rng: &mut impl Rng, actions: &mut Vec<Action>) {
         let doubted = self.members.iter().filter(|(_, m)| is_doubted(m));
         let names = doubted.map(|(name, _)| name);
@@ -134,14 +134,17 @@
             .cfg
             .confirmations
             .saturating_sub(doubt.unreached_by.len());
-        let fresh = |p: &Peer| {
+        let not_reported = |p: &Peer| {
             !doubt
                 .unreached_by
                 .iter()
                 .any(|n| Some(n) == p.name.as_ref())
         };
-        let vias = self.vias(suspect).filter(fresh).sample(rng, missing);
-        for via in vias {
+        let proxies = self
+            .probe_proxies(suspect)
+            .filter(not_reported)
+            .sample(rng, missing);
+        for via in proxies {
             actions.push(Action::Probe {
                 via,
                 suspect: peer(m),
@@ -150,19 +153,19 @@
         }
     }
 
-    /// Peers that can be asked about a member: those that nothing speaks against.
-    fn vias(&self, suspect: &Name) -> impl Iterator<Item = Peer> {
+    /// Iterates over the peers that can probe a member: those without evidence against them.
+    fn probe_proxies(&self, suspect: &Name) -> impl Iterator<Item = Peer> {
         let alive = self.members.iter().filter(move |(name, m)| {
             *name != suspect && m.verdict == Verdict::Alive && m.state().phase != Phase::Gone
         });
         alive.map(|(_, m)| peer(m))
     }
 
-    /// Makes a doubted member suspected if the evidence is there.
-    fn settle(&mut self, name: &Name) {
+    /// Moves a doubted member to suspected if the evidence suffices.
+    fn evaluate_evidence(&mut self, name: &Name) {
         let bound = self.silence_bound();
         let round = self.round;
-        let needed = self.vias(name).count().min(self.cfg.confirmations);
+        let needed = self.probe_proxies(name).count().min(self.cfg.confirmations);
         let Some(m) = self.members.get_mut(name) else {
             return;
         };
@@ -170,9 +173,9 @@
             return;
         };
         let silent = round - m.last_contact_round;
-        let confirmed = needed > 0 && doubt.own_misses > 0 && doubt.unreached_by.len() >= needed;
+        let confirmed = needed > 0 && doubt.own_failures > 0 && doubt.unreached_by.len() >= needed;
         let factor = if needed == 0 { 1 } else { UNCONFIRMED_FACTOR };
-        let unconfirmed = doubt.own_misses > 0 && silent > factor * bound;
+        let unconfirmed = doubt.own_failures > 0 && silent > factor * bound;
         if !confirmed && !unconfirmed {
             return;
         }
@@ -188,7 +191,11 @@
         }
     }
 
-    pub(super) fn take_suspicions(&mut self, keys: &BTreeMap<u32, Name>, suspicions: &[Suspicion]) {
+    pub(super) fn merge_suspicions(
+        &mut self,
+        keys: &BTreeMap<u32, Name>,
+        suspicions: &[Suspicion],
+    ) {
         let since = self.round;
         for s in suspicions {
             let Some(name) = keys.get(&s.key) else {
@@ -210,7 +217,7 @@
         }
     }
 
-    /// Raises the own heartbeat above a suspicion's floor.
+    /// Refutes a suspicion against this instance by raising the own heartbeat above its floor.
     fn refute(&mut self, floor: u64) {
         if self.own.state.heartbeat <= floor {
             self.own.state.heartbeat = floor.saturating_add(1);
@@ -218,8 +225,8 @@
         }
     }
 
-    /// A call from or to the member succeeded: it lives.
-    pub(super) fn contacted(&mut self, name: &Name, now: Now) {
+    /// Records a successful call from or to the member, which proves that it is alive.
+    pub(super) fn record_contact(&mut self, name: &Name, now: Now) {
         let round = self.round;
         let Some(m) = self.members.get_mut(name) else {
             return;
@@ -232,11 +239,11 @@
         m.verdict = Verdict::Alive;
     }
 
-    /// Merges a record.
-    pub(super) fn hear(&mut self, now: Now, record: &MemberRecord) {
+    /// Merges a received record and clears the evidence that its heartbeat refutes.
+    pub(super) fn merge_record(&mut self, now: Now, record: &MemberRecord) {
         let name = &record.state.name;
         if *name == self.own.state.name {
-            self.hear_of_self(record);
+            self.observe_own_record(record);
             return;
         }
         let known = self.members.contains_key(name);
@@ -245,12 +252,12 @@
             return;
         }
         let Some(m) = self.members.get_mut(name) else {
-            self.take_in(now, record.clone());
+            self.insert_member(now, record.clone());
             return;
         };
         let merged = super::merge::merged(&m.record, record);
         if merged.state.incarnation > m.state().incarnation {
-            self.take_in(now, merged);
+            self.insert_member(now, merged);
             return;
         }
         let grew = merged.state.heartbeat > m.state().heartbeat;
@@ -258,7 +265,7 @@
         if !grew {
             return;
         }
-        if !passes_floor(m) {
+        if !exceeds_floor(m) {
             return;
         }
         if m.suspected() {
@@ -269,14 +276,14 @@
         m.last_contact_ms = now.mono_ms;
     }
 
-    fn take_in(&mut self, now: Now, record: MemberRecord) {
+    fn insert_member(&mut self, now: Now, record: MemberRecord) {
         let name = record.state.name.clone();
         let mut m = Member::new(record, self.round, now.mono_ms);
         super::mark_listed(&mut m, &self.listed);
         self.members.insert(name, m);
     }
 
-    fn hear_of_self(&mut self, record: &MemberRecord) {
+    fn observe_own_record(&mut self, record: &MemberRecord) {
         let (own, heard) = (&self.own.state, &record.state);
         if heard.incarnation > own.incarnation {
             self.counts.superseded += 1;
@@ -287,8 +294,8 @@
     }
 }
 
-/// Puts a member in doubt, where it is not yet, and counts failed calls of this instance.
-fn doubt(m: &mut Member, since: u64, misses: u32) {
+/// Marks a member as doubted, unless it already is, and adds failed calls of this instance.
+fn doubt(m: &mut Member, since: u64, failures: u32) {
     let standing = match std::mem::take(&mut m.verdict) {
         Verdict::Doubted(doubt) => Some(doubt),
         Verdict::Alive | Verdict::Suspected { .. } => None,
@@ -296,10 +303,10 @@
     let mut doubt = standing.unwrap_or_else(|| Doubt {
         since,
         floor: m.expected_heartbeat(since),
-        own_misses: 0,
+        own_failures: 0,
         unreached_by: Vec::new(),
     });
-    doubt.own_misses += misses;
+    doubt.own_failures += failures;
     m.verdict = Verdict::Doubted(doubt);
 }
 
@@ -307,8 +314,8 @@
     matches!(m.verdict, Verdict::Doubted(_))
 }
 
-/// Whether the heartbeat shows that the member lived after the evidence against it.
-fn passes_floor(m: &Member) -> bool {
+/// Returns whether the member's heartbeat refutes the evidence against it.
+fn exceeds_floor(m: &Member) -> bool {
     match &m.verdict {
         Verdict::Alive => true,
         Verdict::Doubted(doubt) => m.state().heartbeat > doubt.floor,
