--- a/policy/src/config/check.rs
+++ b/policy/src/config/check.rs
@@ -1,8 +1,8 @@
-//! Judges a recorded history of what was in force where.
+//! Verifies a recorded history of configuration changes.
 //!
-//! The promise: a configuration, once accepted, is in force everywhere within seconds and never
-//! reverts. The functions are pure and take records in the order in which each instance made
-//! them, so any run, simulated or of real processes, can be judged.
+//! The guarantee: an accepted configuration comes into force on every instance within seconds and
+//! never reverts. The functions are pure and take the records in the order in which each instance
+//! made them, so they apply to simulated runs and to runs of real processes alike.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +11,14 @@
 use crate::head::Commit;
 use crate::time::{Millis, Name};
 
-/// An instance put a revision in force.
+/// Records that an instance put a revision in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InForceRecord {
     /// Instance.
     pub instance: Name,
-    /// Its incarnation: a restarted instance starts anew.
+    /// Its incarnation; a restart begins a new sequence of revisions.
     pub incarnation: u64,
-    /// Time, in milliseconds of a clock common to the records.
+    /// Time in milliseconds, on a clock shared by all records.
     pub at_ms: Millis,
     /// Revision.
     pub revision: u64,
@@ -26,10 +26,10 @@
     pub content: Name,
 }
 
-/// An operator was told that a change is committed.
+/// Records that a change was reported to an operator as committed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceptedRecord {
-    /// Time, in milliseconds of the same clock.
+    /// Time in milliseconds, on the same clock.
     pub at_ms: Millis,
     /// Revision.
     pub revision: u64,
@@ -37,40 +37,40 @@
     pub content: Name,
 }
 
-/// What an operator was told of an apply.
+/// Records the outcome of an apply as reported to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApplyRecord {
-    /// Change id; an apply asked again is another record with the same id.
+    /// Change id; a retried apply adds another record with the same id.
     pub change: Name,
-    /// What was said.
+    /// Reported outcome.
     pub outcome: ReportedOutcome,
 }
 
-/// What was said of an apply.
+/// The outcome of an apply as reported to an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedOutcome {
     /// Committed as this revision.
     Committed(u64),
-    /// Nothing was committed.
+    /// Refused: nothing was committed.
     Refused,
-    /// Not known.
+    /// The outcome is unknown.
     Unknown,
 }
 
-/// A broken promise.
+/// A violation of the guarantee.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Violation {
-    /// A revision came into force after a greater one.
+    /// An instance put a lower revision in force after a higher one.
     #[display("{instance}: revision {after} came into force after {before}")]
     Reverted {
         /// Instance.
         instance: Name,
         /// Revision in force before.
         before: u64,
-        /// Revision put in force over it.
+        /// Lower revision put in force afterwards.
         after: u64,
     },
-    /// One revision number stood for two contents.
+    /// The same revision number was in force with different contents.
     #[display("{instance}: revision {revision} has other content here than elsewhere")]
     ConflictingContent {
         /// Instance.
@@ -78,15 +78,15 @@
         /// Revision.
         revision: u64,
     },
-    /// An operator was told of a commit that does not stand.
+    /// A change was reported as committed, but that commit is not in the history.
     #[display("change {change} was said to be revision {revision}, and is not")]
     LostCommit {
         /// Change.
         change: Name,
-        /// Revision that was said.
+        /// Reported revision.
         revision: u64,
     },
-    /// An operator was told that nothing was committed, and it was.
+    /// A change was reported as refused, but is in the history.
     #[display("change {change} was refused, and stands as revision {revision}")]
     RefusedButCommitted {
         /// Change.
@@ -94,29 +94,30 @@
         /// Its revision.
         revision: u64,
     },
-    /// A change stands twice.
+    /// A change is in the history twice.
     #[display("change {change} stands twice")]
     CommittedTwice {
         /// Change.
         change: Name,
     },
-    /// An accepted revision was not in force in time.
+    /// An accepted revision did not come into force in time.
     #[display("{instance}: nothing from revision {revision} on in force {within_ms} ms after")]
     NotInForceInTime {
         /// Instance.
         instance: Name,
         /// Accepted revision.
         revision: u64,
-        /// Time allowed, in milliseconds.
+        /// Time limit in milliseconds.
         within_ms: Millis,
     },
 }
 
-/// Checks that no instance went back and that a revision means the same everywhere.
+/// Checks that no instance reverts to a lower revision and that each revision has the same content
+/// on every instance.
 ///
 /// # Errors
 ///
-/// The first violation.
+/// Returns the first violation.
 pub fn check_never_reverts(
     accepted: &[AcceptedRecord],
     in_force: &[InForceRecord],
@@ -151,12 +152,12 @@
     Ok(())
 }
 
-/// Checks that each of `instances`, up all the time, had each accepted revision or a later one in
-/// force within `within_ms`.
+/// Checks that each of `instances`, all up throughout the run, put each accepted revision or a
+/// later one in force within `within_ms`.
 ///
 /// # Errors
 ///
-/// The first violation.
+/// Returns the first violation.
 pub fn check_in_force_within(
     instances: &[Name],
     accepted: &[AcceptedRecord],
@@ -164,12 +165,12 @@
     within_ms: Millis,
 ) -> Result<(), Violation> {
     for change in accepted {
-        let until = change.at_ms + within_ms;
+        let deadline = change.at_ms + within_ms;
         for instance in instances {
             let reached = in_force.iter().any(|record| {
                 record.instance == *instance
                     && record.revision >= change.revision
-                    && record.at_ms <= until
+                    && record.at_ms <= deadline
             });
             if !reached {
                 let (instance, revision) = (instance.clone(), change.revision);
@@ -184,30 +185,30 @@
     Ok(())
 }
 
-/// Checks what operators were told against the commits that stand, oldest or newest first. A
-/// change that was refused at one time may have been committed by another ask of the same id.
+/// Checks the outcomes reported to operators against the committed history, in either order. A
+/// change that was refused once may have been committed by a retry with the same id.
 ///
 /// # Errors
 ///
-/// The first violation.
+/// Returns the first violation.
 pub fn check_reported_outcomes(
     applies: &[ApplyRecord],
     commits: &[Commit],
 ) -> Result<(), Violation> {
-    let mut stands: BTreeMap<&Name, u64> = BTreeMap::new();
+    let mut committed: BTreeMap<&Name, u64> = BTreeMap::new();
     for commit in commits {
-        if stands.insert(&commit.change, commit.revision).is_some() {
+        if committed.insert(&commit.change, commit.revision).is_some() {
             let change = commit.change.clone();
             return Err(Violation::CommittedTwice { change });
         }
     }
     for apply in applies {
         let change = apply.change.clone();
-        match (apply.outcome, stands.get(&change).copied()) {
+        match (apply.outcome, committed.get(&change).copied()) {
             (ReportedOutcome::Committed(revision), found) if found != Some(revision) => {
                 return Err(Violation::LostCommit { change, revision });
             }
-            (ReportedOutcome::Refused, Some(revision)) if asked_once(applies, &change) => {
+            (ReportedOutcome::Refused, Some(revision)) if applied_once(applies, &change) => {
                 return Err(Violation::RefusedButCommitted { change, revision });
             }
             _ => {}
@@ -216,7 +217,7 @@
     Ok(())
 }
 
-fn asked_once(applies: &[ApplyRecord], change: &Name) -> bool {
+fn applied_once(applies: &[ApplyRecord], change: &Name) -> bool {
     applies
         .iter()
         .filter(|apply| apply.change == *change)
--- a/policy/src/config/commit.rs
+++ b/policy/src/config/commit.rs
@@ -1,30 +1,31 @@
-//! Committing a change: the decision before the head is written and the one after its answer
-//! was lost.
+//! Committing a change: the decision before the head is written, and the resolution of a write
+//! whose answer was lost.
 //!
 //! The head is written by compare-and-set on the version that was read, so of two operators who
-//! planned against the same revision one commits and the other gets a conflict. A write whose
-//! answer is lost may have taken effect or may still do so; the change id in the head's history
-//! tells. Repeating the same compare-and-set is harmless: at most one of the copies can find the
-//! version it expects.
+//! planned against the same revision, one commits and the other gets a conflict. A write whose
+//! answer was lost may have taken effect or may still do so; the change id in the head's history
+//! resolves this. Repeating the same compare-and-set is safe, because at most one of the copies can
+//! match the expected version.
 
 use super::lineage::{MAX_HISTORY, commit_of};
 use super::parts::content_of;
 use crate::head::{Commit, Head, PartRef};
 use crate::time::{Millis, Name};
 
-/// The most lines of a commit's summary. The head carries the summaries of its whole history,
-/// goes to every instance with every change, and has to fit the platform's megabyte.
+/// Maximum number of lines in a commit's summary. The head contains the summaries of its whole
+/// history, is sent to every instance on every change, and must fit the platform's limit of 1 MB.
 pub const MAX_SUMMARY: usize = 5;
 
-/// The longest line of a summary, in characters.
+/// Maximum length of a summary line, in characters.
 pub const MAX_SUMMARY_CHARS: usize = 120;
 
-/// The longest change id or operator's name, in bytes.
+/// Maximum length of a change id or an operator's name, in bytes.
 pub const MAX_LABEL_BYTES: usize = 64;
 
-/// What is wrong with a change id or an operator's name. Both stand in the head and are shown to
-/// other operators, so a long one would make the head too large for the platform, and control
-/// characters would change what a terminal shows of the history.
+/// Validates a change id or an operator's name and returns the error, if any.
+///
+/// Both are stored in the head and shown to other operators: long ones would make the head too
+/// large for the platform, and control characters could corrupt the history shown on a terminal.
 pub fn label_error(label: &str) -> Option<&'static str> {
     if label.is_empty() {
         return Some("must not be empty");
@@ -41,53 +42,53 @@
 /// A change that an operator wants committed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proposal {
-    /// Revision that the operator planned against; 0: none stands yet.
+    /// Revision that the operator planned against; 0 if there is none yet.
     pub base: u64,
     /// Change id.
     pub change: Name,
-    /// Who.
+    /// Name of the operator.
     pub operator: Name,
-    /// Unix time, in milliseconds.
+    /// Unix time in milliseconds.
     pub at_ms: Millis,
     /// Parts of the new schema.
     pub parts: Vec<PartRef>,
-    /// One line a change.
+    /// Summary of the difference, one line per changed item.
     pub summary: Vec<String>,
 }
 
-/// What is to be done with a proposal.
+/// The decision on a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Write this head over the one that stands.
+    /// Replace the current head with this one.
     Commit(Head),
-    /// This change was committed before: asking again is idempotent.
+    /// The change was committed before; the retry is idempotent.
     AlreadyCommitted {
-        /// Revision that it made.
+        /// Revision that it created.
         revision: u64,
     },
-    /// The standing schema is the proposed one already.
+    /// The current schema already equals the proposed one.
     Unchanged {
-        /// Standing revision.
+        /// Current revision.
         revision: u64,
     },
     /// Another commit came first.
     Conflict {
-        /// Standing revision.
+        /// Current revision.
         standing: u64,
     },
-    /// The change id belongs to a commit of other content: saying "already committed" would be
-    /// untrue.
+    /// The change id belongs to a commit with different content, so the proposal must not be
+    /// reported as already committed.
     ChangeReused {
-        /// Revision which that commit made.
+        /// Revision created by that commit.
         revision: u64,
     },
 }
 
-/// Decides on a proposal against the head that stands on the platform.
+/// Decides on a proposal, given the head currently on the platform.
 pub fn decide(standing: Option<&Head>, proposal: &Proposal) -> Decision {
     let content = content_of(&proposal.parts);
     let revision = standing.map_or(0, |head| head.revision);
-    if let Some(commit) = standing.and_then(|head| commit_with(head, &proposal.change)) {
+    if let Some(commit) = standing.and_then(|head| commit_with_change(head, &proposal.change)) {
         let revision = commit.revision;
         let same = commit.content == content;
         return if same {
@@ -106,7 +107,7 @@
     Decision::Commit(next_head(standing, proposal, content))
 }
 
-fn commit_with<'a>(head: &'a Head, change: &str) -> Option<&'a Commit> {
+fn commit_with_change<'a>(head: &'a Head, change: &str) -> Option<&'a Commit> {
     head.history.iter().find(|commit| &*commit.change == change)
 }
 
@@ -118,7 +119,7 @@
         operator: proposal.operator.clone(),
         at_ms: proposal.at_ms,
         content,
-        summary: short(&proposal.summary),
+        summary: truncate_summary(&proposal.summary),
     };
     let earlier = standing.map_or(&[][..], |head| &head.history);
     let history = std::iter::once(commit)
@@ -131,44 +132,48 @@
     }
 }
 
-fn short(summary: &[String]) -> Vec<String> {
+fn truncate_summary(summary: &[String]) -> Vec<String> {
     let mut lines: Vec<String> = summary
         .iter()
         .take(MAX_SUMMARY)
-        .map(|l| short_line(l))
+        .map(|l| truncate_line(l))
         .collect();
-    let left = summary.len() - lines.len();
-    if left > 0 {
-        lines.push(format!("... and {left} more"));
+    let omitted = summary.len() - lines.len();
+    if omitted > 0 {
+        lines.push(format!("... and {omitted} more"));
     }
     lines
 }
 
-fn short_line(line: &str) -> String {
+fn truncate_line(line: &str) -> String {
     match line.char_indices().nth(MAX_SUMMARY_CHARS) {
         Some((at, _)) => format!("{}...", &line[..at]),
         None => line.to_owned(),
     }
 }
 
-/// What reading the head back tells of a write whose answer was lost.
+/// The state of a head write whose answer was lost, as determined by reading the head back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadBack {
-    /// It took effect.
+    /// The write took effect.
     Committed,
-    /// The head stands as before, and the write may still land: repeat the same compare-and-set.
+    /// The head is unchanged and the write may still take effect; the same compare-and-set can be
+    /// repeated.
     Pending,
-    /// Another commit stands in its place: it did not take effect and never can.
+    /// Another commit has taken its revision, so the write did not and cannot take effect.
     Superseded {
-        /// Standing revision.
+        /// Current revision.
         standing: u64,
     },
-    /// The head no longer tells: it went back, or its history has grown past the commit.
+    /// The head does not tell: it was rolled back, or its bounded history no longer includes the
+    /// commit.
     Indeterminate,
 }
 
-/// Reads a lost write back. `expected` is the version that its compare-and-set asked for (0:
-/// absent), `standing` what stands now with its version.
+/// Determines the state of a write whose answer was lost.
+///
+/// `expected` is the version that its compare-and-set required (0 if absent), and `standing` is the
+/// current head with its version.
 pub fn read_back(sent: &Head, expected: u64, standing: Option<(&Head, u64)>) -> ReadBack {
     let Some((head, version)) = standing else {
         return if expected == 0 {
@@ -181,9 +186,9 @@
         .history
         .first()
         .map(|commit| (&commit.change, &commit.content));
-    let there = commit_of(head, sent.revision).map(|commit| (&commit.change, &commit.content));
-    match there {
-        Some(there) if Some(there) == ours => ReadBack::Committed,
+    let found = commit_of(head, sent.revision).map(|commit| (&commit.change, &commit.content));
+    match found {
+        Some(found) if Some(found) == ours => ReadBack::Committed,
         Some(_) => ReadBack::Superseded {
             standing: head.revision,
         },
--- a/policy/src/config/converge.rs
+++ b/policy/src/config/converge.rs
@@ -1,18 +1,18 @@
-//! An instance's way to the newest configuration: `(now, event) -> actions`.
+//! State machine that moves an instance to the newest configuration: `(now, event) -> actions`.
 //!
-//! The instance follows heads from the platform and from peers. A head that descends from what is
-//! in force becomes the target; its parts are fetched by hash, and once all are held and verified
-//! the schema comes into force. Invariants:
+//! The instance follows heads from the platform and from peers. A head that descends from the one
+//! in force becomes the target. Its parts are fetched by hash, and once all of them are present and
+//! verified, the schema comes into force. Invariants:
 //!
-//! - What is in force only ever moves to a descendant: stale and foreign heads are counted and
-//!   otherwise ignored, wherever they come from.
-//! - Nothing is in force before the instance could compare the platform's head with its peers',
-//!   so that one that joins after the platform went back does not start from the older copy.
-//! - A revision may be served by until [`Convergence::serve_until`]: the last time at which the
-//!   platform or a majority of the known instances confirmed it, plus a set time.
+//! - The revision in force only moves to a descendant. Stale and foreign heads are counted and
+//!   otherwise ignored, whatever their source.
+//! - Nothing comes into force before the platform's head could be compared with those of the peers,
+//!   so an instance that joins after a rollback of the platform does not start from the older copy.
+//! - A revision may be served until [`Convergence::serve_until`]: the time of the last confirmation
+//!   by the platform or by a majority of the known instances, plus a configured duration.
 //!
-//! Confirmations count from the time at which they were *asked for*: an answer that lay in a
-//! socket while the instance was frozen is as old as the question.
+//! A confirmation counts from the time at which it was *requested*, because an answer may have
+//! waited in a socket buffer while the instance was suspended.
 
 mod confirm;
 mod fetch;
@@ -31,10 +31,11 @@
 use platform::PlatformView;
 pub use types::{Action, Alarm, Applied, ConvergenceConfig, Counters, Event, PeerView, Source};
 
-/// Alarms that are remembered as raised; beyond, they are raised again.
-const MAX_RAISED: usize = 100;
+/// Maximum number of alarms remembered for deduplication; at the limit all are forgotten and may be
+/// raised again.
+const MAX_RAISED_ALARMS: usize = 100;
 
-/// The state machine.
+/// The convergence state machine of one instance.
 #[derive(Debug)]
 pub struct Convergence {
     cfg: ConvergenceConfig,
@@ -44,7 +45,7 @@
     held: BTreeMap<Name, Name>,
     fetches: Fetches,
     members: Vec<PeerView>,
-    /// Other instances that a majority is counted from, see [`Convergence::set_members`].
+    /// Number of other instances used to compute a majority; see [`Convergence::set_members`].
     others: usize,
     platform: PlatformView,
     confirmed_at: Option<Millis>,
@@ -53,11 +54,11 @@
     counters: Counters,
 }
 
-/// A head as it came in.
-struct Heard {
+/// A received head with its source.
+struct ReceivedHead {
     head: Arc<Head>,
     from: Source,
-    /// When the platform was asked for it.
+    /// Time at which the platform was asked for it.
     asked_at: Option<Millis>,
 }
 
@@ -65,18 +66,18 @@
 #[derive(Debug)]
 struct Target {
     head: Arc<Head>,
-    /// Where it was heard of first: the first source to ask for parts.
+    /// Source that first announced it, which is asked for parts first.
     from: Source,
-    /// When it became the target.
+    /// Time at which it became the target.
     since: Millis,
-    /// Whether it is known to be in force somewhere.
-    told_by_peer: bool,
-    /// When the newest answer of the platform that named it was asked for.
+    /// Whether a peer has it in force.
+    in_force_at_peer: bool,
+    /// Request time of the newest platform answer that contained it.
     platform_asked_at: Option<Millis>,
 }
 
 impl Convergence {
-    /// A joining instance: nothing is in force.
+    /// Creates the state of a joining instance, with nothing in force.
     pub fn new(now: Millis, cfg: ConvergenceConfig) -> Self {
         Self {
             fetches: Fetches::new(cfg.own.clone()),
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Takes an event in and says what is to be done. Time must not run backwards.
+    /// Handles an event and returns the actions to carry out. `now` must not decrease.
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -109,9 +110,9 @@
             }
             Event::PlatformFailed => self.platform.failed(),
             Event::PeerHead { peer, head } => {
-                self.consider(
+                self.evaluate_head(
                     now,
-                    Heard {
+                    ReceivedHead {
                         head,
                         from: Source::Peer(peer),
                         asked_at: None,
@@ -120,34 +121,37 @@
                 );
             }
             Event::Members(members) => self.set_members(now, members),
-            Event::PartArrived { hash, text, from } => self.part(now, &hash, text, &from),
+            Event::PartArrived { hash, text, from } => self.part_arrived(now, &hash, text, &from),
             Event::FetchFailed { hash, from } => {
                 self.counters.fetches_failed += 1;
                 self.fetches.failed(now, &hash, &from);
             }
             Event::Tick => {}
         }
-        self.settle(now, &mut actions);
+        self.advance(now, &mut actions);
         actions
     }
 
-    /// What is in force; absent: the instance is joining.
+    /// Returns the revision in force, or `None` while the instance is joining.
     pub fn in_force(&self) -> Option<&Arc<Applied>> {
         self.in_force.as_ref()
     }
 
-    /// Revision that is being fetched.
+    /// Returns the revision being fetched.
     pub fn target(&self) -> Option<u64> {
         self.target.as_ref().map(|target| target.head.revision)
     }
 
-    /// Revision that is being fetched, where a peer has it in force.
+    /// Returns the revision being fetched, if a peer has it in force.
     pub fn target_in_force_at_peer(&self) -> Option<u64> {
-        let told = self.target.as_ref().filter(|target| target.told_by_peer);
-        told.map(|target| target.head.revision)
+        let at_peer = self
+            .target
+            .as_ref()
+            .filter(|target| target.in_force_at_peer);
+        at_peer.map(|target| target.head.revision)
     }
 
-    /// Time until which what is in force may be served by; 0: it may not.
+    /// Returns the time until which the revision in force may be served; 0 if it may not be served.
     pub fn serve_until(&self) -> Millis {
         let Some(confirmed_at) = self.confirmed_at else {
             return 0;
@@ -159,24 +163,24 @@
         }
     }
 
-    /// Whether the last call to the platform succeeded.
+    /// Returns whether the last call to the platform succeeded.
     pub fn platform_reached(&self) -> bool {
         self.platform.is_reached()
     }
 
-    /// The text of a part that is held.
+    /// Returns the text of a part that this instance holds.
     pub fn part_text(&self, hash: &str) -> Option<&Name> {
         self.held.get(hash)
     }
 
-    /// Adds parts that this instance itself is about to commit, so that it need not fetch them.
+    /// Inserts a part that this instance is about to commit, so that it does not need to fetch it.
     pub fn insert_part(&mut self, part: &PartRef, text: Name) {
         if is_text_of(part, &text) {
             self.held.insert(part.hash.clone(), text);
         }
     }
 
-    /// Counts.
+    /// Returns the counters.
     pub fn counters(&self) -> Counters {
         self.counters
     }
@@ -190,9 +194,9 @@
         actions: &mut Vec<Action>,
     ) {
         let found = match head {
-            Some(head) => self.consider(
+            Some(head) => self.evaluate_head(
                 now,
-                Heard {
+                ReceivedHead {
                     head,
                     from: Source::Platform,
                     asked_at: Some(asked_at),
@@ -206,15 +210,23 @@
                 self.platform.agrees();
                 self.confirm(asked_at);
             }
-            Some(Relation::Ancestor) => self.behind(now, version, asked_at, actions),
+            Some(Relation::Ancestor) => self.platform_behind(now, version, asked_at, actions),
             Some(Relation::Descendant | Relation::Foreign) | None => self.platform.agrees(),
         }
     }
 
-    /// The platform shows an older head than the one in force. A single read may just be stale;
-    /// one that stays is a platform restored from an older copy. The accepted head is then
-    /// written back: the compare-and-set fails, without harm, if the older one does not stand.
-    fn behind(&mut self, now: Millis, version: u64, asked_at: Millis, actions: &mut Vec<Action>) {
+    /// Handles a platform head older than the one in force.
+    ///
+    /// A single such read may be stale, but if the older head persists, the platform was restored
+    /// from an older copy. The accepted head is then written back by compare-and-set, which fails
+    /// harmlessly if the older head is no longer current.
+    fn platform_behind(
+        &mut self,
+        now: Millis,
+        version: u64,
+        asked_at: Millis,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(applied) = &self.in_force else {
             return;
         };
@@ -238,34 +250,34 @@
         });
     }
 
-    /// How a head stands to what is in force; a descendant may become the target.
-    fn consider(
+    /// Returns the relation of a head to the one in force; a descendant may become the target.
+    fn evaluate_head(
         &mut self,
         now: Millis,
-        heard: Heard,
+        received: ReceivedHead,
         actions: &mut Vec<Action>,
     ) -> Option<Relation> {
-        if validate_head(&heard.head).is_err() {
+        if validate_head(&received.head).is_err() {
             self.counters.heads_malformed += 1;
             return None;
         }
-        if self.unusable.contains(&heard.head.history[0].content) {
+        if self.unusable.contains(&received.head.history[0].content) {
             return None;
         }
         let found = match &self.in_force {
-            Some(applied) => relation(&applied.head, &heard.head),
+            Some(applied) => relation(&applied.head, &received.head),
             None => Relation::Descendant,
         };
         match found {
             Relation::Same => {}
             Relation::Ancestor => self.counters.heads_stale += 1,
-            Relation::Foreign => self.foreign(&heard.head, actions),
-            Relation::Descendant => self.retarget(now, heard, actions),
+            Relation::Foreign => self.reject_foreign(&received.head, actions),
+            Relation::Descendant => self.update_target(now, received, actions),
         }
         Some(found)
     }
 
-    fn foreign(&mut self, head: &Head, actions: &mut Vec<Action>) {
+    fn reject_foreign(&mut self, head: &Head, actions: &mut Vec<Action>) {
         self.counters.heads_foreign += 1;
         let change = head.history[0].change.clone();
         self.raise(
@@ -277,45 +289,46 @@
         );
     }
 
-    fn retarget(&mut self, now: Millis, heard: Heard, actions: &mut Vec<Action>) {
+    fn update_target(&mut self, now: Millis, received: ReceivedHead, actions: &mut Vec<Action>) {
         let Some(target) = &mut self.target else {
-            return self.aim(now, heard);
+            return self.set_target(now, received);
         };
-        let told_by_peer = heard.from != Source::Platform;
-        match relation(&target.head, &heard.head) {
+        let in_force_at_peer = received.from != Source::Platform;
+        match relation(&target.head, &received.head) {
             Relation::Same => {
-                target.told_by_peer |= told_by_peer;
-                target.platform_asked_at = target.platform_asked_at.max(heard.asked_at);
+                target.in_force_at_peer |= in_force_at_peer;
+                target.platform_asked_at = target.platform_asked_at.max(received.asked_at);
             }
             Relation::Ancestor => self.counters.heads_stale += 1,
-            Relation::Descendant => self.aim(now, heard),
-            // Neither is in force here, but a peer names only what is in force there: of two
-            // histories the fleet's stays, not the one a restored platform was given since.
+            Relation::Descendant => self.set_target(now, received),
+            // Neither head is in force here, but a peer announces only a head that it has in force.
+            // Of two diverged histories, the fleet's is kept rather than one that was written to a
+            // restored platform.
             Relation::Foreign => {
-                let replaces = told_by_peer && !target.told_by_peer;
-                self.foreign(&heard.head, actions);
+                let replaces = in_force_at_peer && !target.in_force_at_peer;
+                self.reject_foreign(&received.head, actions);
                 if replaces {
-                    self.aim(now, heard);
+                    self.set_target(now, received);
                 }
             }
         }
     }
 
-    fn aim(&mut self, now: Millis, heard: Heard) {
-        let parts = heard.head.parts.iter();
+    fn set_target(&mut self, now: Millis, received: ReceivedHead) {
+        let parts = received.head.parts.iter();
         self.fetches
-            .want(parts.filter(|part| !self.held.contains_key(&part.hash)));
+            .replace_pending(parts.filter(|part| !self.held.contains_key(&part.hash)));
         self.target = Some(Target {
-            told_by_peer: heard.from != Source::Platform,
-            head: heard.head,
-            from: heard.from,
+            in_force_at_peer: received.from != Source::Platform,
+            head: received.head,
+            from: received.from,
             since: now,
-            platform_asked_at: heard.asked_at,
+            platform_asked_at: received.asked_at,
         });
     }
 
-    fn part(&mut self, now: Millis, hash: &Name, text: Name, from: &Source) {
-        let Some(part) = self.fetches.wanted(hash) else {
+    fn part_arrived(&mut self, now: Millis, hash: &Name, text: Name, from: &Source) {
+        let Some(part) = self.fetches.pending(hash) else {
             return;
         };
         if is_text_of(part, &text) {
@@ -327,25 +340,25 @@
         }
     }
 
-    /// Does what has become possible: confirm, put in force, fetch.
-    fn settle(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    /// Performs the steps that have become possible: put in force, confirm, fetch.
+    fn advance(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if let Some(target) = &self.target {
             let complete = target
                 .head
                 .parts
                 .iter()
                 .all(|p| self.held.contains_key(&p.hash));
-            if complete && self.may_start(now, target) {
+            if complete && self.may_put_in_force(now, target) {
                 self.put_in_force(actions);
             }
         }
-        if let Some(heard_at) = self.majority_heard_at(now) {
-            self.confirm(heard_at);
+        if let Some(majority_at) = self.majority_confirmed_at(now) {
+            self.confirm(majority_at);
         }
         if let Some(target) = &self.target {
-            let told_by = target.from.clone();
+            let announced_by = target.from.clone();
             let holders = self.holders(target.head.revision);
-            self.fetches.start(now, &told_by, &holders, actions);
+            self.fetches.start(now, &announced_by, &holders, actions);
         }
     }
 
@@ -360,7 +373,7 @@
         });
         match compiled {
             Ok(schema) => self.apply(target, Arc::new(schema), actions),
-            Err(cause) => self.refuse(&target.head, cause, actions),
+            Err(cause) => self.reject_unusable(&target.head, cause, actions),
         }
     }
 
@@ -379,9 +392,10 @@
         actions.push(Action::PutInForce(applied));
     }
 
-    /// A committed schema that does not verify here was written by a newer release. The instance
-    /// stays with what it has and asks no further: trying again would give the same.
-    fn refuse(&mut self, head: &Head, cause: String, actions: &mut Vec<Action>) {
+    /// Rejects a committed schema that this release cannot use, as it was written by a newer one.
+    /// The instance keeps its current revision and does not retry, since the result would be the
+    /// same.
+    fn reject_unusable(&mut self, head: &Head, cause: String, actions: &mut Vec<Action>) {
         self.counters.heads_unusable += 1;
         self.unusable.insert(head.history[0].content.clone());
         self.raise(
@@ -394,7 +408,7 @@
     }
 
     fn raise(&mut self, alarm: Alarm, actions: &mut Vec<Action>) {
-        if self.raised.len() == MAX_RAISED {
+        if self.raised.len() == MAX_RAISED_ALARMS {
             self.raised.clear();
         }
         if self.raised.insert(alarm.clone()) {
--- a/policy/src/config/converge/confirm.rs
+++ b/policy/src/config/converge/confirm.rs
@@ -1,9 +1,9 @@
-//! Whether what is in force is still what operators want.
+//! Confirmation that the revision in force is still current.
 //!
-//! An instance that is cut off would serve old intent for ever. So a revision counts as confirmed
-//! when the platform named it, or when a majority of the known instances (this one included) knows
-//! no newer one. A commit that is made on the other side of a cut reaches no majority on this
-//! side, and the side without majority and platform stops within the set time.
+//! A partitioned instance could otherwise serve a stale configuration forever. A revision is
+//! confirmed when the platform returns it, or when a majority of the known instances, including
+//! this one, knows no newer one. If a commit is made on the other side of a partition, the side
+//! with neither a majority nor the platform stops serving within the configured time.
 
 use super::{Convergence, PeerView, Target};
 use crate::time::{Millis, Name};
@@ -13,11 +13,11 @@
         self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
-    /// Takes the other instances in.
+    /// Updates the view of the other instances.
     ///
-    /// Members that stay silent are forgotten in the end. An instance that is cut off would then
-    /// know of nobody, count as a majority by itself, and serve old intent again. So the number
-    /// that a majority is counted from falls only while the revision is confirmed.
+    /// Members that stay silent are eventually removed. A partitioned instance would then know no
+    /// other, form a majority by itself and serve a stale configuration again. The instance count
+    /// used for the majority is therefore lowered only while the revision is confirmed.
     pub(super) fn set_members(&mut self, now: Millis, members: Vec<PeerView>) {
         let confirmed = now < self.serve_until();
         if confirmed || members.len() > self.others {
@@ -26,36 +26,37 @@
         self.members = members;
     }
 
-    /// Newest time since which a majority of the known instances, this one included, is known to
-    /// have no newer revision.
-    pub(super) fn majority_heard_at(&self, now: Millis) -> Option<Millis> {
+    /// Returns the newest time at which a majority of the known instances, including this one, was
+    /// known to have no newer revision.
+    pub(super) fn majority_confirmed_at(&self, now: Millis) -> Option<Millis> {
         let ours = self.in_force.as_ref()?.head.revision;
         let agrees = |revision: u64| revision > 0 && revision <= ours;
         let agreeing = self.members.iter().filter(|peer| agrees(peer.revision));
         self.majority_of(now, agreeing.filter_map(|peer| peer.heard_at).collect())
     }
 
-    /// Whether a head that is held may come into force.
+    /// Returns whether a target whose parts are all present may come into force.
     ///
-    /// A platform that was restored from an older copy and then written again shows a head that
-    /// an instance which lags or joins cannot tell from the accepted one. So where a live peer is
-    /// as far as the target, the target must be known from a peer, or have waited for one; where
-    /// no peer is as far it is simply new. The first head also waits until the peers were heard,
-    /// and is never older than what one of them says to have in force.
-    pub(super) fn may_start(&self, now: Millis, target: &Target) -> bool {
-        let recent = |at: Millis| now.saturating_sub(at) <= self.cfg.unconfirmed_ms;
+    /// If the platform was restored from an older copy and then written to, a lagging or joining
+    /// instance cannot distinguish its head from the accepted one. If a live peer is at the
+    /// target's revision or beyond, the target must therefore have been announced by a peer or have
+    /// waited for the grace period; if no peer is that far, the target is new. The first
+    /// head also waits until the peers have been heard from and is never older than a revision that
+    /// one of them has in force.
+    pub(super) fn may_put_in_force(&self, now: Millis, target: &Target) -> bool {
+        let is_recent = |at: Millis| now.saturating_sub(at) <= self.cfg.unconfirmed_ms;
         let live = self
             .members
             .iter()
-            .filter(|peer| peer.heard_at.is_some_and(recent));
+            .filter(|peer| peer.heard_at.is_some_and(is_recent));
         let newest = live.map(|peer| peer.revision).max().unwrap_or(0);
-        let vouched = target.told_by_peer
+        let trusted = target.in_force_at_peer
             || newest < target.head.revision
             || now >= target.since + self.cfg.join_grace_ms;
         if self.in_force.is_some() {
-            return vouched;
+            return trusted;
         }
-        if !vouched || newest > target.head.revision {
+        if !trusted || newest > target.head.revision {
             return false;
         }
         let alone = self.members.is_empty() && !self.cfg.expects_peers;
@@ -64,13 +65,13 @@
             .iter()
             .filter_map(|peer| peer.heard_at)
             .collect();
-        let met = !self.members.is_empty() && self.majority_of(now, heard).is_some();
-        let waited = now >= self.started_at + self.cfg.join_grace_ms;
-        alone || met || (waited && self.platform.ever_answered())
+        let majority_heard = !self.members.is_empty() && self.majority_of(now, heard).is_some();
+        let grace_elapsed = now >= self.started_at + self.cfg.join_grace_ms;
+        alone || majority_heard || (grace_elapsed && self.platform.ever_answered())
     }
 
-    /// The time since which, out of all known instances, a majority is covered by this one and
-    /// the others heard at `heard`.
+    /// Returns the newest time such that this instance and the others heard from at that time or
+    /// later form a majority of all known instances; `heard` has one time per other instance.
     fn majority_of(&self, now: Millis, mut heard: Vec<Millis>) -> Option<Millis> {
         let others_needed = self.others.div_ceil(2);
         if others_needed == 0 {
@@ -80,7 +81,7 @@
         heard.get(others_needed - 1).copied()
     }
 
-    /// Peers at a revision or beyond: they hold its parts, unless they moved on.
+    /// Returns the peers at a revision or beyond; they hold its parts unless they have moved on.
     pub(super) fn holders(&self, revision: u64) -> Vec<Name> {
         let ahead = self.members.iter().filter(|peer| peer.revision >= revision);
         ahead.map(|peer| peer.name.clone()).collect()
--- a/policy/src/config/converge/platform.rs
+++ b/policy/src/config/converge/platform.rs
@@ -1,8 +1,8 @@
-//! What the platform was last seen to show.
+//! The instance's view of the platform.
 
 use crate::time::Millis;
 
-/// The platform as seen from here.
+/// The state of the platform as seen by this instance.
 #[derive(Debug, Default)]
 pub(super) struct PlatformView {
     reached: bool,
@@ -10,12 +10,12 @@
     behind: Option<Behind>,
 }
 
-/// The platform shows an older head than the one in force.
+/// A period in which the platform shows an older head than the one in force.
 #[derive(Clone, Copy, Debug)]
 struct Behind {
     version: u64,
     since: Millis,
-    /// When it was last acted upon.
+    /// Time of the last reaction to it.
     acted_at: Option<Millis>,
 }
 
@@ -37,19 +37,19 @@
         self.ever_answered
     }
 
-    /// It does not show an older head.
+    /// Records that the platform does not show an older head.
     pub(super) fn agrees(&mut self) {
         self.behind = None;
     }
 
-    /// It shows an older head, at a version; whether that has lasted for `lasting_ms` since it
-    /// was first seen, or since it was last acted upon.
+    /// Records that the platform shows an older head at `version`. Returns whether this has
+    /// persisted for `confirm_ms` since it was first seen or last acted upon.
     pub(super) fn behind(
         &mut self,
         now: Millis,
         version: u64,
         asked_at: Millis,
-        lasting_ms: Millis,
+        confirm_ms: Millis,
     ) -> bool {
         let first = Behind {
             version,
@@ -61,10 +61,10 @@
             *behind = first;
         }
         let since = behind.acted_at.unwrap_or(behind.since);
-        let lasting = asked_at >= since + lasting_ms;
-        if lasting {
+        let persists = asked_at >= since + confirm_ms;
+        if persists {
             behind.acted_at = Some(now);
         }
-        lasting
+        persists
     }
 }
--- a/policy/src/config/converge/types.rs
+++ b/policy/src/config/converge/types.rs
@@ -1,4 +1,4 @@
-//! Events, actions and counts of the convergence.
+//! Settings, events, actions and counters of the convergence state machine.
 
 use std::sync::Arc;
 
@@ -9,109 +9,109 @@
 use crate::schema::CompiledSchema;
 use crate::time::{Millis, Name};
 
-/// Times of the convergence.
+/// Settings of the convergence state machine.
 #[derive(Clone, Debug)]
 pub struct ConvergenceConfig {
-    /// Own name.
+    /// Name of this instance.
     pub own: Name,
-    /// Whether the settings name other instances: a joining one then waits to hear from them.
+    /// Whether the settings name other instances; a joining instance then waits to hear from them.
     pub expects_peers: bool,
-    /// How long a joining instance waits for its peers before it goes by the platform alone, in
+    /// Time that a joining instance waits for its peers before it relies on the platform alone, in
     /// milliseconds.
     pub join_grace_ms: Millis,
-    /// How long a revision is served that neither the platform nor a majority of the instances
-    /// confirms, in milliseconds.
+    /// Time that a revision is still served after its last confirmation by the platform or a
+    /// majority of the instances, in milliseconds.
     pub unconfirmed_ms: Millis,
-    /// How long the platform must show an older head before it counts as gone back, in
+    /// Time that the platform must show an older head before it is considered rolled back, in
     /// milliseconds.
     pub rollback_confirm_ms: Millis,
 }
 
-/// Whence a head or part comes.
+/// The source of a head or part.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
     /// The platform.
     #[display("platform")]
     Platform,
-    /// Another instance.
+    /// A peer.
     #[display("peer {_0}")]
     Peer(Name),
 }
 
-/// What is known of another instance.
+/// The view of another instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerView {
     /// Name.
     pub name: Name,
-    /// Revision in force there; 0: none.
+    /// Revision in force there; 0 if none.
     pub revision: u64,
-    /// When the exchange was asked for in which its newest heartbeat came; absent: never heard.
+    /// Request time of the exchange that returned its newest heartbeat; `None` if never heard from.
     pub heard_at: Option<Millis>,
 }
 
-/// What happened.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The platform answered a read of the head.
     PlatformHead {
-        /// The head; absent: there is none.
+        /// The head; `None` if there is none.
         head: Option<Arc<Head>>,
-        /// Version of the object; 0: absent.
+        /// Version of the object; 0 if absent.
         version: u64,
-        /// When the read was sent.
+        /// Time at which the read was sent.
         asked_at: Millis,
     },
     /// A call to the platform failed.
     PlatformFailed,
-    /// A peer named a head that is in force there.
+    /// A peer announced the head that it has in force.
     PeerHead {
-        /// Peer.
+        /// Name of the peer.
         peer: Name,
         /// Its head.
         head: Arc<Head>,
     },
-    /// The other instances as known now: all that have not said they are gone.
+    /// The current view of the other instances, except those that announced their exit.
     Members(Vec<PeerView>),
-    /// A part came.
+    /// A part was received.
     PartArrived {
-        /// Hash that was asked for.
+        /// Requested hash.
         hash: Name,
-        /// Text that came.
+        /// Received text.
         text: Name,
-        /// Whence.
+        /// Source of the part.
         from: Source,
     },
-    /// A part was not there or its source did not answer.
+    /// The source did not have the part or did not answer.
     FetchFailed {
-        /// Hash that was asked for.
+        /// Requested hash.
         hash: Name,
-        /// Source that was asked.
+        /// Source that failed.
         from: Source,
     },
-    /// Time has passed.
+    /// Time passed.
     Tick,
 }
 
-/// What is to be done.
+/// An action for the process to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Ask for a part.
+    /// Fetch a part.
     Fetch {
-        /// Part.
+        /// Part to fetch.
         part: PartRef,
-        /// Whom.
+        /// Source to ask.
         from: Source,
     },
-    /// Serve by this from now on.
+    /// Serve this revision from now on.
     PutInForce(Arc<Applied>),
-    /// Write the accepted head back over the older one that stands at a version; its parts first.
+    /// Write the accepted head back, after its parts, over the older head at the given version.
     Republish {
         /// Accepted head.
         head: Arc<Head>,
-        /// Version to replace; 0: absent.
+        /// Version to replace; 0 if absent.
         over: u64,
     },
-    /// Tell the operators.
+    /// Raise an alarm for the operators.
     Raise(Alarm),
 }
 
@@ -124,7 +124,7 @@
     pub schema: Arc<CompiledSchema>,
 }
 
-/// What operators must look at. Raised once each.
+/// A condition that requires an operator's attention; each is raised once.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Alarm {
     /// The platform shows an older head than the accepted one.
@@ -136,7 +136,7 @@
         /// Revision in force.
         in_force: u64,
     },
-    /// A head of another history.
+    /// A head of a diverged history was received.
     #[display("revision {revision} of change {change} is not of our history and is refused")]
     HeadForeign {
         /// Its revision.
@@ -144,7 +144,7 @@
         /// Its change.
         change: Name,
     },
-    /// A committed schema that cannot be used here.
+    /// A committed schema cannot be used by this release.
     #[display("revision {revision} cannot be used by this release: {cause}")]
     HeadUnusable {
         /// Its revision.
@@ -154,23 +154,23 @@
     },
 }
 
-/// Counts since the start.
+/// Event counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counters {
     /// Revisions put in force.
     pub put_in_force: u64,
     /// Heads older than the one in force or being fetched.
     pub heads_stale: u64,
-    /// Heads of another history.
+    /// Heads of a diverged history.
     pub heads_foreign: u64,
-    /// Times at which the platform was found to have gone back.
+    /// Detected rollbacks of the platform.
     pub heads_went_back: u64,
-    /// Heads that contradict themselves.
+    /// Inconsistent heads.
     pub heads_malformed: u64,
-    /// Heads whose schema does not verify.
+    /// Heads whose schema cannot be used.
     pub heads_unusable: u64,
-    /// Parts whose text has another hash.
+    /// Parts whose text does not match their hash.
     pub parts_refused: u64,
-    /// Fetches that failed.
+    /// Failed fetches.
     pub fetches_failed: u64,
 }
--- a/policy/src/config/garbage_collection.rs
+++ b/policy/src/config/garbage_collection.rs
@@ -1,33 +1,35 @@
-//! Which parts on the platform nobody needs any more.
+//! Garbage collection of configuration parts on the platform.
 //!
-//! Each commit leaves the parts behind that it replaced. A part may go if the standing head does
-//! not name it and its object is older than the head: a commit in progress writes every part that
-//! the standing head lacks anew, so its parts are newer than the head that it will replace. The
-//! deletion itself asks for the version seen, so a part that such a commit writes meanwhile
-//! stays. Instances that still fetch the replaced revision hear of the new one and go on with it;
-//! to give them time, a part goes only when two looks in a row have found it so.
+//! Each commit leaves behind the parts that it replaced. A part may be deleted if the current head
+//! does not reference it and its object is older than the head: a commit in progress rewrites every
+//! part that the current head lacks, so its parts are newer than the head that it will replace. The
+//! deletion is conditional on the version seen, so a part that is rewritten in the meantime stays.
+//! Instances that still fetch the replaced revision learn of the new one and switch to it; to give
+//! them time, a part is deleted only after two consecutive scans have found it unreferenced.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::head::Head;
 use crate::time::Name;
 
-/// Parts found to be unreferenced_parts, by hash, with the versions of their objects.
+/// Unreferenced parts by hash, with the versions of their objects.
 pub type UnreferencedParts = BTreeMap<Name, u64>;
 
-/// Parts that a head at `head_version` and any commit over it can do without, out of those listed
-/// with their versions.
+/// Returns the `listed` parts that neither the head at `head_version` nor a commit that replaces it
+/// needs.
 pub fn unreferenced_parts(
     head: &Head,
     head_version: u64,
     listed: impl Iterator<Item = (Name, u64)>,
 ) -> UnreferencedParts {
-    let named: BTreeSet<&str> = head.parts.iter().map(|part| &*part.hash).collect();
+    let referenced: BTreeSet<&str> = head.parts.iter().map(|part| &*part.hash).collect();
     let older = listed.filter(|(_, version)| *version < head_version);
-    older.filter(|(hash, _)| !named.contains(&**hash)).collect()
+    older
+        .filter(|(hash, _)| !referenced.contains(&**hash))
+        .collect()
 }
 
-/// What may be deleted: found needless by both looks, at the same version.
+/// Returns the parts that may be deleted: unreferenced in both scans, at the same version.
 pub fn deletable(before: &UnreferencedParts, now: &UnreferencedParts) -> UnreferencedParts {
     let both = now
         .iter()
--- a/policy/src/config/lineage.rs
+++ b/policy/src/config/lineage.rs
@@ -1,32 +1,32 @@
-//! How two heads stand to one another.
+//! The relation between two heads.
 //!
-//! Revisions are numbers, and a platform restored from an older copy can give the same number to
-//! another change. The commits in a head's history tell such heads apart: a head may only be
-//! followed by one whose history contains it.
+//! Revisions are numbers, and a platform restored from an older copy can assign the same number to
+//! a different change. The commits in a head's history distinguish such heads: a head may only be
+//! succeeded by one whose history contains it.
 
 use derive_more::Display;
 
 use super::parts::{MAX_PART_BYTES, SLICES};
 use crate::head::{Commit, Head};
 
-/// The most commits kept in a head.
+/// Maximum number of commits kept in a head's history.
 pub const MAX_HISTORY: usize = 64;
 
-/// How another head stands to ours.
+/// The relation of another head to ours.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display(rename_all = "lowercase")]
 pub enum Relation {
     /// The same commit.
     Same,
-    /// An earlier commit of our history, or one older than it reaches.
+    /// An earlier commit in our history, or one older than our history reaches.
     Ancestor,
-    /// A later commit whose history contains ours, or has grown past it.
+    /// A later commit whose history contains ours or no longer reaches back to it.
     Descendant,
-    /// A commit of another history: its revision, or ours in its history, names another change.
+    /// A commit of a diverged history: at the older of the two revisions the histories disagree.
     Foreign,
 }
 
-/// How `other` stands to `ours`.
+/// Returns the relation of `other` to `ours`.
 pub fn relation(ours: &Head, other: &Head) -> Relation {
     if other.revision == ours.revision {
         let same = same_commit(ours.history.first(), other.history.first());
@@ -42,15 +42,15 @@
         (ours, other, Relation::Descendant)
     };
     match commit_of(newer, older.revision) {
-        // The history is bounded: an instance that slept through more commits than it holds
-        // cannot prove the lineage and follows the number.
+        // The history is bounded: an instance that missed more commits than it holds cannot verify
+        // the lineage and goes by the revision number.
         None => expected,
         Some(commit) if same_commit(Some(commit), older.history.first()) => expected,
         Some(_) => Relation::Foreign,
     }
 }
 
-/// The commit of a revision in a head's history.
+/// Returns the commit of a revision from a head's history.
 pub fn commit_of(head: &Head, revision: u64) -> Option<&Commit> {
     head.history
         .iter()
@@ -64,43 +64,44 @@
     }
 }
 
-/// What is wrong with a head.
+/// An inconsistency in a head.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum HeadError {
-    /// The newest commit is not that of the head's revision.
+    /// The newest commit does not match the head's revision.
     #[display("the newest commit is not that of the revision")]
     Revision,
-    /// Commits are not in falling order, or there are too many.
+    /// Commits are not in descending order, or there are too many.
     #[display("the history is out of order or too long")]
     History,
-    /// No part, too many, a part too large, or their hash is not that of the commit.
+    /// There are no parts, too many parts or an oversized part, or their hash does not match the
+    /// commit.
     #[display("the parts are not those of the commit")]
     Parts,
 }
 
-/// Checks a head that came from outside before anything is decided by it.
+/// Validates a head received from the platform or a peer.
 ///
 /// # Errors
 ///
-/// What is wrong with it.
+/// Returns the first inconsistency found.
 pub fn validate_head(head: &Head) -> Result<(), HeadError> {
     let newest = head.history.first().ok_or(HeadError::Revision)?;
     if head.revision == 0 || newest.revision != head.revision {
         return Err(HeadError::Revision);
     }
-    let falling = head
+    let descending = head
         .history
         .windows(2)
         .all(|two| two[0].revision > two[1].revision);
-    if !falling || head.history.len() > MAX_HISTORY {
+    if !descending || head.history.len() > MAX_HISTORY {
         return Err(HeadError::History);
     }
-    let most = SLICES as usize + 1;
-    let small = head
+    let max_parts = SLICES as usize + 1;
+    let sizes_valid = head
         .parts
         .iter()
         .all(|part| part.bytes <= MAX_PART_BYTES as u64);
-    if head.parts.is_empty() || head.parts.len() > most || !small {
+    if head.parts.is_empty() || head.parts.len() > max_parts || !sizes_valid {
         return Err(HeadError::Parts);
     }
     if newest.content != super::parts::content_of(&head.parts) {
--- a/policy/src/config/parts.rs
+++ b/policy/src/config/parts.rs
@@ -1,10 +1,10 @@
-//! A schema in parts, each immutable and named by its hash.
+//! Splitting a schema into immutable, content-addressed parts.
 //!
-//! The core part has everything but the organisations; these are in slices by the hash of their
-//! name. A change of one organisation thereby rewrites one slice of about a hundredth of the
-//! whole, and no part comes near the platform's limit of a megabyte. Texts are canonical (lists
-//! sorted by name, fields in a fixed order), so equal schemas give equal hashes whatever the
-//! order in the file.
+//! The core part contains everything except the organisations, which are divided into slices by the
+//! hash of their name. A change to one organisation therefore rewrites one slice of about a
+//! hundredth of the total, and no part comes close to the platform's limit of 1 MB. Texts are
+//! canonical (lists sorted by name, fields in a fixed order), so equal schemas produce equal hashes
+//! regardless of the order in the file.
 
 use std::collections::BTreeMap;
 
@@ -18,18 +18,18 @@
 };
 use crate::time::Name;
 
-/// Number of slices of organisations. At 19,000 organisations of 250 bytes a change costs a
-/// slice of 37 kB and a head of 12 kB; fewer slices make the first larger, more the second.
+/// Number of organisation slices. With 19,000 organisations of 250 bytes, a change writes a slice
+/// of 37 kB and a head of 12 kB; fewer slices enlarge the slice, and more slices enlarge the head.
 pub const SLICES: u32 = 128;
 
-/// The largest part, in bytes: the platform takes a megabyte, and this leaves room for the
-/// envelope and its escapes.
+/// Maximum size of a part in bytes: the platform's limit of 1 MB, less room for the envelope and
+/// its escape sequences.
 pub const MAX_PART_BYTES: usize = 900_000;
 
 /// A part with its text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartText {
-    /// Hash and size.
+    /// Reference with hash and size.
     pub part: PartRef,
     /// Canonical JSON.
     pub text: Name,
@@ -60,55 +60,55 @@
     organisations: Vec<OrgDecl>,
 }
 
-/// Why a schema cannot be stored.
+/// An error that prevents a schema from being stored.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 pub enum SplitError {
-    /// A part is larger than the platform takes.
+    /// A part exceeds [`MAX_PART_BYTES`].
     #[display("{what} would take {bytes} bytes, but {MAX_PART_BYTES} is the most")]
     TooLarge {
-        /// Which part.
+        /// Description of the part.
         what: String,
-        /// Its size.
+        /// Size in bytes.
         bytes: usize,
     },
 }
 
-/// Why parts do not make a schema.
+/// An error that prevents parts from being joined into a schema.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 pub enum JoinError {
-    /// A part is not there.
+    /// A part is missing.
     #[display("part {hash} is missing")]
     Missing {
-        /// Its hash.
+        /// Hash of the part.
         hash: Name,
     },
-    /// A text is not that of its part.
+    /// A text does not match the hash of its part.
     #[display("part {hash}: the text has another hash")]
     WrongHash {
-        /// The hash that was wanted.
+        /// Expected hash.
         hash: Name,
     },
-    /// A text cannot be read; a newer release may have written it.
+    /// A text cannot be parsed; a newer release may have written it.
     #[display("part {hash}: {cause}")]
     Unreadable {
-        /// Its hash.
+        /// Hash of the part.
         hash: Name,
-        /// Cause.
+        /// Parse error.
         cause: String,
     },
     /// There is not exactly one core part.
     #[display("{found} core parts instead of one")]
     Cores {
-        /// How many there are.
+        /// Number of core parts.
         found: usize,
     },
 }
 
-/// Splits a schema into its parts: the core first, then the slices that are not empty.
+/// Splits a schema into its parts: the core first, then the non-empty slices.
 ///
 /// # Errors
 ///
-/// A part would be larger than [`MAX_PART_BYTES`].
+/// Returns an error if a part would exceed [`MAX_PART_BYTES`].
 pub fn split(schema: &Schema) -> Result<Vec<PartText>, SplitError> {
     let mut parts = vec![encode("the core part", &Part::Core(core(schema)))?];
     let mut slices: BTreeMap<u32, Vec<OrgDecl>> = BTreeMap::new();
@@ -132,11 +132,12 @@
     Ok(parts)
 }
 
-/// Puts a schema together again from its parts; lists are in the order of names.
+/// Joins parts into a schema; its lists are sorted by name.
 ///
 /// # Errors
 ///
-/// A part is missing, altered or unreadable, or there is not exactly one core.
+/// Returns an error if a part is missing, altered or unreadable, or if there is not exactly one
+/// core part.
 pub fn join<'a>(
     parts: &[PartRef],
     text_of: impl Fn(&str) -> Option<&'a str>,
@@ -152,7 +153,7 @@
         match decode(part, text)? {
             Part::Core(core) => {
                 cores += 1;
-                take_core(&mut schema, core);
+                set_core(&mut schema, core);
             }
             Part::Organisations(slice) => schema.organisations.extend(slice.organisations),
         }
@@ -164,12 +165,12 @@
     Ok(schema)
 }
 
-/// Whether a text is that of a part: same size, same hash.
+/// Returns whether a text matches the size and hash of a part.
 pub fn is_text_of(part: &PartRef, text: &str) -> bool {
     part.bytes == text.len() as u64 && *part.hash == *hash_of(text.as_bytes())
 }
 
-/// One hash over a list of parts: names the content of a whole schema.
+/// Returns one hash over a list of parts, which identifies the content of a whole schema.
 pub fn content_of(parts: &[PartRef]) -> Name {
     let hashes: Vec<&str> = parts.iter().map(|part| &*part.hash).collect();
     hash_of(hashes.join("\n").as_bytes()).into()
@@ -203,7 +204,7 @@
     core
 }
 
-fn take_core(schema: &mut Schema, core: Core) {
+fn set_core(schema: &mut Schema, core: Core) {
     schema.accelerators = core.accelerators;
     schema.models = core.models;
     schema.pipelines = core.pipelines;
--- a/policy/src/config/watch.rs
+++ b/policy/src/config/watch.rs
@@ -1,19 +1,20 @@
-//! Which instances watch the head on the platform.
+//! Selection of the instances that watch the head on the platform.
 //!
-//! A waiting watch counts as a call, and the platform's rates grow more slowly than the fleet.
-//! So a few instances watch, and the others hear of a new head from them through the peers'
-//! exchange and poll now and then. Each instance ranks the live ones by a hash of their names
-//! and reaches the same answer without asking; while their views differ, a few more or fewer
-//! watch for a moment, which costs calls or a polling interval, and nothing else.
+//! A long-polling watch counts as a call, and the platform's rate limits grow more slowly than the
+//! fleet. Only a few instances therefore watch; the others learn of a new head through gossip and
+//! poll at intervals. Each instance ranks the live ones by a hash of their names, so that all of
+//! them select the same watchers without coordination. While their views differ, slightly more or
+//! fewer instances watch, which costs only extra calls or the delay of a polling interval.
 
 use sha2::{Digest, Sha256};
 
 use crate::time::Name;
 
-/// Number of instances that watch: one may be dead and another draining.
+/// Number of watching instances; one of them may have failed while another drains.
 pub const WATCHER_COUNT: usize = 3;
 
-/// Place of the instance `own` among the `live` ones (with or without itself), from 0.
+/// Returns the zero-based rank of `own` among the `live` instances, which may or may not include
+/// it.
 pub fn rank(own: &Name, live: &[Name]) -> usize {
     let hash = |name: &Name| <[u8; 32]>::from(Sha256::digest(name.as_bytes()));
     let mine = hash(own);
@@ -22,7 +23,7 @@
         .count()
 }
 
-/// Whether the instance `own` watches, among the `live` ones (with or without itself).
+/// Returns whether `own` should watch, given the `live` instances, which may or may not include it.
 pub fn should_watch(own: &Name, live: &[Name]) -> bool {
     rank(own, live) < WATCHER_COUNT
 }
