--- a/policy/src/drain.rs
+++ b/policy/src/drain.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown of an instance, step by step.
+//! State machine for the graceful shutdown of an instance.
 //!
 //! ```text
 //!   Serving --signal--> Leaving --one ttl--> Refusing --last request ended--> Ended
@@ -6,93 +6,94 @@
 //!                          +--- second signal, or the deadline: what is left is cut ---> Ended
 //! ```
 //!
-//! Callers keep an entry answer for its time to live and connect to the addresses in it without
-//! asking again. So the instance leaves the answers first, and goes on accepting for that long;
-//! refusing at once would turn away callers that did nothing wrong.
+//! Callers cache an entry answer for its time to live (TTL) and connect to the addresses in it
+//! without asking again. The instance therefore first withdraws from the answers and keeps
+//! accepting connections for one TTL; refusing immediately would reject callers with a still valid
+//! answer.
 
 use crate::time::Millis;
 use derive_more::Display;
 
-/// Settings of a shutdown.
+/// Settings of the graceful shutdown.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DrainConfig {
-    /// How long callers keep an entry answer, in milliseconds.
+    /// Time to live of an entry answer, in milliseconds.
     pub ttl_ms: Millis,
-    /// The longest the whole shutdown may take, in milliseconds.
+    /// Maximum duration of the whole shutdown, in milliseconds.
     pub deadline_ms: Millis,
 }
 
-/// What happens to a shutdown.
+/// An input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainEvent {
-    /// SIGTERM or SIGINT.
+    /// SIGTERM or SIGINT was received.
     Signal,
-    /// Time went on.
+    /// Time passed.
     Tick,
 }
 
-/// What the process is to do.
+/// An action for the process to carry out.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum DrainAction {
-    /// Name this instance in no entry answer, and tell the peers.
+    /// Withdraw this instance from the entry answers and notify the peers.
     #[display("leave answers")]
     WithdrawFromEntry,
-    /// Refuse new connections; requests on open ones are refused as not run.
+    /// Refuse new connections, and refuse requests on open ones as not run.
     #[display("refuse connections")]
     RefuseConnections,
-    /// Cut the requests that are still in progress, and say which.
+    /// Abort the requests in progress and report them.
     #[display("cut {requests}: {cause}")]
     Cut {
-        /// Requests in progress.
+        /// Number of requests in progress.
         requests: usize,
-        /// Why.
+        /// Cause.
         cause: CutCause,
     },
-    /// Tell the peers that this incarnation is gone, and exit.
+    /// Notify the peers that this incarnation is gone, and exit.
     #[display("exit {_0}")]
     Exit(DrainOutcome),
 }
 
-/// Why requests were cut.
+/// The cause of aborting requests.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum CutCause {
     /// The deadline passed.
     #[display("deadline")]
     Deadline,
-    /// A second signal came.
+    /// A second signal was received.
     #[display("second signal")]
     SecondSignal,
 }
 
-/// How the instance ended.
+/// The outcome of a shutdown.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum DrainOutcome {
-    /// No request was cut: exit code 0.
+    /// No request was aborted: exit code 0.
     #[display("clean")]
     Clean,
-    /// Requests were cut: an exit code other than 0.
+    /// Requests were aborted: nonzero exit code.
     #[display("cut")]
     Cut,
 }
 
-/// Where a shutdown stands.
+/// The current step of a shutdown.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum DrainStep {
-    /// No signal came.
+    /// No signal received yet.
     #[display("serving")]
     Serving,
-    /// Out of the answers, still accepting.
+    /// Withdrawn from the entry answers, still accepting connections.
     #[display("leaving")]
     Leaving,
-    /// Waits for the last request.
+    /// Refusing connections and waiting for the last request.
     #[display("refusing")]
     Refusing,
-    /// Over.
+    /// The shutdown is complete.
     #[display("ended")]
     Ended,
 }
 
-/// A graceful shutdown.
+/// The state of a graceful shutdown.
 #[derive(Clone, Debug)]
 pub struct Drain {
     cfg: DrainConfig,
@@ -101,7 +102,7 @@
 }
 
 impl Drain {
-    /// An instance that serves.
+    /// Creates the state of a serving instance.
     #[must_use]
     pub fn new(cfg: DrainConfig) -> Drain {
         Drain {
@@ -111,19 +112,20 @@
         }
     }
 
-    /// Where it stands.
+    /// Returns the current step.
     #[must_use]
     pub fn step(&self) -> DrainStep {
         self.step
     }
 
-    /// Whether new requests are taken.
+    /// Returns whether new requests are accepted.
     #[must_use]
     pub fn accepts(&self) -> bool {
         matches!(self.step, DrainStep::Serving | DrainStep::Leaving)
     }
 
-    /// Takes in an event at monotonic time `now_ms`, with `in_flight` requests in progress.
+    /// Handles an event at monotonic time `now_ms` with `in_flight` requests in progress, and
+    /// returns the actions to carry out.
     pub fn on(&mut self, now_ms: Millis, event: DrainEvent, in_flight: usize) -> Vec<DrainAction> {
         match (self.step, event) {
             (DrainStep::Ended, _) | (DrainStep::Serving, DrainEvent::Tick) => Vec::new(),
@@ -138,12 +140,12 @@
     }
 
     fn tick(&mut self, now_ms: Millis, in_flight: usize) -> Vec<DrainAction> {
-        let passed = now_ms.saturating_sub(self.since_ms);
-        if passed >= self.cfg.deadline_ms {
+        let elapsed = now_ms.saturating_sub(self.since_ms);
+        if elapsed >= self.cfg.deadline_ms {
             return self.end(in_flight, CutCause::Deadline);
         }
         let mut actions = Vec::new();
-        if self.step == DrainStep::Leaving && passed >= self.cfg.ttl_ms {
+        if self.step == DrainStep::Leaving && elapsed >= self.cfg.ttl_ms {
             self.step = DrainStep::Refusing;
             actions.push(DrainAction::RefuseConnections);
         }
--- a/policy/src/entry.rs
+++ b/policy/src/entry.rs
@@ -1,15 +1,17 @@
-//! Answers to callers who ask which instance to use.
+//! Entry answers, which tell callers which instances to use.
 //!
-//! A caller uses the first address, and the next ones when that fails. The order is random by
-//! weight, drawn anew for each answer, so that callers spread evenly, and those of a lost instance
-//! spread over all the rest. Weights prefer the caller's failure domain until its instances carry
-//! more than their share, and lower load in any case. Loads come by the exchange between instances
-//! and lag by seconds; a random order doesn't send all callers to the one that looked idle.
+//! A caller uses the first address and falls back to the next ones when it fails. Each answer has
+//! its own weighted random order, so that callers spread evenly and those of a failed instance
+//! spread over all the others. The weights prefer instances with lower load, and instances in the
+//! caller's failure domain until these carry more than their share. Loads are gossiped and lag by
+//! seconds; the random order avoids sending all callers to the instance that last appeared idle.
 //!
-//! Invariants of an answer: no address twice; only instances that serve, that nobody suspects and
-//! that the platform doesn't list as leaving; instances of the caller's region before others; not
-//! more than half of it in one failure domain and one address outside the region, as long as there
-//! are such.
+//! Invariants of an answer:
+//! - No address occurs twice.
+//! - All instances serve, are not suspected and are not listed as leaving by the platform.
+//! - Instances in the caller's region come first.
+//! - At most half of the addresses are in one failure domain and one address is outside the region,
+//!   as far as the available instances permit.
 
 use crate::member::MemberState;
 use crate::region::region_of;
@@ -18,30 +20,30 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// `GET /v1/entry`: the addresses to use.
+/// The answer to `GET /v1/entry`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryAnswer {
-    /// Callers' addresses of live instances, best first.
+    /// Caller addresses of live instances, in order of preference.
     pub addresses: Vec<EntryAddress>,
-    /// How long this answer may be kept, in milliseconds.
+    /// Time to live of this answer, in milliseconds.
     pub ttl_ms: u64,
 }
 
 /// One address of an entry answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryAddress {
-    /// Callers' address.
+    /// Address for callers.
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: Name,
 }
 
-/// Settings of the entry answers.
+/// Settings for entry answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryConfig {
-    /// How long an answer may be kept, in milliseconds.
+    /// Time to live of an answer, in milliseconds.
     pub ttl_ms: Millis,
-    /// The most addresses in an answer.
+    /// Maximum number of addresses in an answer.
     pub max_addresses: usize,
 }
 
@@ -54,17 +56,18 @@
     }
 }
 
-/// Weight of an instance in the caller's failure domain against one elsewhere in the region.
+/// Relative weight of an instance in the caller's failure domain; instances elsewhere have 1.
 const LOCAL_WEIGHT: f64 = 4.0;
 
-/// An instance is preferred for its failure domain up to this load against the mean.
-const LOCAL_LOAD_LIMIT: f64 = 1.25;
+/// Ratio of load to mean load up to which an instance is preferred for its failure domain.
+const LOCAL_LOAD_RATIO: f64 = 1.25;
 
-/// Requests that an instance may have above its share before it counts as more loaded: with few
-/// requests in flight, single ones say nothing.
+/// Slack, in requests, for comparing an instance's load with the mean: with few requests in flight,
+/// differences of single requests are not significant.
 const LOAD_SLACK: f64 = 4.0;
 
-/// The answer to a caller in `domain`, where it said so, from the instances `live`.
+/// Builds the answer for a caller from the instances `live`; `domain` is the caller's failure
+/// domain, if known.
 pub fn entry_answer<'a>(
     live: impl Iterator<Item = &'a MemberState>,
     domain: Option<&str>,
@@ -74,23 +77,31 @@
     let live: Vec<&MemberState> = live.collect();
     let load: f64 = live.iter().map(|s| f64::from(s.in_flight)).sum();
     let mean = load / (live.len().max(1) as f64);
-    let mut drawn: Vec<Drawn<'_>> = Vec::with_capacity(live.len());
+    let mut candidates: Vec<Candidate<'_>> = Vec::with_capacity(live.len());
     for member in live {
         let weight = weight(member, domain, mean);
-        let far = domain.is_some_and(|d| region_of(d) != region_of(&member.domain));
-        // Smallest first of these keys is a draw without replacement by weight.
+        let other_region = domain.is_some_and(|d| region_of(d) != region_of(&member.domain));
+        // Sorting by these exponential keys is a weighted draw without replacement.
         let key = -(1.0 - rng.random::<f64>()).ln() / weight;
-        drawn.push(Drawn { far, key, member });
+        candidates.push(Candidate {
+            other_region,
+            key,
+            member,
+        });
     }
-    drawn.sort_by(|a, b| a.far.cmp(&b.far).then(a.key.total_cmp(&b.key)));
+    candidates.sort_by(|a, b| {
+        a.other_region
+            .cmp(&b.other_region)
+            .then(a.key.total_cmp(&b.key))
+    });
     EntryAnswer {
-        addresses: chosen(&drawn, cfg.max_addresses.max(1)),
+        addresses: select_addresses(&candidates, cfg.max_addresses.max(1)),
         ttl_ms: cfg.ttl_ms,
     }
 }
 
-struct Drawn<'a> {
-    far: bool,
+struct Candidate<'a> {
+    other_region: bool,
     key: f64,
     member: &'a MemberState,
 }
@@ -99,34 +110,34 @@
     let load = f64::from(member.in_flight);
     let by_load = (mean + LOAD_SLACK) / (load + LOAD_SLACK);
     let local = domain == Some(&*member.domain);
-    if local && load <= mean * LOCAL_LOAD_LIMIT + LOAD_SLACK {
+    if local && load <= mean * LOCAL_LOAD_RATIO + LOAD_SLACK {
         LOCAL_WEIGHT * by_load
     } else {
         by_load
     }
 }
 
-/// The first `max` of the draw within the bounds on one failure domain and one region; what the
-/// bounds left out fills the rest.
-fn chosen(drawn: &[Drawn<'_>], max: usize) -> Vec<EntryAddress> {
-    let near = drawn.iter().filter(|d| !d.far).count();
-    let reserve = usize::from(near < drawn.len() && near > 0 && max > 1);
-    let near_limit = max - reserve;
+/// Selects the first `max` candidates within the limits per failure domain and region; the others
+/// fill the remaining places.
+fn select_addresses(candidates: &[Candidate<'_>], max: usize) -> Vec<EntryAddress> {
+    let in_region = candidates.iter().filter(|d| !d.other_region).count();
+    let reserve = usize::from(in_region < candidates.len() && in_region > 0 && max > 1);
+    let in_region_limit = max - reserve;
     let domain_limit = max.div_ceil(2);
-    let mut taken: Vec<&MemberState> = Vec::with_capacity(max);
-    let mut left: Vec<&MemberState> = Vec::new();
-    for d in drawn {
-        let same = taken.iter().filter(|s| s.domain == d.member.domain);
-        let full = !d.far && taken.len() >= near_limit;
-        if full || taken.len() >= max || same.count() >= domain_limit {
-            left.push(d.member);
+    let mut selected: Vec<&MemberState> = Vec::with_capacity(max);
+    let mut skipped: Vec<&MemberState> = Vec::new();
+    for d in candidates {
+        let same = selected.iter().filter(|s| s.domain == d.member.domain);
+        let region_full = !d.other_region && selected.len() >= in_region_limit;
+        if region_full || selected.len() >= max || same.count() >= domain_limit {
+            skipped.push(d.member);
         } else {
-            taken.push(d.member);
+            selected.push(d.member);
         }
     }
-    taken.extend(left);
-    taken.truncate(max);
-    taken.into_iter().map(address).collect()
+    selected.extend(skipped);
+    selected.truncate(max);
+    selected.into_iter().map(address).collect()
 }
 
 fn address(s: &MemberState) -> EntryAddress {
--- a/policy/src/head.rs
+++ b/policy/src/head.rs
@@ -1,40 +1,40 @@
-//! The head of the configuration: the one object that a commit changes.
+//! The configuration head, the single mutable object of the configuration.
 
 use crate::time::Name;
 use serde::{Deserialize, Serialize};
 
-/// The one object that a commit changes.
+/// The configuration head, which every commit replaces.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Grows by one with each commit.
+    /// Revision, incremented by one with each commit.
     pub revision: u64,
-    /// Newest commit first; the first is the commit of this head. Bounded.
+    /// Bounded history, newest first; the first entry is the commit of this head.
     pub history: Vec<Commit>,
     /// Parts of the schema.
     pub parts: Vec<PartRef>,
 }
 
-/// One commit.
+/// A commit in the history of a head.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Commit {
-    /// Revision it made.
+    /// Revision that it created.
     pub revision: u64,
-    /// Change id, chosen by the operator's tool: asking again with the same id is idempotent.
+    /// Change id chosen by the operator's tool; a retry with the same id is idempotent.
     pub change: Name,
-    /// Who.
+    /// Name of the operator.
     pub operator: Name,
-    /// Unix time, in milliseconds.
+    /// Unix time in milliseconds.
     pub at_ms: u64,
-    /// Hash over the hashes of the schema's parts: names what was committed.
+    /// Hash over the hashes of the schema's parts, which identifies the committed content.
     pub content: Name,
-    /// Summary of the difference, one line each; bounded.
+    /// Bounded summary of the difference, one line per changed item.
     pub summary: Vec<String>,
 }
 
-/// A part of the schema, immutable and named by its hash.
+/// A reference to an immutable, content-addressed part of the schema.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartRef {
-    /// SHA-256 of its text, as hexadecimal digits.
+    /// SHA-256 of its text in hexadecimal.
     pub hash: Name,
     /// Size in bytes.
     pub bytes: u64,
--- a/policy/src/listed.rs
+++ b/policy/src/listed.rs
@@ -1,4 +1,4 @@
-//! The platform's list of instances; it lags behind.
+//! The platform's list of instances, which may be stale.
 
 use crate::time::Name;
 use serde::{Deserialize, Serialize};
@@ -7,28 +7,28 @@
 /// One listed instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedInstance {
-    /// Name, kept over restarts.
+    /// Name, stable across restarts.
     pub name: Name,
-    /// Grows with each start of the same name.
+    /// Incarnation, which increases with each start under the same name.
     pub incarnation: u64,
-    /// Group: an upstream group of the schema, or [`ENTRY_GROUP`].
+    /// Group: an upstream group of the schema or [`ENTRY_GROUP`].
     pub group: Name,
-    /// Address: an upstream's service, or an entry instance's peer listener.
+    /// Service address of an upstream, or peer listener address of an entry instance.
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: Name,
-    /// Whether it stays.
+    /// State according to the list.
     pub state: ListedState,
 }
 
 pub use crate::schema::ENTRY_GROUP;
 
-/// Whether a listed instance stays.
+/// The state of a listed instance.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
     /// In service.
     Live,
-    /// Leaving: takes no new work.
+    /// Leaving; accepts no new work.
     Leaving,
 }
--- a/policy/src/member.rs
+++ b/policy/src/member.rs
@@ -1,37 +1,38 @@
-//! What instances tell one another of themselves.
+//! The state that instances publish about themselves.
 
 use crate::time::Name;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What is known of one instance.
+/// The published state of one instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberState {
-    /// Name, kept over restarts.
+    /// Name, stable across restarts.
     pub name: Name,
-    /// Grows with each start of the same name: Unix time of the start, in milliseconds.
+    /// Incarnation: Unix time of the start in milliseconds, greater for each start of the same
+    /// name.
     pub incarnation: u64,
-    /// Heartbeat count within the incarnation.
+    /// Heartbeat counter within the incarnation.
     pub heartbeat: u64,
-    /// Callers' address.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Peers' address.
+    /// Address for peers.
     pub peers: SocketAddr,
-    /// Operators' address.
+    /// Address for operators.
     pub operators: SocketAddr,
     /// Failure domain.
     pub domain: Name,
-    /// What it says of itself.
+    /// Lifecycle phase.
     pub phase: Phase,
-    /// Revision in force there.
+    /// Revision in force.
     pub revision: u64,
-    /// Unix time since when, in milliseconds.
+    /// Unix time in milliseconds since which it is in force.
     pub revision_since_ms: u64,
-    /// Requests in flight there.
+    /// Number of requests in flight.
     pub in_flight: u32,
 }
 
-/// What an instance says of itself.
+/// The lifecycle phase of an instance.
 #[derive(
     Clone,
     Copy,
@@ -47,17 +48,17 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Has no configuration yet: serves nothing.
+    /// Has no configuration yet and serves nothing.
     #[default]
     #[display("joining")]
     Joining,
-    /// Serves.
+    /// Serves requests.
     #[display("serving")]
     Serving,
-    /// Shutting down: named in no entry answer.
+    /// Shutting down and excluded from entry answers.
     #[display("draining")]
     Draining,
-    /// Gone for good in this incarnation.
+    /// Permanently stopped in this incarnation.
     #[display("gone")]
     Gone,
 }
--- a/policy/src/region.rs
+++ b/policy/src/region.rs
@@ -1,9 +1,9 @@
-//! Regions: failure domains that are close to each other.
+//! Regions, which are groups of failure domains close to each other.
 //!
-//! Settings and the platform's list name a failure domain only. A name of the form
-//! `region.domain` puts it in a region; names without a dot are all in one region.
+//! Settings and the platform's list contain failure domains only. A name of the form
+//! `region.domain` assigns the domain to a region; all names without a dot are in the same region.
 
-/// Region of a failure domain: what stands before the first dot, or nothing.
+/// Returns the region of a failure domain: the part before the first dot, or the empty string.
 #[must_use]
 pub fn region_of(domain: &str) -> &str {
     domain.split_once('.').map_or("", |(region, _)| region)
