--- a/policy/examples/config_cost.rs
+++ b/policy/examples/config_cost.rs
@@ -1,12 +1,12 @@
-//! Measures what a configuration costs by its number of organisations.
+//! Measures the cost of a configuration by its number of organisations.
 //!
 //! `cargo run --release -p jacinthweir-policy --example config_cost -- [SIZE ...]`
 //!
-//! Memory is right for the first size of a run alone, as freed memory is used again.
+//! The memory figure is valid only for the first size of a run, because freed memory is reused.
 //!
-//! One line a size: the file, what the platform holds, what one changed organisation costs to
-//! spread, the times of each step and the memory that a revision in force takes. Times are the
-//! least of several runs, so that other load on the machine shows less.
+//! Prints one line per size: the file size, the stored parts, the bytes written when one
+//! organisation changes, the time of each step and the memory used by a revision in force. Times
+//! are the minimum of several runs, to reduce the influence of other load on the machine.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 
 const SIZES: [usize; 5] = [10, 100, 1_000, 10_000, 19_000];
 const RUNS: u32 = 5;
-/// Commits before the measured one, so that the head has its full history.
+/// Number of commits made, so that the measured head has a full history.
 const COMMITS: u64 = 64;
 
 fn main() {
@@ -69,10 +69,10 @@
         serde_json::to_string(&head(&schema))
             .expect("serialises")
             .len(),
-        least_ms(|| parse_schema(&text).expect("valid")),
-        least_ms(|| parts(&schema)),
-        least_ms(|| diff(&schema, &changed)),
-        least_ms(|| put_in_force(&before)),
+        min_time_ms(|| parse_schema(&text).expect("valid")),
+        min_time_ms(|| parts(&schema)),
+        min_time_ms(|| diff(&schema, &changed)),
+        min_time_ms(|| put_in_force(&before)),
     );
     drop(in_force);
 }
@@ -94,7 +94,7 @@
 }
 
 fn parts(schema: &Schema) -> Vec<PartText> {
-    split(schema).expect("fits")
+    split(schema).expect("parts within the size limit")
 }
 
 fn put_in_force(parts: &[PartText]) -> CompiledSchema {
@@ -103,7 +103,7 @@
         let found = parts.iter().find(|part| &*part.part.hash == hash);
         found.map(|part| &*part.text)
     };
-    let schema = join(&refs, text_of).expect("whole");
+    let schema = join(&refs, text_of).expect("all parts present");
     CompiledSchema::compile(Arc::new(schema)).expect("valid")
 }
 
@@ -111,14 +111,14 @@
     let mut head = None;
     let refs: Vec<_> = parts(schema).into_iter().map(|part| part.part).collect();
     for base in 0..COMMITS {
-        // Contents alternate, as an equal one would not be committed.
-        let shown = refs[..refs.len() - (base % 2) as usize].to_vec();
+        // Alternate the content, since an unchanged one would not be committed.
+        let selected = refs[..refs.len() - (base % 2) as usize].to_vec();
         let proposal = Proposal {
             base,
             change: format!("01a23925-0148-70b1-bf77-{base:012}").into(),
             operator: "operator".into(),
             at_ms: 1_800_000_000_000,
-            parts: shown,
+            parts: selected,
             summary: vec!["~ organisation organisation-00042: weight 10 -> 11".into()],
         };
         if let Decision::Commit(next) = decide(head.as_ref(), &proposal) {
@@ -128,7 +128,7 @@
     head.unwrap_or_default()
 }
 
-fn least_ms<T>(run: impl Fn() -> T) -> f64 {
+fn min_time_ms<T>(run: impl Fn() -> T) -> f64 {
     let times = (0..RUNS).map(|_| {
         let start = Instant::now();
         black_box(run());
@@ -137,7 +137,7 @@
     times.fold(f64::INFINITY, f64::min)
 }
 
-/// Resident memory of this process, in kilobytes.
+/// Returns the resident memory of this process, in kilobytes.
 fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
--- a/policy/tests/config_converge.rs
+++ b/policy/tests/config_converge.rs
@@ -1,4 +1,4 @@
-//! Convergence of one instance: single faults by hand.
+//! Convergence of one instance: hand-written single-fault scenarios.
 
 #[path = "support/convergence.rs"]
 #[allow(
@@ -18,8 +18,8 @@
 
 #[gtest]
 fn a_joining_instance_serves_nothing_before_it_has_a_head() {
-    // A caller asks an instance that has just started while the platform is out: refused, not
-    // run. Its peers then name their head, and once the parts are there it serves by that.
+    // An instance that starts while the platform is unavailable must refuse requests. It serves
+    // once a peer has announced its head and the parts have been fetched.
     let heads = lineage(3);
     let mut instance = Instance::start();
     instance.event(Event::PlatformFailed);
@@ -34,10 +34,10 @@
 }
 
 #[gtest]
-fn joining_after_the_platform_went_back_does_not_start_from_the_older_copy() {
-    // The platform was restored to revision 1 while peers have 3 in force. An instance starts
-    // and reads the platform first. Serving by 1 would revert what operators were told is in
-    // force, for the callers of this instance.
+fn joining_after_a_platform_rollback_does_not_start_from_the_older_copy() {
+    // The platform was restored to revision 1 while peers have revision 3 in force. A joining
+    // instance reads the platform first. Serving revision 1 would revert an accepted change for its
+    // callers.
     let heads = lineage(3);
     let mut instance = Instance::start();
     instance.members(3);
@@ -70,9 +70,9 @@
 }
 
 #[gtest]
-fn a_platform_restored_from_an_older_copy_gets_the_accepted_head_back() {
-    // The platform's owners restore a backup: the head shows revision 1 again. Instances go on
-    // serving by 3, tell the operators once, and write 3 back over exactly that version.
+fn the_accepted_head_is_written_back_to_a_restored_platform() {
+    // The platform is restored from a backup and shows revision 1 again. Instances must keep
+    // serving revision 3, raise one alarm, and write revision 3 back over exactly that version.
     let heads = lineage(3);
     let mut instance = Instance::serving(&heads);
     for _ in 0..3 {
@@ -93,8 +93,8 @@
 
 #[gtest]
 fn a_head_of_the_same_revision_with_other_content_is_refused() {
-    // After a restore to revision 1, somebody commits another revision 2 and 3. The number fits,
-    // the history does not: taking it would revert revision 2 silently.
+    // After a restore to revision 1, different revisions 2 and 3 are committed. Their numbers match
+    // but their history does not; adopting them would silently revert the accepted revision 2.
     let heads = lineage(2);
     let mut instance = Instance::serving(&heads);
     let fork = commit(Some(&heads[0]), 7);
@@ -110,10 +110,10 @@
 }
 
 #[gtest]
-fn an_instance_that_lags_does_not_take_a_fork_from_the_platform() {
-    // Peers have revision 2 in force, this instance still has 1. The platform was restored to 1
-    // and then given another revision 2, which descends from what this instance knows. Taking it
-    // would leave two contents in force under one number.
+fn a_lagging_instance_does_not_adopt_a_fork_from_the_platform() {
+    // Peers have revision 2 in force and this instance still has 1. The platform was restored to 1
+    // and then received a different revision 2, which descends from revision 1. Adopting it would
+    // put two contents in force under one revision number.
     let heads = lineage(2);
     let mut instance = Instance::serving(&heads[..1]);
     instance.members(2);
@@ -126,9 +126,9 @@
 }
 
 #[gtest]
-fn an_instance_cut_off_stops_serving_and_resumes_when_confirmed() {
-    // One instance is cut off from the platform and from its peers. Callers that still reach it
-    // are refused, not run, after the set time: a newer revision may be in force elsewhere.
+fn a_partitioned_instance_stops_serving_until_confirmed() {
+    // An instance is partitioned from the platform and its peers. After the configured time it must
+    // refuse requests, because a newer revision may be in force elsewhere.
     let heads = lineage(1);
     let mut instance = Instance::serving(&heads);
     instance.event(Event::PlatformFailed);
@@ -141,9 +141,9 @@
 }
 
 #[gtest]
-fn an_instance_cut_off_for_so_long_that_it_forgot_its_peers_does_not_serve_alone() {
-    // One instance is cut off from everything. After half an hour it has forgotten the others,
-    // who stayed silent; alone it would be a majority of one and serve its old revision again.
+fn a_partitioned_instance_that_removed_its_peers_does_not_serve_alone() {
+    // A fully partitioned instance has removed its silent peers after half an hour. On its own it
+    // would form a majority of one and serve its old revision again.
     let heads = lineage(1);
     let mut instance = Instance::serving(&heads);
     instance.advance(UNCONFIRMED_MS);
@@ -153,7 +153,7 @@
     expect_that!(instance.serves(), eq(false));
     instance.platform(Some(&heads[0]), 1);
     expect_that!(instance.serves(), eq(true));
-    // Confirmed by the platform, it is right that the others are gone.
+    // Once the platform has confirmed the revision, the removal of the others takes effect.
     instance.event(Event::Members(vec![]));
     instance.event(Event::PlatformFailed);
     instance.advance(UNCONFIRMED_MS);
@@ -161,7 +161,7 @@
 }
 
 #[gtest]
-fn a_minority_of_peers_or_an_old_answer_confirms_nothing() {
+fn a_minority_of_peers_or_a_stale_answer_confirms_nothing() {
     let heads = lineage(1);
     let mut instance = Instance::serving(&heads);
     let started = instance.now;
@@ -182,7 +182,7 @@
     };
     instance.event(Event::Members([one, vec![ahead]].concat()));
     expect_that!(instance.serves(), eq(false));
-    // The instance was frozen between asking and reading the answer.
+    // The instance was suspended between sending the request and reading the answer.
     let head = Some(heads[0].clone());
     instance.event(Event::PlatformHead {
         head,
@@ -193,7 +193,7 @@
 }
 
 #[gtest]
-fn altered_parts_are_refused_and_fetched_elsewhere() {
+fn altered_parts_are_rejected_and_fetched_elsewhere() {
     let heads = lineage(1);
     let mut instance = Instance::start();
     instance.members(1);
@@ -211,7 +211,7 @@
 }
 
 #[gtest]
-fn broken_histories_are_rejected_by_the_check() {
+fn the_check_rejects_invalid_histories() {
     let record = |revision, content: &str, at_ms| InForceRecord {
         instance: "a".into(),
         incarnation: 1,
@@ -251,7 +251,7 @@
 }
 
 #[gtest]
-fn untrue_answers_to_operators_are_rejected_by_the_check() {
+fn the_check_rejects_false_reports_to_operators() {
     let heads = lineage(2);
     let commits = &heads[1].history;
     let record = |change: &str, outcome| ApplyRecord {
--- a/policy/tests/config_parts.rs
+++ b/policy/tests/config_parts.rs
@@ -1,4 +1,4 @@
-//! Splitting a schema into parts and joining it again; commits and reading back.
+//! Splitting and joining schemas, commits, lost writes, lineage, watchers and garbage collection.
 
 use googletest::prelude::*;
 use jacinthweir_policy::config::commit::{
@@ -84,7 +84,7 @@
 }
 
 #[gtest]
-fn altered_missing_and_unknown_parts_are_refused() {
+fn altered_and_missing_parts_are_rejected() {
     let parts = split(&schema(3, 10)).unwrap();
     let mut altered = parts.clone();
     altered[1].text = altered[1]
@@ -98,7 +98,7 @@
 }
 
 #[gtest]
-fn a_part_too_large_for_the_platform_is_refused_before_anything_is_written() {
+fn an_oversized_part_is_rejected_by_the_split() {
     let mut schema = schema(1, 1);
     schema.organisations[0].key_sha256 = vec!["0".repeat(64).into(); MAX_PART_BYTES / 60];
     expect_that!(
@@ -108,18 +108,18 @@
 }
 
 #[gtest]
-fn two_operators_race_and_one_gets_a_conflict() {
-    // Two operators plan against revision 1 and apply at the same time. The first commits
-    // revision 2; the second sees a conflict with revision 2 and nothing of its change lands.
+fn one_of_two_concurrent_commits_gets_a_conflict() {
+    // Two operators plan against revision 1 and apply concurrently. The first commits revision 2;
+    // the second must get a conflict and commit nothing.
     let first = committed(None, &proposal(0, "c1", 1));
     let second = committed(Some(&first), &proposal(1, "c2", 2));
     expect_that!(second.revision, eq(2));
-    let late = decide(Some(&second), &proposal(1, "c3", 3));
-    expect_that!(late, eq(&Decision::Conflict { standing: 2 }));
+    let conflicting = decide(Some(&second), &proposal(1, "c3", 3));
+    expect_that!(conflicting, eq(&Decision::Conflict { standing: 2 }));
 }
 
 #[gtest]
-fn asking_again_with_the_same_change_is_idempotent() {
+fn retrying_the_same_change_is_idempotent() {
     let first = committed(None, &proposal(0, "c1", 1));
     let second = committed(Some(&first), &proposal(1, "c2", 2));
     let again = decide(Some(&second), &proposal(0, "c1", 1));
@@ -149,19 +149,19 @@
         .max();
     expect_that!(longest, some(le(MAX_SUMMARY_CHARS + 3)));
     expect_that!(validate_head(&head), ok(eq(())));
-    // Without its parts: the largest that operators can make a head's history.
+    // The largest history, without parts, that operators can produce.
     let bytes = serde_json::to_string(&head.history).unwrap().len();
     expect_that!(bytes, lt(MAX_PART_BYTES / 10));
     expect_that!(label_error(&head.history[0].change), none());
 }
 
 #[gtest]
-fn a_lost_answer_is_read_back() {
+fn a_write_with_a_lost_answer_is_resolved() {
     let first = committed(None, &proposal(0, "c1", 1));
     let ours = committed(Some(&first), &proposal(1, "c2", 2));
     let theirs = committed(Some(&first), &proposal(1, "c3", 3));
     let after = committed(Some(&ours), &proposal(2, "c4", 4));
-    let untold = Head {
+    let truncated = Head {
         history: after.history[..1].to_vec(),
         ..after.clone()
     };
@@ -170,7 +170,7 @@
         (Some((&after, 9)), ReadBack::Committed),
         (Some((&first, 7)), ReadBack::Pending),
         (Some((&theirs, 8)), ReadBack::Superseded { standing: 2 }),
-        (Some((&untold, 9)), ReadBack::Indeterminate),
+        (Some((&truncated, 9)), ReadBack::Indeterminate),
         (Some((&first, 6)), ReadBack::Indeterminate),
         (None, ReadBack::Indeterminate),
     ];
@@ -181,7 +181,7 @@
 }
 
 #[gtest]
-fn a_head_of_another_history_is_told_apart() {
+fn a_diverged_head_is_detected() {
     let first = committed(None, &proposal(0, "c1", 1));
     let second = committed(Some(&first), &proposal(1, "c2", 2));
     let fork = committed(Some(&first), &proposal(1, "c3", 3));
@@ -195,7 +195,7 @@
 }
 
 #[gtest]
-fn a_head_that_contradicts_itself_is_refused() {
+fn an_inconsistent_head_is_rejected() {
     let head = committed(None, &proposal(0, "c1", 1));
     let other = committed(None, &proposal(0, "c1", 2));
     let cases = [
@@ -248,7 +248,7 @@
 }
 
 #[gtest]
-fn a_few_instances_watch_whatever_their_number() {
+fn the_number_of_watchers_does_not_grow_with_the_fleet() {
     for fleet in [1, 3, 6, 340] {
         let names: Vec<Name> = (0..fleet).map(|n| format!("i{n}").into()).collect();
         let watching = names
@@ -260,10 +260,10 @@
 }
 
 #[gtest]
-fn parts_of_a_commit_in_progress_are_never_needless() {
-    // Revision 2 stands at version 20. A commit in progress has written its part (version 21),
-    // which an earlier revision had used too. Deleting it would leave the next head with a part
-    // that nobody has, and every instance that joins later without a configuration.
+fn parts_of_a_commit_in_progress_are_never_deletable() {
+    // The head at revision 2 has version 20. A commit in progress has rewritten a part (version 21)
+    // that an earlier revision also used. Deleting it would leave the next head with a missing
+    // part, and every instance that joins later without a configuration.
     let first = committed(None, &proposal(0, "c1", 1));
     let second = committed(Some(&first), &proposal(1, "c2", 2));
     let (old, named) = (first.parts[1].hash.clone(), second.parts[1].hash.clone());
--- a/policy/tests/config_random.rs
+++ b/policy/tests/config_random.rs
@@ -1,4 +1,4 @@
-//! Convergence of one instance: random interleavings of faults.
+//! Convergence of one instance: property test over random interleavings of faults.
 
 #[path = "support/convergence.rs"]
 #[allow(
@@ -18,11 +18,11 @@
 use proptest::test_runner::Config;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-/// What the platform and the fleet hold, beside the instance under test.
+/// Model of the platform and the rest of the fleet.
 #[derive(Clone, Debug)]
 struct World {
     accepted: Vec<Arc<Head>>,
-    /// Every state that the platform's head ever had, for stale reads; the last stands.
+    /// All states of the platform's head, for stale reads; the last is current.
     platform: Vec<Option<Arc<Head>>>,
     changes: u32,
     connected: bool,
@@ -100,7 +100,7 @@
 
     fn apply(mut world: World, step: &Step) -> World {
         match step {
-            // Only an instance whose head is the platform's commits over it.
+            // An instance commits only if its head equals the platform's.
             Step::Commit if world.standing() == world.newest() && world.changes < MAX_CHANGES => {
                 let head = commit(world.newest(), world.changes);
                 world.changes += 1;
@@ -129,7 +129,8 @@
 
 struct Random {
     instance: Instance,
-    /// What an executed republish left on the platform, until the model restores over it.
+    /// The head that an executed republish wrote and the model state that it replaced; valid until
+    /// the model writes the platform again.
     republished: Option<(Arc<Head>, usize)>,
 }
 
@@ -142,8 +143,8 @@
     }
 
     fn read(&mut self, world: &World) {
-        // A cut of everything: a lagging instance that sees a forked platform and no peer for
-        // the whole grace is the residual risk stated in docs/CONFIGURATION.md.
+        // Excluded: a lagging instance that sees a forked platform and no peer for the whole grace
+        // period can adopt the fork. This is the residual risk stated in docs/CONFIGURATION.md.
         if !world.connected && world.is_forked() {
             return self.instance.event(Event::PlatformFailed);
         }
@@ -223,11 +224,11 @@
         let until = state.instance.machine.serve_until();
         assert!(
             until <= state.instance.now + UNCONFIRMED_MS,
-            "serves on an unproven promise"
+            "serves longer than a confirmation permits"
         );
     }
 
-    /// Once faults end, the newest accepted revision comes into force.
+    /// Checks that the newest accepted revision comes into force once the faults end.
     fn teardown(mut state: Random, mut world: World) {
         world.connected = true;
         for _ in 0..30 {
@@ -263,8 +264,9 @@
 prop_state_machine! {
     #![proptest_config(deterministic())]
 
-    /// Commits, restores, foreign writes, stale reads, cuts, restarts and failing fetches in any
-    /// order: what is in force never goes back, and the newest accepted revision wins in the end.
+    /// Under any order of commits, restores, foreign writes, stale reads, partitions, restarts and
+    /// failing fetches, the revision in force never reverts, and the newest accepted revision comes
+    /// into force in the end.
     #[test]
     fn an_accepted_configuration_never_reverts(sequential 1..60 => Random);
 }
--- a/policy/tests/drain.rs
+++ b/policy/tests/drain.rs
@@ -1,4 +1,4 @@
-//! The steps of a graceful shutdown, from case files: `TIME EVENT IN-FLIGHT -> ACTIONS`.
+//! Graceful shutdown, tested with case files of lines `TIME EVENT IN-FLIGHT -> ACTIONS`.
 
 use googletest::prelude::*;
 use jacinthweir_policy::drain::{Drain, DrainConfig, DrainEvent};
@@ -13,7 +13,7 @@
     }
 }
 
-/// The first line whose actions are not the expected ones.
+/// Returns the first line whose actions differ from the expected ones.
 fn first_difference(text: &str) -> Option<String> {
     let mut lines = text.lines().filter(|l| !l.starts_with('#'));
     let mut drain = Drain::new(config(lines.next().expect("a config line")));
--- a/policy/tests/entry.rs
+++ b/policy/tests/entry.rs
@@ -1,4 +1,4 @@
-//! Entry answers: who is named, and how evenly callers spread.
+//! Entry answers: selected instances and even distribution of callers.
 
 #[path = "support/fleet.rs"]
 #[allow(
@@ -31,9 +31,9 @@
         .expect("a live instance")
 }
 
-/// Whether counts are as even as independent uniform draws: the chi-square statistic stays within
-/// five standard deviations of its mean.
-fn even(counts: &[u32]) -> bool {
+/// Returns whether counts are consistent with independent uniform draws: the chi-square statistic
+/// is at most five standard deviations above its mean.
+fn is_even(counts: &[u32]) -> bool {
     let degrees = (counts.len() - 1) as f64;
     let mean = f64::from(counts.iter().sum::<u32>()) / counts.len() as f64;
     let square = |c: &u32| (f64::from(*c) - mean).powi(2) / mean;
@@ -51,22 +51,22 @@
             let answer = answer(&live, None, &mut rng);
             counts[index(&live, &answer, 0)] += 1;
         }
-        expect_that!(even(&counts), eq(true), "{counts:?}");
+        expect_that!(is_even(&counts), eq(true), "{counts:?}");
     }
 }
 
 #[gtest]
 fn the_check_rejects_an_uneven_spread() {
     let mut counts = vec![100; 6];
-    expect_that!(even(&counts), eq(true));
+    expect_that!(is_even(&counts), eq(true));
     counts[0] = 160;
-    expect_that!(even(&counts), eq(false));
+    expect_that!(is_even(&counts), eq(false));
 }
 
-// An instance dies. Its callers go to the second address of their answers; were that the same one
-// for all of them, it would carry double load and fall next.
+// When an instance fails, its callers use the second address of their answers. If that were the
+// same for all of them, that instance would carry double load and might fail next.
 #[gtest]
-fn the_callers_of_a_lost_instance_spread_over_the_rest() {
+fn callers_of_a_failed_instance_spread_over_the_others() {
     let live = instances(6, 1);
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mut counts = vec![0; 6];
@@ -77,11 +77,11 @@
         }
     }
     counts.remove(2);
-    expect_that!(even(&counts), eq(true), "{counts:?}");
+    expect_that!(is_even(&counts), eq(true), "{counts:?}");
 }
 
-/// The greatest load against the mean when callers, of whom a share `local` is in one failure
-/// domain, come and go, and loads are known with a lag of `lag` callers.
+/// Returns the peak ratio of load to mean load while callers come and go. A share `local` of them
+/// is in one failure domain, and loads are updated only every `lag` callers.
 fn peak(count: usize, local: f64, lag: usize) -> f64 {
     let mut live = instances(count, 1);
     let mut rng = ChaCha8Rng::seed_from_u64(5);
@@ -105,8 +105,8 @@
     peak
 }
 
-// All callers sit in one failure domain. They prefer its instances, which must not carry the load
-// of the whole deployment for it while the others stand idle.
+// All callers are in one failure domain and prefer its instances, which must not carry the load of
+// the whole deployment while the others are idle.
 #[gtest]
 fn callers_of_one_domain_do_not_overload_it() {
     let one_domain = peak(6, 1.0, 20);
@@ -117,7 +117,7 @@
 }
 
 #[gtest]
-fn a_caller_is_sent_to_its_own_domain_first() {
+fn a_caller_prefers_its_own_failure_domain() {
     let live = instances(6, 1);
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mut own = 0;
@@ -130,7 +130,7 @@
 }
 
 #[gtest]
-fn an_answer_outlives_a_failure_domain_and_a_region() {
+fn an_answer_spans_failure_domains_and_regions() {
     let live = instances(340, 7);
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     for i in 0..200 {
@@ -150,7 +150,7 @@
 }
 
 #[gtest]
-fn only_instances_that_serve_are_named() {
+fn only_serving_instances_are_included() {
     let mut fleet = Fleet::new(6, 1, 3, &Default::default());
     fleet.rounds(10);
     fleet.nodes[1].membership.set_phase(Phase::Draining);
--- a/policy/tests/membership.rs
+++ b/policy/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Convergence, suspicion and recovery of a fleet of memberships.
+//! Convergence, failure detection and recovery in a simulated fleet of memberships.
 
 #[path = "support/fleet.rs"]
 #[allow(
@@ -16,7 +16,7 @@
 use jacinthweir_policy::member::Phase;
 use jacinthweir_policy::membership::{MemberDelta, MembershipConfig, Verdict};
 
-/// Rounds until `done`, at most `limit`.
+/// Returns the number of rounds until `done` holds, at most `limit`.
 fn rounds_until(fleet: &mut Fleet, limit: usize, done: impl Fn(&Fleet) -> bool) -> usize {
     for round in 0..limit {
         if done(fleet) {
@@ -39,7 +39,7 @@
 }
 
 #[gtest]
-fn everyone_knows_everyone() {
+fn every_instance_discovers_all_others() {
     for (count, limit) in [(6, 10), (340, 24)] {
         let mut fleet = Fleet::new(count, 1, 7, &MembershipConfig::default());
         let rounds = rounds_until(&mut fleet, 100, |f| f.known() == count * count);
@@ -49,11 +49,10 @@
     }
 }
 
-// One instance dies without a word. Callers hold its address until their answer runs out, and
-// must not be given it again: some peer's call fails first, it asks two others, and the suspicion
-// spreads.
+// Guards against naming a crashed instance in new entry answers: a peer's call to it fails, two
+// other peers confirm the failure, and the suspicion spreads to all instances.
 #[gtest]
-fn a_dead_member_is_suspected_by_all() {
+fn a_crashed_member_is_suspected_by_all() {
     for (count, limit) in [(6, 12), (340, 24)] {
         let mut fleet = Fleet::settled(count, 1, 7, 24);
         fleet.nodes[3].run = Run::Dead;
@@ -64,8 +63,8 @@
     }
 }
 
-// Two of three instances die together, so that nobody is left to confirm. The last one must stop
-// naming them all the same, once they are silent beyond the bound.
+// Two of three instances crash together, so no peer is left to confirm the failure. The last one
+// must still suspect both once their silence exceeds the bound.
 #[gtest]
 fn the_last_instance_suspects_without_confirmation() {
     let mut fleet = Fleet::settled(3, 1, 7, 10);
@@ -75,11 +74,11 @@
     expect_that!(fleet.nodes[0].membership.live().count(), eq(1));
 }
 
-// One message in twenty is lost for 200 rounds. A member that is suspected for it drops out of the
-// entry answers and its share goes to the others; confirmation keeps that from happening, and
-// whatever does happen is over a few rounds later.
+// 5% of the messages are lost for 200 rounds. A falsely suspected member is removed from the entry
+// answers and its load moves to the others. Confirmation must keep false suspicions rare, and they
+// must be cleared within a few rounds after the loss ends.
 #[gtest]
-fn lost_messages_raise_few_alarms() {
+fn message_loss_causes_few_false_suspicions() {
     let mut fleet = Fleet::settled(24, 1, 7, 16);
     fleet.loss = 0.05;
     let mut wrong = 0;
@@ -98,10 +97,11 @@
     expect_that!(fleet.wrongly_suspected(), eq(0));
 }
 
-// An instance is frozen for 60 rounds and woken. Its calls from before fail, and by its clocks
-// nobody was heard of for a minute; if it suspected them it would name itself as the only address.
+// An instance is suspended for 60 rounds and resumed. Its earlier calls fail, and by its clocks it
+// heard from no peer for a minute. If it suspected them, its entry answers would contain only
+// itself.
 #[gtest]
-fn a_woken_instance_suspects_nobody() {
+fn a_resumed_instance_suspects_nobody() {
     let mut fleet = Fleet::settled(6, 1, 7, 16);
     fleet.nodes[2].run = Run::Frozen;
     fleet.rounds(60);
@@ -116,10 +116,10 @@
     expect_that!(fleet.nodes[2].membership.counts().woken, eq(1));
 }
 
-// A timer catches up on 20 ticks at once after a stall. They must not count as rounds: within
-// them no peer had the time to answer, and all would be silent beyond the bound.
+// After a stall, a timer fires 20 ticks at once. They must not count as rounds: no peer has time to
+// answer within them, and the silence of every peer would exceed the bound.
 #[gtest]
-fn ticks_in_a_burst_count_once() {
+fn a_burst_of_ticks_counts_as_one_round() {
     let mut fleet = Fleet::settled(3, 1, 7, 10);
     let mut now = fleet.now;
     now.mono_ms += fleet.cfg.round_ms;
@@ -132,10 +132,10 @@
     expect_that!(membership.round(), eq(round + 1));
 }
 
-// The machine is suspended: its monotonic clock stands still, and only the wall clock jumps. A
-// call that was under way fails at the wake-up and must not count against its peer.
+// The machine is suspended: its monotonic clock stops and only the wall clock jumps. A call in
+// flight fails on resume and must not count as evidence against the peer.
 #[gtest]
-fn a_jump_of_the_wall_clock_alone_is_noticed() {
+fn a_wall_clock_jump_alone_is_detected() {
     let mut fleet = Fleet::settled(3, 1, 7, 10);
     let mut now = fleet.now;
     now.unix_ms += 60_000;
@@ -153,10 +153,11 @@
     expect_that!(membership.counts().doubts, eq(0));
 }
 
-// A region is cut off from all others for 120 rounds. Callers on each side must be sent to that
-// side only; after the cut all instances are used again, and none was forgotten.
+// A region is partitioned from all others for 120 rounds. Callers on each side must be sent to
+// instances on that side only. After the partition heals, all instances must be live again and none
+// may have been removed.
 #[gtest]
-fn a_region_is_cut_and_healed() {
+fn a_partitioned_region_recovers() {
     let mut fleet = Fleet::settled(24, 3, 7, 16);
     fleet.cut = Some(1);
     fleet.rounds(40);
@@ -173,7 +174,7 @@
 }
 
 #[gtest]
-fn a_restarted_instance_is_taken_in_again() {
+fn a_restarted_instance_becomes_live_again() {
     let mut fleet = Fleet::settled(6, 1, 7, 16);
     fleet.nodes[4].run = Run::Dead;
     fleet.rounds(10);
@@ -183,10 +184,10 @@
     expect_that!(fleet.known(), eq(36));
 }
 
-// The platform's list lags: it still calls a dead instance live. The list names an address to try
-// and must not bring the instance back into the answers.
+// The platform's list is stale and shows a crashed instance as live. The list only supplies an
+// address to try and must not clear the suspicion.
 #[gtest]
-fn the_list_revives_nobody() {
+fn the_platform_list_clears_no_suspicion() {
     let mut fleet = Fleet::settled(6, 1, 7, 16);
     let incarnation = fleet.nodes[3].membership.own().state.incarnation;
     fleet.nodes[3].run = Run::Dead;
@@ -201,10 +202,10 @@
     }
 }
 
-// A member dies, and heartbeats from before its death still come by way of slower peers. They must
-// not end the suspicion; one from after the floor shows that it lives and ends it at once.
+// Heartbeats that a member sent before its crash still arrive through slower peers. They must not
+// clear the suspicion; a heartbeat above the floor proves that it is alive and clears it at once.
 #[gtest]
-fn a_late_heartbeat_ends_no_suspicion() {
+fn a_delayed_heartbeat_clears_no_suspicion() {
     let mut fleet = Fleet::settled(6, 1, 7, 16);
     fleet.nodes[3].run = Run::Dead;
     fleet.rounds(12);
@@ -230,10 +231,11 @@
     expect_that!(membership.counts().false_alarms, eq(1));
 }
 
-// The list says that an instance leaves before the instance does. It is named to no caller, also
-// when a later, stale list calls the same incarnation live again; its next incarnation is.
+// The platform lists an instance as leaving before the instance announces it. Callers must not be
+// sent to it, even if a later, stale list shows the same incarnation as live again. The next
+// incarnation must become live.
 #[gtest]
-fn listed_as_leaving_never_turns_back() {
+fn listed_as_leaving_is_final_for_the_incarnation() {
     let mut fleet = Fleet::settled(3, 1, 7, 10);
     let incarnation = fleet.nodes[1].membership.own().state.incarnation;
     for state in [ListedState::Leaving, ListedState::Live] {
@@ -260,9 +262,10 @@
     }
 }
 
-/// Most messages of a large fleet go between its domains.
+/// Bounds the number of digests sent between failure domains, while convergence and failure
+/// detection stay as fast as without the bound.
 #[gtest]
-fn few_messages_of_a_large_fleet_leave_their_domain() {
+fn cross_domain_digests_are_bounded_in_a_large_fleet() {
     let (count, domains, cross_domain_senders) = (300, 3, 8);
     let cfg = MembershipConfig {
         fanout: 2,
--- a/policy/tests/merge.rs
+++ b/policy/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Properties of the merge rules: records may come in any order, twice and crossed.
+//! Properties of the merge rules: records may arrive out of order and more than once.
 
 use googletest::prelude::*;
 use jacinthweir_policy::layers::LayerRange;
@@ -83,13 +83,13 @@
     a
 }
 
-/// What a rule that simply takes the record with the later heartbeat would give.
+/// A faulty merge rule that takes the whole record with the later heartbeat.
 fn last_heartbeat_wins(a: &MemberRecord, b: &MemberRecord) -> MemberRecord {
     let newer = b.state.heartbeat > a.state.heartbeat;
     if newer { b.clone() } else { a.clone() }
 }
 
-/// Whether `now` takes anything back that `before` said.
+/// Returns whether `now` reverts any field of `before`.
 fn reverts(before: &MemberRecord, now: &MemberRecord) -> bool {
     let (b, n) = (&before.state, &now.state);
     if n.incarnation != b.incarnation {
@@ -114,7 +114,7 @@
     }
 
     #[test]
-    fn a_merge_takes_nothing_back(a in member(), b in member()) {
+    fn a_merge_never_reverts(a in member(), b in member()) {
         prop_assert!(!reverts(&a, &merged(&a, &b)));
         prop_assert!(!reverts(&b, &merged(&a, &b)));
     }
@@ -127,7 +127,7 @@
     }
 
     #[test]
-    fn an_upstream_that_leaves_goes_on_leaving(a in upstream(), b in upstream()) {
+    fn a_leaving_upstream_stays_leaving(a in upstream(), b in upstream()) {
         let both = joined(&a, &b);
         let same = both.listed.incarnation == a.listed.incarnation;
         prop_assert!(!(same && a.leaving()) || both.leaving());
@@ -135,7 +135,7 @@
 }
 
 #[gtest]
-fn the_check_rejects_a_rule_that_takes_back() {
+fn the_check_rejects_a_rule_that_reverts() {
     let record = |heartbeat, phase| {
         let mut runner = proptest::test_runner::TestRunner::deterministic();
         let tree = member().new_tree(&mut runner).expect("a record");
--- a/policy/tests/support/convergence.rs
+++ b/policy/tests/support/convergence.rs
@@ -1,4 +1,4 @@
-//! One instance's convergence, driven step by step by the tests of the configuration.
+//! Test harness that drives the convergence of one instance step by step.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, LazyLock};
@@ -11,7 +11,7 @@
 use jacinthweir_policy::schema::{OrgDecl, Schema};
 use jacinthweir_policy::time::{Millis, Name};
 
-/// The most changes of a run.
+/// Maximum number of changes in a run.
 pub const MAX_CHANGES: u32 = 90;
 pub const GRACE_MS: Millis = 1_500;
 pub const UNCONFIRMED_MS: Millis = 15_000;
@@ -27,7 +27,7 @@
     }
 }
 
-/// Parts of the schema that change number `n` declares.
+/// Returns the parts of the schema declared by change number `n`.
 pub fn parts(n: u32) -> Vec<PartText> {
     let organisations = vec![OrgDecl {
         name: "atelier".into(),
@@ -43,13 +43,13 @@
     .unwrap()
 }
 
-/// Texts of the parts of every change, by hash.
+/// Part texts of all changes, by hash.
 pub static TEXTS: LazyLock<BTreeMap<Name, Name>> = LazyLock::new(|| {
     let all = (0..MAX_CHANGES).flat_map(parts);
     all.map(|part| (part.part.hash, part.text)).collect()
 });
 
-/// The head that change number `n` makes over `standing`.
+/// Returns the head created by committing change number `n` over `standing`.
 pub fn commit(standing: Option<&Arc<Head>>, n: u32) -> Arc<Head> {
     let proposal = Proposal {
         base: standing.map_or(0, |head| head.revision),
@@ -73,7 +73,7 @@
     heads
 }
 
-/// How sources answer fetches.
+/// The result of a simulated fetch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fetching {
     Good,
@@ -81,7 +81,7 @@
     Fails,
 }
 
-/// One instance with its clock, its open fetches and the record of what it put in force.
+/// An instance under test with its clock, open fetches and recorded actions.
 pub struct Instance {
     pub now: Millis,
     pub started: u64,
@@ -147,7 +147,7 @@
         });
     }
 
-    /// Two other instances, heard now, with this revision in force.
+    /// Reports two other instances, heard from now, with this revision in force.
     pub fn members(&mut self, revision: u64) {
         let heard_at = Some(self.now);
         let view = |name: &str| PeerView {
@@ -188,7 +188,7 @@
         self.now < self.machine.serve_until()
     }
 
-    /// An instance with the last of `heads` in force.
+    /// Creates an instance with the last of `heads` in force.
     pub fn serving(heads: &[Arc<Head>]) -> Self {
         let mut instance = Self::start();
         let newest = heads.last().unwrap();
