--- a/policy/tests/config_parts.rs
+++ b/policy/tests/config_parts.rs
@@ -1,14 +1,16 @@
-//! Splitting a schema into parts and joining it again; commits and reading back.
+//! Splitting and joining schemas, commits, lost writes, lineage, watchers and garbage collection.
 
 use googletest::prelude::*;
 use jacinthweir_policy::config::commit::{
     Decision, MAX_LABEL_BYTES, MAX_SUMMARY, MAX_SUMMARY_CHARS, Proposal, ReadBack, decide,
-    label_fault, read_back,
+    label_error, read_back,
+};
+use jacinthweir_policy::config::garbage_collection::{deletable, unreferenced_parts};
+use jacinthweir_policy::config::lineage::{
+    HeadError, MAX_HISTORY, Relation, relation, validate_head,
 };
-use jacinthweir_policy::config::garbage::{deletable, needless};
-use jacinthweir_policy::config::lineage::{HeadFault, MAX_HISTORY, Relation, check_head, relation};
 use jacinthweir_policy::config::parts::{JoinError, MAX_PART_BYTES, PartText, join, split};
-use jacinthweir_policy::config::watch::{WATCHERS, watches};
+use jacinthweir_policy::config::watch::{WATCHER_COUNT, should_watch};
 use jacinthweir_policy::head::Head;
 use jacinthweir_policy::schema::{OrgDecl, Schema, diff, key};
 use jacinthweir_policy::time::Name;
@@ -82,7 +84,7 @@
 }
 
 #[gtest]
-fn altered_missing_and_unknown_parts_are_refused() {
+fn altered_and_missing_parts_are_rejected() {
     let parts = split(&schema(3, 10)).unwrap();
     let mut altered = parts.clone();
     altered[1].text = altered[1]
@@ -96,7 +98,7 @@
 }
 
 #[gtest]
-fn a_part_too_large_for_the_platform_is_refused_before_anything_is_written() {
+fn an_oversized_part_is_rejected_by_the_split() {
     let mut schema = schema(1, 1);
     schema.organisations[0].key_sha256 = vec!["0".repeat(64).into(); MAX_PART_BYTES / 60];
     expect_that!(
@@ -106,22 +108,22 @@
 }
 
 #[gtest]
-fn two_operators_race_and_one_gets_a_conflict() {
-    // Two operators plan against revision 1 and apply at the same time. The first commits
-    // revision 2; the second sees a conflict with revision 2 and nothing of its change lands.
+fn one_of_two_concurrent_commits_gets_a_conflict() {
+    // Two operators plan against revision 1 and apply concurrently. The first commits revision 2;
+    // the second must get a conflict and commit nothing.
     let first = committed(None, &proposal(0, "c1", 1));
     let second = committed(Some(&first), &proposal(1, "c2", 2));
     expect_that!(second.revision, eq(2));
-    let late = decide(Some(&second), &proposal(1, "c3", 3));
-    expect_that!(late, eq(&Decision::Conflict { standing: 2 }));
+    let conflicting = decide(Some(&second), &proposal(1, "c3", 3));
+    expect_that!(conflicting, eq(&Decision::Conflict { standing: 2 }));
 }
 
 #[gtest]
-fn asking_again_with_the_same_change_is_idempotent() {
+fn retrying_the_same_change_is_idempotent() {
     let first = committed(None, &proposal(0, "c1", 1));
     let second = committed(Some(&first), &proposal(1, "c2", 2));
     let again = decide(Some(&second), &proposal(0, "c1", 1));
-    expect_that!(again, eq(&Decision::Already { revision: 1 }));
+    expect_that!(again, eq(&Decision::AlreadyCommitted { revision: 1 }));
     let other = decide(Some(&second), &proposal(2, "c1", 3));
     expect_that!(other, eq(&Decision::ChangeReused { revision: 1 }));
     let same = decide(Some(&second), &proposal(1, "c9", 2));
@@ -146,20 +148,20 @@
         .map(|line| line.chars().count())
         .max();
     expect_that!(longest, some(le(MAX_SUMMARY_CHARS + 3)));
-    expect_that!(check_head(&head), ok(eq(())));
-    // Without its parts: the largest that operators can make a head's history.
+    expect_that!(validate_head(&head), ok(eq(())));
+    // The largest history, without parts, that operators can produce.
     let bytes = serde_json::to_string(&head.history).unwrap().len();
     expect_that!(bytes, lt(MAX_PART_BYTES / 10));
-    expect_that!(label_fault(&head.history[0].change), none());
+    expect_that!(label_error(&head.history[0].change), none());
 }
 
 #[gtest]
-fn a_lost_answer_is_read_back() {
+fn a_write_with_a_lost_answer_is_resolved() {
     let first = committed(None, &proposal(0, "c1", 1));
     let ours = committed(Some(&first), &proposal(1, "c2", 2));
     let theirs = committed(Some(&first), &proposal(1, "c3", 3));
     let after = committed(Some(&ours), &proposal(2, "c4", 4));
-    let untold = Head {
+    let truncated = Head {
         history: after.history[..1].to_vec(),
         ..after.clone()
     };
@@ -167,10 +169,10 @@
         (Some((&ours, 8)), ReadBack::Committed),
         (Some((&after, 9)), ReadBack::Committed),
         (Some((&first, 7)), ReadBack::Pending),
-        (Some((&theirs, 8)), ReadBack::Overtaken { standing: 2 }),
-        (Some((&untold, 9)), ReadBack::Untold),
-        (Some((&first, 6)), ReadBack::Untold),
-        (None, ReadBack::Untold),
+        (Some((&theirs, 8)), ReadBack::Superseded { standing: 2 }),
+        (Some((&truncated, 9)), ReadBack::Indeterminate),
+        (Some((&first, 6)), ReadBack::Indeterminate),
+        (None, ReadBack::Indeterminate),
     ];
     for (standing, wanted) in cases {
         expect_that!(read_back(&ours, 7, standing), eq(wanted));
@@ -179,7 +181,7 @@
 }
 
 #[gtest]
-fn a_head_of_another_history_is_told_apart() {
+fn a_diverged_head_is_detected() {
     let first = committed(None, &proposal(0, "c1", 1));
     let second = committed(Some(&first), &proposal(1, "c2", 2));
     let fork = committed(Some(&first), &proposal(1, "c3", 3));
@@ -193,7 +195,7 @@
 }
 
 #[gtest]
-fn a_head_that_contradicts_itself_is_refused() {
+fn an_inconsistent_head_is_rejected() {
     let head = committed(None, &proposal(0, "c1", 1));
     let other = committed(None, &proposal(0, "c1", 2));
     let cases = [
@@ -202,70 +204,76 @@
                 revision: 5,
                 ..head.clone()
             },
-            HeadFault::Revision,
+            HeadError::Revision,
         ),
         (
             Head {
                 history: vec![],
                 ..head.clone()
             },
-            HeadFault::Revision,
+            HeadError::Revision,
         ),
         (
             Head {
                 history: vec![head.history[0].clone(); 2],
                 ..head.clone()
             },
-            HeadFault::History,
+            HeadError::History,
         ),
         (
             Head {
                 parts: vec![],
                 ..head.clone()
             },
-            HeadFault::Parts,
+            HeadError::Parts,
         ),
         (
             Head {
                 parts: other.parts,
                 ..head.clone()
             },
-            HeadFault::Parts,
+            HeadError::Parts,
         ),
         (
             Head {
                 parts: vec![head.parts[0].clone(); 200],
                 ..head.clone()
             },
-            HeadFault::Parts,
+            HeadError::Parts,
         ),
     ];
     for (head, fault) in cases {
-        expect_that!(check_head(&head), err(eq(fault)));
+        expect_that!(validate_head(&head), err(eq(fault)));
     }
 }
 
 #[gtest]
-fn a_few_instances_watch_whatever_their_number() {
+fn the_number_of_watchers_does_not_grow_with_the_fleet() {
     for fleet in [1, 3, 6, 340] {
         let names: Vec<Name> = (0..fleet).map(|n| format!("i{n}").into()).collect();
-        let watching = names.iter().filter(|name| watches(name, &names)).count();
-        expect_that!(watching, eq(WATCHERS.min(fleet)));
+        let watching = names
+            .iter()
+            .filter(|name| should_watch(name, &names))
+            .count();
+        expect_that!(watching, eq(WATCHER_COUNT.min(fleet)));
     }
 }
 
 #[gtest]
-fn parts_of_a_commit_in_progress_are_never_needless() {
-    // Revision 2 stands at version 20. A commit in progress has written its part (version 21),
-    // which an earlier revision had used too. Deleting it would leave the next head with a part
-    // that nobody has, and every instance that joins later without a configuration.
+fn parts_of_a_commit_in_progress_are_never_deletable() {
+    // The head at revision 2 has version 20. A commit in progress has rewritten a part (version 21)
+    // that an earlier revision also used. Deleting it would leave the next head with a missing
+    // part, and every instance that joins later without a configuration.
     let first = committed(None, &proposal(0, "c1", 1));
     let second = committed(Some(&first), &proposal(1, "c2", 2));
     let (old, named) = (first.parts[1].hash.clone(), second.parts[1].hash.clone());
     let at = |version| [(old.clone(), version), (named.clone(), 15)].into_iter();
-    expect_that!(needless(&second, 20, at(21)), is_empty());
-    let found = needless(&second, 20, at(10));
+    expect_that!(unreferenced_parts(&second, 20, at(21)), is_empty());
+    let found = unreferenced_parts(&second, 20, at(10));
     expect_that!(found.keys().collect::<Vec<_>>(), eq(&vec![&old]));
-    expect_that!(deletable(&needless(&second, 20, at(9)), &found), is_empty());
+    expect_that!(
+        deletable(&unreferenced_parts(&second, 20, at(9)), &found),
+        is_empty()
+    );
     expect_that!(deletable(&found, &found), eq(&found));
 }
