--- a/policy/src/route/pick.rs
+++ b/policy/src/route/pick.rs
@@ -59,7 +59,7 @@
                 layers,
             });
         }
-        if let Some(chain) = self.sampled(rng).or_else(|| self.best_overall()) {
+        if let Some(chain) = self.best_sampled(rng).or_else(|| self.best_overall()) {
             let chain = self.prefer_cached(chain, rng);
             return Ok(self.plan.chains[chain].stages.clone());
         }
@@ -68,7 +68,7 @@
     }
 
     /// Returns the chain with the lowest pressure among a few sampled by planned rate.
-    fn sampled(&self, rng: &mut impl Rng) -> Option<usize> {
+    fn best_sampled(&self, rng: &mut impl Rng) -> Option<usize> {
         if self.plan.chains.is_empty() {
             return None;
         }
--- a/policy/src/route/plan.rs
+++ b/policy/src/route/plan.rs
@@ -49,7 +49,7 @@
     /// First contiguous range of layers that no open runner holds.
     pub uncovered: Option<LayerRange>,
     /// Number of chains generated while planning.
-    pub steps: usize,
+    pub generated_columns: usize,
     /// Mean number of stages of a route, weighted by planned rate.
     pub mean_stages: f64,
     /// Mean number of changes of failure domain on a route, weighted by planned rate.
@@ -99,7 +99,7 @@
     };
     for _ in 0..MAX_LINK_ROUNDS {
         let solution = Planner::new(&pool, &limited, max_rate).solve();
-        plan.steps += solution.steps;
+        plan.generated_columns += solution.generated_columns;
         plan.chains = solution.chains;
         let overloads = overloaded(fleet, &capacities, &plan.chains);
         if overloads.is_empty() {
--- a/policy/src/route/planner.rs
+++ b/policy/src/route/planner.rs
@@ -3,9 +3,9 @@
 //! The program maximises the total rate, less small charges for each change of runner and of
 //! failure domain. No runner gets more token-layers per second than its speed, and no limited link
 //! more tokens than its capacity. Each generated column ([`super::packing`]) is the chain that is
-//! cheapest at the current prices of runners and links ([`super::cheapest_chain`]). Generation stops
-//! when no chain improves the objective or at the limit of columns; the result is then a valid but
-//! possibly suboptimal plan.
+//! cheapest at the current prices of runners and links ([`super::cheapest_chain`]). Generation
+//! stops when no chain improves the objective enough or at the limit of columns; the result is then
+//! a valid but possibly suboptimal plan.
 
 use super::cheapest_chain::Prices;
 use super::packing::{ColumnUses, Packing};
@@ -33,7 +33,7 @@
     /// Chains with a non-zero rate.
     pub chains: Vec<Chain>,
     /// Number of columns generated.
-    pub steps: usize,
+    pub generated_columns: usize,
 }
 
 /// The linear program of one model.
@@ -67,8 +67,8 @@
     /// Generates columns until the gap is small enough or the limit of columns is reached.
     pub fn solve(mut self) -> Solution {
         let rows = self.packing.rows().max(1);
-        let steps = MAX_COLUMNS.min(MAX_PIVOT_WORK / (rows * rows));
-        while self.paths.len() < steps && self.generate_column() {}
+        let max_columns = MAX_COLUMNS.min(MAX_PIVOT_WORK / (rows * rows));
+        while self.paths.len() < max_columns && self.generate_column() {}
         let chain = |(i, rate): (usize, f64)| Chain {
             stages: self.stages(&self.paths[i]),
             tokens_per_s: rate * self.unit,
@@ -76,7 +76,7 @@
         let chains = self.packing.columns().into_iter().map(chain).collect();
         Solution {
             chains,
-            steps: self.paths.len(),
+            generated_columns: self.paths.len(),
         }
     }
 
