--- a/policy/tests/entry.rs
+++ b/policy/tests/entry.rs
@@ -7,7 +7,7 @@
 )]
 mod fleet;
 
-use fleet::{Fleet, Run, address, state};
+use fleet::{Fleet, ProcessState, address, state};
 use googletest::prelude::*;
 use jacinthweir_policy::entry::{EntryAnswer, EntryConfig, entry_answer};
 use jacinthweir_policy::member::{MemberState, Phase};
@@ -153,13 +153,13 @@
 fn only_instances_that_serve_are_named() {
     let mut fleet = Fleet::new(6, 1, 3, &Default::default());
     fleet.rounds(10);
-    fleet.nodes[1].membership.set_phase(Phase::Draining);
-    fleet.nodes[2].membership.set_phase(Phase::Gone);
-    fleet.nodes[3].run = Run::Dead;
+    fleet.instances[1].membership.set_phase(Phase::Draining);
+    fleet.instances[2].membership.set_phase(Phase::Gone);
+    fleet.instances[3].run = ProcessState::Dead;
     fleet.rounds(16);
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     for i in [0, 1, 4, 5] {
-        let live = fleet.nodes[i].membership.live();
+        let live = fleet.instances[i].membership.live();
         let answer = entry_answer(live, None, &EntryConfig::default(), &mut rng);
         let mut named: Vec<_> = answer.addresses.iter().map(|a| a.address).collect();
         named.sort();
--- a/policy/tests/membership.rs
+++ b/policy/tests/membership.rs
@@ -10,7 +10,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use fleet::{Fleet, Run};
+use fleet::{Fleet, ProcessState};
 use googletest::prelude::*;
 use jacinthweir_policy::listed::{ENTRY_GROUP, ListedInstance, ListedState};
 use jacinthweir_policy::member::Phase;
@@ -56,7 +56,7 @@
 fn a_dead_member_is_suspected_by_all() {
     for (count, limit) in [(6, 12), (340, 24)] {
         let mut fleet = Fleet::settled(count, 1, 7, 24);
-        fleet.nodes[3].run = Run::Dead;
+        fleet.instances[3].run = ProcessState::Dead;
         let rounds = rounds_until(&mut fleet, 100, |f| f.suspecting(3) == count - 1);
         println!("{count} instances: {rounds} rounds");
         expect_that!(rounds, le(limit));
@@ -69,10 +69,10 @@
 #[gtest]
 fn the_last_instance_suspects_without_confirmation() {
     let mut fleet = Fleet::settled(3, 1, 7, 10);
-    fleet.nodes[1].run = Run::Dead;
-    fleet.nodes[2].run = Run::Dead;
+    fleet.instances[1].run = ProcessState::Dead;
+    fleet.instances[2].run = ProcessState::Dead;
     fleet.rounds(20);
-    expect_that!(fleet.nodes[0].membership.live().count(), eq(1));
+    expect_that!(fleet.instances[0].membership.live().count(), eq(1));
 }
 
 // One message in twenty is lost for 200 rounds. A member that is suspected for it drops out of the
@@ -103,17 +103,17 @@
 #[gtest]
 fn a_woken_instance_suspects_nobody() {
     let mut fleet = Fleet::settled(6, 1, 7, 16);
-    fleet.nodes[2].run = Run::Frozen;
+    fleet.instances[2].run = ProcessState::Frozen;
     fleet.rounds(60);
     expect_that!(fleet.suspecting(2), eq(5));
-    fleet.nodes[2].run = Run::Up;
+    fleet.instances[2].run = ProcessState::Up;
     for _ in 0..12 {
         fleet.round();
         let suspects = (0..6).filter(|j| fleet.suspects(2, *j)).count();
         expect_that!(suspects, eq(0));
     }
     expect_that!(fleet.suspecting(2), eq(0));
-    expect_that!(fleet.nodes[2].membership.counts().woken, eq(1));
+    expect_that!(fleet.instances[2].membership.counts().woken, eq(1));
 }
 
 // A timer catches up on 20 ticks at once after a stall. They must not count as rounds: within
@@ -123,7 +123,7 @@
     let mut fleet = Fleet::settled(3, 1, 7, 10);
     let mut now = fleet.now;
     now.mono_ms += fleet.cfg.round_ms;
-    let membership = &mut fleet.nodes[0].membership;
+    let membership = &mut fleet.instances[0].membership;
     let round = membership.round();
     let mut rng: rand_chacha::ChaCha8Rng = rand::SeedableRng::seed_from_u64(1);
     for _ in 0..20 {
@@ -139,7 +139,7 @@
     let mut fleet = Fleet::settled(3, 1, 7, 10);
     let mut now = fleet.now;
     now.unix_ms += 60_000;
-    let membership = &mut fleet.nodes[0].membership;
+    let membership = &mut fleet.instances[0].membership;
     let round = membership.round();
     let state = membership.members().nth(1).unwrap().clone();
     let peer = jacinthweir_policy::membership::Peer {
@@ -158,14 +158,14 @@
 #[gtest]
 fn a_region_is_cut_and_healed() {
     let mut fleet = Fleet::settled(24, 3, 7, 16);
-    fleet.cut = Some(1);
+    fleet.partitioned_region = Some(1);
     fleet.rounds(40);
-    for (i, node) in fleet.nodes.iter().enumerate() {
+    for (i, node) in fleet.instances.iter().enumerate() {
         let side = if i % 3 == 1 { 8 } else { 16 };
         expect_that!(node.membership.live().count(), eq(side), "instance {i}");
     }
     fleet.rounds(80);
-    fleet.cut = None;
+    fleet.partitioned_region = None;
     let rounds = rounds_until(&mut fleet, 60, |f| f.wrongly_suspected() == 0);
     println!("healed after {rounds} rounds");
     expect_that!(rounds, le(20));
@@ -175,7 +175,7 @@
 #[gtest]
 fn a_restarted_instance_is_taken_in_again() {
     let mut fleet = Fleet::settled(6, 1, 7, 16);
-    fleet.nodes[4].run = Run::Dead;
+    fleet.instances[4].run = ProcessState::Dead;
     fleet.rounds(10);
     fleet.restart(4, 1);
     fleet.rounds(8);
@@ -188,13 +188,13 @@
 #[gtest]
 fn the_list_revives_nobody() {
     let mut fleet = Fleet::settled(6, 1, 7, 16);
-    let incarnation = fleet.nodes[3].membership.own().state.incarnation;
-    fleet.nodes[3].run = Run::Dead;
+    let incarnation = fleet.instances[3].membership.own().state.incarnation;
+    fleet.instances[3].run = ProcessState::Dead;
     fleet.rounds(12);
     let list = [listed(3, incarnation, ListedState::Live)];
     for _ in 0..10 {
         let now = fleet.now;
-        fleet.nodes[0].membership.listed(now, &list);
+        fleet.instances[0].membership.listed(now, &list);
         expect_that!(fleet.suspects(0, 3), eq(true));
         fleet.round();
         expect_that!(fleet.suspects(0, 3), eq(true));
@@ -206,10 +206,10 @@
 #[gtest]
 fn a_late_heartbeat_ends_no_suspicion() {
     let mut fleet = Fleet::settled(6, 1, 7, 16);
-    fleet.nodes[3].run = Run::Dead;
+    fleet.instances[3].run = ProcessState::Dead;
     fleet.rounds(12);
     let now = fleet.now;
-    let membership = &mut fleet.nodes[0].membership;
+    let membership = &mut fleet.instances[0].membership;
     let member = membership.member(&fleet::name(3)).unwrap();
     let Verdict::Suspected { floor, .. } = member.verdict else {
         panic!("{} is {}", member.state().name, member.verdict);
@@ -235,27 +235,27 @@
 #[gtest]
 fn listed_as_leaving_never_turns_back() {
     let mut fleet = Fleet::settled(3, 1, 7, 10);
-    let incarnation = fleet.nodes[1].membership.own().state.incarnation;
+    let incarnation = fleet.instances[1].membership.own().state.incarnation;
     for state in [ListedState::Leaving, ListedState::Live] {
         let now = fleet.now;
         let list = [listed(1, incarnation, state)];
-        fleet.nodes[0].membership.listed(now, &list);
+        fleet.instances[0].membership.listed(now, &list);
         fleet.rounds(3);
-        expect_that!(fleet.nodes[0].membership.live().count(), eq(2));
+        expect_that!(fleet.instances[0].membership.live().count(), eq(2));
     }
     fleet.restart(1, 0);
     fleet.rounds(6);
-    expect_that!(fleet.nodes[0].membership.live().count(), eq(3));
+    expect_that!(fleet.instances[0].membership.live().count(), eq(3));
 }
 
 #[gtest]
 fn a_phase_never_goes_back() {
     let mut fleet = Fleet::settled(3, 1, 7, 10);
-    let membership = &mut fleet.nodes[1].membership;
+    let membership = &mut fleet.instances[1].membership;
     membership.set_phase(Phase::Draining);
     membership.set_phase(Phase::Serving);
     fleet.rounds(6);
-    for node in &fleet.nodes {
+    for node in &fleet.instances {
         expect_that!(node.membership.live().count(), eq(2));
     }
 }
@@ -287,7 +287,7 @@
     fleet.meter = None;
     let most = observed * domains * outward * cfg.fanout;
     expect_that!(crossing.get(), le(most * 5 / 4));
-    fleet.nodes[3].run = Run::Dead;
+    fleet.instances[3].run = ProcessState::Dead;
     let rounds = rounds_until(&mut fleet, 100, |f| f.suspecting(3) == count - 1);
     expect_that!(rounds, le(20));
     expect_that!(fleet.wrongly_suspected(), eq(0));
--- a/policy/tests/support/fleet.rs
+++ b/policy/tests/support/fleet.rs
@@ -17,17 +17,17 @@
 
 /// State of an instance's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Run {
+pub enum ProcessState {
     Up,
     Frozen,
     Dead,
 }
 
 /// One instance.
-pub struct Node {
+pub struct Instance {
     pub membership: Membership,
     pub upstreams: Upstreams,
-    pub run: Run,
+    pub run: ProcessState,
 }
 
 /// Message between instances, as passed to a [`Meter`].
@@ -42,7 +42,7 @@
 pub type Meter = Box<dyn FnMut(usize, usize, &Message<'_>)>;
 
 pub struct Fleet {
-    pub nodes: Vec<Node>,
+    pub instances: Vec<Instance>,
     pub runners: Vec<Runner>,
     /// Number of runner polls so far.
     pub polls: usize,
@@ -51,7 +51,7 @@
     /// Probability that a message is lost.
     pub loss: f64,
     /// Region partitioned from all others.
-    pub cut: Option<usize>,
+    pub partitioned_region: Option<usize>,
     /// Instance partitioned from all other instances and all runners.
     pub isolated: Option<usize>,
     pub regions: usize,
@@ -102,7 +102,7 @@
             let (own, cfg) = (own(i), UpstreamsConfig::default());
             Upstreams::new(own.name, own.domain, cfg, now)
         };
-        let node = |i| Node {
+        let instance = |i| Instance {
             upstreams: upstreams(i),
             membership: Membership::new(
                 state(i, regions, START_MS),
@@ -110,16 +110,16 @@
                 cfg.clone(),
                 now,
             ),
-            run: Run::Up,
+            run: ProcessState::Up,
         };
         Fleet {
-            nodes: (0..count).map(node).collect(),
+            instances: (0..count).map(instance).collect(),
             runners: Vec::new(),
             polls: 0,
             cfg: cfg.clone(),
             now,
             loss: 0.0,
-            cut: None,
+            partitioned_region: None,
             isolated: None,
             regions,
             meter: None,
@@ -138,8 +138,8 @@
     pub fn restart(&mut self, i: usize, seed_address: usize) {
         let own = state(i, self.regions, self.now.unix_ms);
         let seeds = vec![address(seed_address)];
-        self.nodes[i].membership = Membership::new(own, seeds, self.cfg.clone(), self.now);
-        self.nodes[i].run = Run::Up;
+        self.instances[i].membership = Membership::new(own, seeds, self.cfg.clone(), self.now);
+        self.instances[i].run = ProcessState::Up;
     }
 
     pub fn rounds(&mut self, rounds: usize) {
@@ -151,15 +151,15 @@
     /// Runs one round: each running instance ticks once, in random order.
     pub fn round(&mut self) {
         let start = self.now;
-        let mut order: Vec<usize> = (0..self.nodes.len()).collect();
+        let mut order: Vec<usize> = (0..self.instances.len()).collect();
         order.shuffle(&mut self.rng);
         for (k, i) in order.into_iter().enumerate() {
-            let part = self.cfg.round_ms * k as u64 / self.nodes.len() as u64;
+            let part = self.cfg.round_ms * k as u64 / self.instances.len() as u64;
             self.now.mono_ms = start.mono_ms + part;
             self.now.unix_ms = start.unix_ms + part;
-            if self.nodes[i].run == Run::Up {
-                let actions = self.nodes[i].membership.tick(self.now, &mut self.rng);
-                self.carry_out(i, actions);
+            if self.instances[i].run == ProcessState::Up {
+                let actions = self.instances[i].membership.tick(self.now, &mut self.rng);
+                self.execute(i, actions);
                 self.poll(i);
             }
         }
@@ -167,7 +167,7 @@
         self.now.unix_ms = start.unix_ms + self.cfg.round_ms;
     }
 
-    pub fn carry_out(&mut self, i: usize, actions: Vec<Action>) {
+    pub fn execute(&mut self, i: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Exchange {
@@ -176,7 +176,7 @@
                     digest,
                 } => {
                     let more = self.exchange(i, &peer, round, &digest);
-                    self.carry_out(i, more);
+                    self.execute(i, more);
                 }
                 Action::Probe {
                     via,
@@ -196,28 +196,30 @@
     ) -> Vec<Action> {
         let now = self.now;
         let j = index(peer);
-        let from = self.nodes[i].membership.own().state.name.clone();
+        let from = self.instances[i].membership.own().state.name.clone();
         self.count(i, j, &Message::Digest(digest));
         let mut answer = None;
         if self.delivered(i, j) {
-            let delta = self.nodes[j].membership.receive_digest(now, &from, digest);
+            let delta = self.instances[j]
+                .membership
+                .receive_digest(now, &from, digest);
             self.count(j, i, &Message::Delta(&delta));
             answer = Some(delta).filter(|_| self.delivered(j, i));
         }
         let Some(delta) = answer else {
             let rng = &mut self.rng;
-            return self.nodes[i]
+            return self.instances[i]
                 .membership
                 .exchange_failed(now, peer, round, rng);
         };
-        let to = self.nodes[j].membership.own().state.name.clone();
-        let push = self.nodes[i]
+        let to = self.instances[j].membership.own().state.name.clone();
+        let push = self.instances[i]
             .membership
             .receive_answer(now, now.mono_ms, &to, &delta);
         if let Some(push) = push {
             self.count(i, j, &Message::Delta(&push));
             if self.delivered(i, j) {
-                self.nodes[j].membership.receive_push(now, &from, &push);
+                self.instances[j].membership.receive_push(now, &from, &push);
             }
         }
         if !self.runners.is_empty() {
@@ -231,7 +233,7 @@
         let outcome = if !self.delivered(i, j) {
             ProbeOutcome::NoAnswer
         } else if self.delivered(j, k) && self.delivered(k, j) {
-            ProbeOutcome::Reached(self.nodes[k].membership.own().clone())
+            ProbeOutcome::Reached(self.instances[k].membership.own().clone())
         } else {
             ProbeOutcome::NotReached
         };
@@ -242,7 +244,7 @@
             ProbeOutcome::NoAnswer
         };
         let names = (name(k).into(), name(j).into());
-        let membership = &mut self.nodes[i].membership;
+        let membership = &mut self.instances[i].membership;
         membership.probe_result(self.now, &names.0, &names.1, round, &outcome);
     }
 
@@ -252,14 +254,14 @@
         self.connected(from, to)
             && !isolated
             && !lost
-            && self.nodes[to].run == Run::Up
-            && self.nodes[from].run == Run::Up
+            && self.instances[to].run == ProcessState::Up
+            && self.instances[from].run == ProcessState::Up
     }
 
     /// Returns whether the regions of two instances are not partitioned from each other.
     fn connected(&self, from: usize, to: usize) -> bool {
         let (a, b) = (from % self.regions, to % self.regions);
-        self.cut.is_none_or(|r| (a == r) == (b == r))
+        self.partitioned_region.is_none_or(|r| (a == r) == (b == r))
     }
 
     fn domain(&self, i: usize) -> Name {
@@ -274,39 +276,40 @@
 
     /// Returns the number of pairs of running instances of which the first suspects the second.
     pub fn wrongly_suspected(&self) -> usize {
-        let up = |i: usize| self.nodes[i].run == Run::Up;
-        let pairs = (0..self.nodes.len()).filter(|i| up(*i));
-        let of = |i: usize| (0..self.nodes.len()).filter(move |j| up(*j) && self.suspects(i, *j));
+        let up = |i: usize| self.instances[i].run == ProcessState::Up;
+        let pairs = (0..self.instances.len()).filter(|i| up(*i));
+        let of =
+            |i: usize| (0..self.instances.len()).filter(move |j| up(*j) && self.suspects(i, *j));
         pairs.map(|i| of(i).count()).sum()
     }
 
     pub fn suspects(&self, i: usize, j: usize) -> bool {
-        let member = self.nodes[i].membership.member(&name(j));
+        let member = self.instances[i].membership.member(&name(j));
         member.is_some_and(Member::suspected)
     }
 
     /// Returns the number of running instances that suspect `j`.
     pub fn suspecting(&self, j: usize) -> usize {
-        let up = |i: &usize| self.nodes[*i].run == Run::Up;
-        let all = (0..self.nodes.len()).filter(up);
+        let up = |i: &usize| self.instances[*i].run == ProcessState::Up;
+        let all = (0..self.instances.len()).filter(up);
         all.filter(|i| self.suspects(*i, j)).count()
     }
 
     /// Returns the number of members known, summed over the running instances.
     pub fn known(&self) -> usize {
-        let up = self.nodes.iter().filter(|n| n.run == Run::Up);
+        let up = self.instances.iter().filter(|n| n.run == ProcessState::Up);
         up.map(|n| n.membership.members().count()).sum()
     }
 
     /// Returns the number of suspicions raised by the instances themselves, confirmed or not.
     pub fn suspicions(&self) -> u64 {
-        let counts = self.nodes.iter().map(|n| n.membership.counts());
+        let counts = self.instances.iter().map(|n| n.membership.counts());
         counts.map(|c| c.suspicions + c.unconfirmed).sum()
     }
 
     /// Returns the total number of false alarms counted by all instances.
     pub fn false_alarms(&self) -> u64 {
-        let counts = self.nodes.iter().map(|n| n.membership.counts());
+        let counts = self.instances.iter().map(|n| n.membership.counts());
         counts.map(|c| c.false_alarms).sum()
     }
 }
--- a/policy/tests/support/runners.rs
+++ b/policy/tests/support/runners.rs
@@ -1,6 +1,6 @@
 //! Model runners in memory, as the instances of a fleet observe them.
 
-use super::{Fleet, Message, Run, START_MS, name};
+use super::{Fleet, Message, ProcessState, START_MS, name};
 use jacinthweir_policy::layers::LayerRange;
 use jacinthweir_policy::listed::{ListedInstance, ListedState};
 use jacinthweir_policy::load::{HeldLayers, LoadReport};
@@ -14,7 +14,7 @@
 
 /// One runner.
 pub struct Runner {
-    pub run: Run,
+    pub run: ProcessState,
     pub incarnation: u64,
     pub leaving: bool,
     /// Instances that can't reach it over a broken link.
@@ -40,7 +40,7 @@
     /// Adds runners, spread over the regions, that every instance has read in the list.
     pub fn add_runners(&mut self, count: usize) {
         let runner = |_| Runner {
-            run: Run::Up,
+            run: ProcessState::Up,
             incarnation: START_MS,
             leaving: false,
             hidden_from: Vec::new(),
@@ -48,7 +48,7 @@
             number: 0,
         };
         self.runners = (0..count).map(runner).collect();
-        for i in 0..self.nodes.len() {
+        for i in 0..self.instances.len() {
             self.read_list(i);
         }
     }
@@ -68,7 +68,7 @@
 
     pub fn read_list(&mut self, i: usize) {
         let list = self.list();
-        let upstreams = &mut self.nodes[i].upstreams;
+        let upstreams = &mut self.instances[i].upstreams;
         let kind = match self.runners.iter().any(|r| r.plain) {
             true => PollKind::Connect,
             false => PollKind::Load,
@@ -79,12 +79,12 @@
 
     /// Instance `i` polls what it is an observer of.
     pub fn poll(&mut self, i: usize) {
-        let node = &mut self.nodes[i];
+        let node = &mut self.instances[i];
         node.upstreams.set_live(node.membership.live());
         for poll in node.upstreams.to_poll(self.now) {
             self.polls += 1;
             let outcome = self.poll_outcome(i, &poll.name);
-            let upstreams = &mut self.nodes[i].upstreams;
+            let upstreams = &mut self.instances[i].upstreams;
             let confirms = upstreams.polled(self.now, &poll, &outcome);
             for confirm in confirms {
                 self.confirm(i, &confirm);
@@ -98,7 +98,7 @@
             Some(j) => ConfirmOutcome::Polled(self.poll_outcome(j, &confirm.name)),
             None => ConfirmOutcome::NoAnswer,
         };
-        self.nodes[i]
+        self.instances[i]
             .upstreams
             .confirmed(self.now, confirm, &outcome);
     }
@@ -107,7 +107,7 @@
         let r = number_in(runner);
         let near = self.connected(i, r) && self.isolated != Some(i);
         let runner = &mut self.runners[r];
-        if runner.run != Run::Up || runner.hidden_from.contains(&i) || !near {
+        if runner.run != ProcessState::Up || runner.hidden_from.contains(&i) || !near {
             return PollOutcome::Failed;
         }
         if runner.plain {
@@ -125,27 +125,29 @@
     /// The upstreams' part of an exchange; messages are delivered with those of the members.
     pub fn exchange_upstreams(&mut self, i: usize, j: usize, salt: u32) {
         let now = self.now;
-        let domain = self.nodes[i].membership.member(&name(j));
+        let domain = self.instances[i].membership.member(&name(j));
         let domain = domain.map(|m| m.state().domain.clone());
-        let digest = self.nodes[i].upstreams.digest(now, salt, domain.as_deref());
+        let digest = self.instances[i]
+            .upstreams
+            .digest(now, salt, domain.as_deref());
         self.count(i, j, &Message::UpstreamDigest(&digest));
-        let delta = self.nodes[j].upstreams.receive_digest(now, &digest);
+        let delta = self.instances[j].upstreams.receive_digest(now, &digest);
         self.count(j, i, &Message::UpstreamDelta(&delta));
-        let push = self.nodes[i].upstreams.receive_delta(now, &delta);
+        let push = self.instances[i].upstreams.receive_delta(now, &delta);
         let Some(push) = push else {
             return;
         };
         self.count(i, j, &Message::UpstreamDelta(&push));
-        let back = self.nodes[j].upstreams.receive_delta(now, &push);
+        let back = self.instances[j].upstreams.receive_delta(now, &push);
         if let Some(back) = back {
             self.count(j, i, &Message::UpstreamDelta(&back));
-            self.nodes[i].upstreams.receive_delta(now, &back);
+            self.instances[i].upstreams.receive_delta(now, &back);
         }
     }
 
     /// How many running instances see runner `r` so.
     pub fn seeing(&self, r: usize, wanted: Availability) -> usize {
-        let up = self.nodes.iter().filter(|n| n.run == Run::Up);
+        let up = self.instances.iter().filter(|n| n.run == ProcessState::Up);
         let of = |u: &Upstreams| u.get(&runner_name(r)).map(|x| u.availability(x));
         up.filter(|n| of(&n.upstreams) == Some(wanted)).count()
     }
--- a/policy/tests/upstreams.rs
+++ b/policy/tests/upstreams.rs
@@ -8,7 +8,7 @@
 mod fleet;
 
 use fleet::runners::runner_name;
-use fleet::{Fleet, Run};
+use fleet::{Fleet, ProcessState};
 use googletest::prelude::*;
 use jacinthweir_policy::membership::MembershipConfig;
 use jacinthweir_policy::upstreams::Availability;
@@ -39,7 +39,7 @@
     expect_that!(fleet.polls, eq(10 * 43 * 3));
     for r in 0..43 {
         expect_that!(fleet.seeing(r, Availability::Open), eq(6));
-        for node in &fleet.nodes {
+        for node in &fleet.instances {
             let upstream = node.upstreams.get(&runner_name(r)).unwrap();
             expect_that!(upstream.record.profile, some(anything()));
             expect_that!(upstream.load, some(anything()));
@@ -73,13 +73,13 @@
 #[gtest]
 fn a_dead_runner_is_suspected_and_comes_back() {
     let mut fleet = fleet_of(6, 1, 8);
-    fleet.runners[2].run = Run::Dead;
+    fleet.runners[2].run = ProcessState::Dead;
     let rounds = rounds_until(&mut fleet, 20, |f| {
         f.seeing(2, Availability::Suspected) == 6
     });
     println!("dead runner suspected by all after {rounds} rounds");
     expect_that!(rounds, le(8));
-    fleet.runners[2].run = Run::Up;
+    fleet.runners[2].run = ProcessState::Up;
     fleet.runners[2].incarnation += 1;
     let rounds = rounds_until(&mut fleet, 20, |f| f.seeing(2, Availability::Open) == 6);
     expect_that!(rounds, le(8));
@@ -90,7 +90,7 @@
 #[gtest]
 fn a_broken_link_of_one_instance_closes_nothing() {
     let mut fleet = fleet_of(6, 1, 8);
-    let row = fleet.nodes[0].upstreams.dump(0).rows[5].clone();
+    let row = fleet.instances[0].upstreams.dump(0).rows[5].clone();
     let observer = (0..6).find(|i| *fleet::name(*i) == *row.observers[0]);
     fleet.runners[5].hidden_from = vec![observer.unwrap()];
     fleet.rounds(30);
@@ -107,14 +107,14 @@
     (0..6).for_each(|i| fleet.read_list(i));
     fleet.rounds(8);
     expect_that!(fleet.seeing(5, Availability::Open), eq(6));
-    let row = fleet.nodes[0].upstreams.dump(0).rows[5].clone();
+    let row = fleet.instances[0].upstreams.dump(0).rows[5].clone();
     let observer = (0..6).find(|i| *fleet::name(*i) == *row.observers[0]);
     fleet.runners[5].hidden_from = vec![observer.unwrap()];
     for _ in 0..30 {
         fleet.round();
         expect_that!(fleet.seeing(5, Availability::Suspected), eq(0));
     }
-    fleet.runners[5].run = Run::Dead;
+    fleet.runners[5].run = ProcessState::Dead;
     let rounds = rounds_until(&mut fleet, 20, |f| {
         f.seeing(5, Availability::Suspected) == 6
     });
@@ -152,12 +152,12 @@
 #[gtest]
 fn a_woken_instance_uses_no_runner_before_it_heard_of_it() {
     let mut fleet = fleet_of(6, 1, 8);
-    fleet.nodes[1].run = Run::Frozen;
+    fleet.instances[1].run = ProcessState::Frozen;
     fleet.runners[3].leaving = true;
     fleet.rounds(20);
     let now = fleet.now;
-    let node = &mut fleet.nodes[1];
-    node.run = Run::Up;
+    let node = &mut fleet.instances[1];
+    node.run = ProcessState::Up;
     node.upstreams.to_poll(now);
     for upstream in node.upstreams.all() {
         expect_that!(
@@ -175,10 +175,10 @@
     let mut fleet = fleet_of(1, 1, 2);
     let now = fleet.now;
     for _ in 0..3 {
-        fleet.nodes[0].upstreams.listed(now, &[]);
+        fleet.instances[0].upstreams.listed(now, &[]);
     }
     expect_that!(fleet.seeing(0, Availability::Open), eq(1));
-    fleet.runners[0].run = Run::Dead;
+    fleet.runners[0].run = ProcessState::Dead;
     fleet.round();
     expect_that!(fleet.seeing(0, Availability::Unlisted), eq(1));
 }
--- a/testkit/examples/measure_membership.rs
+++ b/testkit/examples/measure_membership.rs
@@ -13,7 +13,7 @@
 mod fleet;
 
 use argh::FromArgs;
-use fleet::{Fleet, Message, Run};
+use fleet::{Fleet, Message, ProcessState};
 use jacinthweir_policy::membership::MembershipConfig;
 use jacinthweir_policy::region::region_of;
 use jacinthweir_policy::upstreams::Availability;
@@ -174,7 +174,7 @@
 /// Mean age of the loads of runners in the own region, over all instances.
 fn load_age_s(fleet: &Fleet) -> f64 {
     let mut ages = Vec::new();
-    for node in &fleet.nodes {
+    for node in &fleet.instances {
         let region = region_of(&node.membership.own().state.domain);
         let near = node.upstreams.all();
         let near = near.filter(|u| region_of(&u.listed().domain) == region);
@@ -246,7 +246,7 @@
     for seed in 1..=seeds {
         let mut fleet = fleet_of(row, seed);
         let others = row.instances - 1;
-        fleet.nodes[3].run = Run::Dead;
+        fleet.instances[3].run = ProcessState::Dead;
         let first = rounds_until(&mut fleet, |f| f.suspecting(3) > 0);
         let rest = rounds_until(&mut fleet, |f| f.suspecting(3) == others);
         times[0].push(first);
@@ -254,7 +254,7 @@
         fleet.runners[7].leaving = true;
         let leaving = |f: &Fleet| f.seeing(7, Availability::Leaving) == others;
         times[2].push(rounds_until(&mut fleet, leaving));
-        fleet.runners[9].run = Run::Dead;
+        fleet.runners[9].run = ProcessState::Dead;
         let dead = |f: &Fleet| f.seeing(9, Availability::Suspected) == others;
         times[3].push(rounds_until(&mut fleet, dead));
     }
