--- a/plugins/callers/src/attempt.rs
+++ b/plugins/callers/src/attempt.rs
@@ -50,7 +50,7 @@
     ///
     /// The attempt is in the journal as handed over before the first byte may go out.
     pub(crate) async fn attempt(&mut self, number: u32, route: &Route) -> AttemptEnd {
-        let handed = Event::Handed {
+        let handed = Event::Dispatched {
             attempt: number,
             upstream: describe(route),
         };
--- a/plugins/callers/src/driver.rs
+++ b/plugins/callers/src/driver.rs
@@ -8,7 +8,7 @@
 use jacinthweir_kernel::records::{Entry, EntryMeta, Running};
 use jacinthweir_kernel::reply::Refusal;
 use jacinthweir_policy::admission::{self, Work};
-use jacinthweir_policy::journal::{End, Event, Journal, Repeat};
+use jacinthweir_policy::journal::{End, Event, Idempotency, Journal};
 use jacinthweir_policy::retry::{AttemptFailure, Decision, GiveUp};
 use jacinthweir_policy::route::{Route, RouteRequest};
 use jacinthweir_wire::caller::ErrorCode;
@@ -75,7 +75,7 @@
         accepted: Accepted,
     ) -> (AnswerHead, mpsc::Receiver<Told>) {
         let id = cx.new_request_id();
-        let journal = Journal::open(id.clone(), Repeat::Idempotent, cx.clock.unix_ms());
+        let journal = Journal::open(id.clone(), Idempotency::Idempotent, cx.clock.unix_ms());
         let meta = EntryMeta {
             instance: cx.settings.name.clone(),
             organisation: accepted.caller.organisation.clone(),
@@ -110,7 +110,7 @@
         fault_point::reach(Step::Received).await;
         let served = self.serve().await;
         let end = match &served {
-            Ok(_) => End::Whole,
+            Ok(_) => End::Complete,
             Err(stop) => {
                 self.note_stop(stop);
                 End::GivenUp
--- a/plugins/services/src/accept.rs
+++ b/plugins/services/src/accept.rs
@@ -7,7 +7,7 @@
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_kernel::reply::Refusal;
 use jacinthweir_policy::claim::ClaimKey;
-use jacinthweir_policy::journal::Repeat;
+use jacinthweir_policy::journal::Idempotency;
 use jacinthweir_policy::schema::CallDecl;
 use jacinthweir_wire::caller::ErrorCode;
 use jacinthweir_wire::header;
@@ -21,7 +21,7 @@
     pub(crate) service_name: Name,
     /// Call's name.
     pub(crate) call: Name,
-    pub(crate) repeat: Repeat,
+    pub(crate) repeat: Idempotency,
     /// Caller's idempotency key.
     pub(crate) key: Option<ClaimKey>,
     pub(crate) content_type: Option<String>,
@@ -50,8 +50,8 @@
     let (service, decl) = find(&config, &service_name, &call)?;
     let deadline_ms = caller.deadline_ms.unwrap_or(decl.default_deadline_ms);
     let repeat = match decl.idempotent {
-        true => Repeat::Idempotent,
-        false => Repeat::NonIdempotent,
+        true => Idempotency::Idempotent,
+        false => Idempotency::NonIdempotent,
     };
     let key = key(&caller, req)?;
     let content_type = content_type(req);
--- a/plugins/services/src/dispatch.rs
+++ b/plugins/services/src/dispatch.rs
@@ -7,7 +7,7 @@
 use jacinthweir_clients::service::{ServiceAnswer, ServiceCall};
 use jacinthweir_kernel::fault_point::Step;
 use jacinthweir_kernel::prelude::*;
-use jacinthweir_policy::journal::{Event, Repeat};
+use jacinthweir_policy::journal::{Event, Idempotency};
 use jacinthweir_policy::listed::ListedInstance;
 use jacinthweir_policy::retry::{self, AttemptFailure, Decision, GiveUp, TimeLeft};
 use jacinthweir_policy::schema::compiled::GroupServes;
@@ -98,7 +98,7 @@
 
     /// Makes one attempt.
     async fn attempt(&mut self, attempt: u32, upstream: &ListedInstance) -> AttemptEnd {
-        let handed = Event::Handed {
+        let handed = Event::Dispatched {
             attempt,
             upstream: upstream.name.clone(),
         };
@@ -184,17 +184,17 @@
                     .come_back(None)
             }
             AttemptFailure::BrokenOff => match (self.accepted.repeat, self.remaining_ms()) {
-                (Repeat::NonIdempotent, _) => {
+                (Idempotency::NonIdempotent, _) => {
                     let instance = &self.cx.settings.name;
                     let msg = format!(
                         "{instance} sent the call to {upstream} and its answer is lost: {cause}"
                     );
                     NoReply::new(ErrorCode::OutcomeUnknown, msg)
                 }
-                (Repeat::Idempotent, 0) => {
+                (Idempotency::Idempotent, 0) => {
                     NoReply::new(ErrorCode::DeadlineExceeded, "the deadline passed")
                 }
-                (Repeat::Idempotent, _) => {
+                (Idempotency::Idempotent, _) => {
                     let msg = format!("the answer of {upstream} is lost: {cause}");
                     NoReply::new(ErrorCode::UpstreamFailed, msg)
                 }
--- a/plugins/services/src/driver.rs
+++ b/plugins/services/src/driver.rs
@@ -6,7 +6,7 @@
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_kernel::records::{Entry, EntryMeta, Running};
 use jacinthweir_policy::claim::{ClaimConfig, MAX_DEADLINE_MS};
-use jacinthweir_policy::journal::{End, Event, Journal, Repeat};
+use jacinthweir_policy::journal::{End, Event, Idempotency, Journal};
 use tokio::sync::oneshot;
 
 use crate::accept::Accepted;
@@ -71,7 +71,7 @@
         fault_point::reach(Step::CallReceived).await;
         let key = self.accepted.key.clone();
         match (self.accepted.repeat, key) {
-            (Repeat::NonIdempotent, Some(key)) => self.run_claimed(key).await,
+            (Idempotency::NonIdempotent, Some(key)) => self.run_claimed(key).await,
             _ => {
                 let sent = self.dispatch().await;
                 self.tell_sent(&sent);
@@ -97,7 +97,7 @@
             self.running.note(Event::Refused { code });
         }
         let end = match told {
-            Ok(_) => End::Whole,
+            Ok(_) => End::Complete,
             Err(_) => End::GivenUp,
         };
         let outcome = self.running.close(end);
--- a/policy/src/journal.rs
+++ b/policy/src/journal.rs
@@ -1,7 +1,7 @@
 //! The journal of one request: what happened to it, and the one place that decides its outcome.
 //!
 //! Each step is recorded with [`Journal::record`], which checks it against what came before and
-//! names the violation where it does not fit. [`Event::Handed`] is recorded *before* the first
+//! names the violation where it does not fit. [`Event::Dispatched`] is recorded *before* the first
 //! byte may go to an upstream; if it is refused, nothing may be sent. From then on the right to
 //! say "not run" is gone, and only two events give it back for that attempt: the upstream's own
 //! refusal, and a connection that was never opened.
@@ -33,7 +33,7 @@
 
 /// Whether work may run more than once.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// May run again: a second run has the same effect as the first.
     #[display("idempotent")]
     Idempotent,
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// The driver holds, or has passed on, an answer that it takes for whole.
-    Whole,
+    Complete,
     /// The driver gives up, for whatever cause.
     GivenUp,
 }
@@ -56,7 +56,7 @@
 pub enum AttemptState {
     /// Handed to an upstream; nothing is known to the contrary, so it may run.
     #[display("handed")]
-    Handed,
+    Dispatched,
     /// Its connection was never opened: no byte left this instance.
     #[display("never sent")]
     NeverSent,
@@ -89,10 +89,10 @@
 #[derive(Clone, Debug)]
 pub struct Journal {
     request: Name,
-    repeat: Repeat,
+    idempotency: Idempotency,
     attempts: Vec<Attempt>,
     tokens: u32,
-    tokens_at_hand_over: u32,
+    tokens_at_dispatch: u32,
     recorded: Option<Outcome>,
     closed: Option<Outcome>,
     dropped_frames: u32,
@@ -102,13 +102,13 @@
 
 impl Journal {
     /// Opens the journal of a request that has just been received, at Unix time `at_ms`.
-    pub fn open(request: Name, repeat: Repeat, at_ms: Millis) -> Self {
+    pub fn open(request: Name, idempotency: Idempotency, at_ms: Millis) -> Self {
         let mut journal = Self {
             request,
-            repeat,
+            idempotency,
             attempts: Vec::new(),
             tokens: 0,
-            tokens_at_hand_over: 0,
+            tokens_at_dispatch: 0,
             recorded: None,
             closed: None,
             dropped_frames: 0,
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     ///
-    /// The violated invariant; the event is then not taken in. A refused [`Event::Handed`] means
+    /// The violated invariant; the event is then not taken in. A refused [`Event::Dispatched`] means
     /// that nothing may be sent.
     pub fn record(&mut self, at_ms: Millis, event: Event) -> Result<(), Fault> {
         self.check(&event)?;
@@ -144,17 +144,17 @@
         if self.nothing_ran() {
             return Outcome::NotRun;
         }
-        if end == End::Whole && self.has_ended() {
+        if end == End::Complete && self.has_ended() {
             return Outcome::Answered;
         }
-        match self.repeat {
-            Repeat::Idempotent => Outcome::Failed,
-            Repeat::NonIdempotent if self.may_have_run_unseen() => Outcome::Unknown,
-            Repeat::NonIdempotent => Outcome::Failed,
+        match self.idempotency {
+            Idempotency::Idempotent => Outcome::Failed,
+            Idempotency::NonIdempotent if self.has_unknown_result() => Outcome::Unknown,
+            Idempotency::NonIdempotent => Outcome::Failed,
         }
     }
 
-    /// Decides the outcome and closes the journal with it: from here on [`Event::Handed`] is
+    /// Decides the outcome and closes the journal with it: from here on [`Event::Dispatched`] is
     /// refused, so that a "not run" that was told can't become untrue.
     pub fn close(&mut self, at_ms: Millis, end: End) -> Outcome {
         let outcome = self.outcome(end);
@@ -171,8 +171,8 @@
     }
 
     /// Whether the work may run more than once.
-    pub fn repeat(&self) -> Repeat {
-        self.repeat
+    pub fn idempotency(&self) -> Idempotency {
+        self.idempotency
     }
 
     /// Number of tokens that the caller has: where a new attempt resumes.
@@ -225,10 +225,10 @@
     }
 
     /// Whether an attempt may have run without its result being known here.
-    fn may_have_run_unseen(&self) -> bool {
+    fn has_unknown_result(&self) -> bool {
         self.attempts
             .iter()
-            .any(|a| matches!(a.state, AttemptState::Handed | AttemptState::Lost))
+            .any(|a| matches!(a.state, AttemptState::Dispatched | AttemptState::Lost))
     }
 
     fn attempt(&self, number: u32) -> Option<&Attempt> {
@@ -237,13 +237,13 @@
 
     fn apply(&mut self, event: &Event) {
         match event {
-            Event::Handed { attempt, upstream } => self.hand_over(*attempt, upstream),
-            Event::NeverSent { attempt } => self.settle(*attempt, AttemptState::NeverSent),
-            Event::RefusedByUpstream { attempt } => self.settle(*attempt, AttemptState::Refused),
+            Event::Dispatched { attempt, upstream } => self.dispatch(*attempt, upstream),
+            Event::NeverSent { attempt } => self.set_state(*attempt, AttemptState::NeverSent),
+            Event::RefusedByUpstream { attempt } => self.set_state(*attempt, AttemptState::Refused),
             Event::Token { .. } => self.tokens += 1,
-            Event::Ended { attempt, .. } => self.settle(*attempt, AttemptState::Ended),
-            Event::Broken { attempt, .. } => self.settle(*attempt, AttemptState::Broken),
-            Event::Lost { attempt, .. } => self.settle(*attempt, AttemptState::Lost),
+            Event::Ended { attempt, .. } => self.set_state(*attempt, AttemptState::Ended),
+            Event::Broken { attempt, .. } => self.set_state(*attempt, AttemptState::Broken),
+            Event::Lost { attempt, .. } => self.set_state(*attempt, AttemptState::Lost),
             Event::Recorded { outcome } => self.recorded = Some(*outcome),
             Event::Closed { outcome } => self.closed = Some(*outcome),
             Event::Received
@@ -256,16 +256,16 @@
         }
     }
 
-    fn hand_over(&mut self, number: u32, upstream: &Name) {
-        self.tokens_at_hand_over = self.tokens;
+    fn dispatch(&mut self, number: u32, upstream: &Name) {
+        self.tokens_at_dispatch = self.tokens;
         self.attempts.push(Attempt {
             number,
             upstream: upstream.clone(),
-            state: AttemptState::Handed,
+            state: AttemptState::Dispatched,
         });
     }
 
-    fn settle(&mut self, number: u32, state: AttemptState) {
+    fn set_state(&mut self, number: u32, state: AttemptState) {
         if let Some(attempt) = self.attempts.iter_mut().find(|a| a.number == number) {
             attempt.state = state;
         }
--- a/policy/src/journal/event.rs
+++ b/policy/src/journal/event.rs
@@ -20,7 +20,7 @@
     Claimed,
     /// An attempt goes to an upstream: recorded before the first byte may be sent.
     #[display("attempt {attempt} handed to {upstream}")]
-    Handed {
+    Dispatched {
         /// Attempt number.
         attempt: u32,
         /// Upstream's name.
@@ -52,7 +52,7 @@
         index: u32,
     },
     /// The upstream gave the end of the answer.
-    #[display("attempt {attempt} ended{}", in_all(*tokens))]
+    #[display("attempt {attempt} ended{}", total_tokens_suffix(*tokens))]
     Ended {
         /// Attempt number.
         attempt: u32,
@@ -112,7 +112,7 @@
 }
 
 /// Tokens of a whole answer; nothing for a plain service, which has none.
-fn in_all(tokens: u32) -> String {
+fn total_tokens_suffix(tokens: u32) -> String {
     match tokens {
         0 => String::new(),
         n => format!(" with {n} tokens in all"),
--- a/policy/src/journal/frame.rs
+++ b/policy/src/journal/frame.rs
@@ -35,7 +35,7 @@
     OtherRequest,
     /// Its attempt was never handed over.
     #[display("attempt not handed")]
-    NotHanded,
+    NotDispatched,
     /// A newer attempt was handed over since.
     #[display("stale attempt")]
     StaleAttempt,
@@ -95,8 +95,8 @@
             return Some(DropReason::StaleAttempt);
         }
         match self.attempt(frame.attempt).map(|a| a.state) {
-            None => Some(DropReason::NotHanded),
-            Some(AttemptState::Handed) => None,
+            None => Some(DropReason::NotDispatched),
+            Some(AttemptState::Dispatched) => None,
             Some(_) => Some(DropReason::AttemptOver),
         }
     }
--- a/policy/src/journal/verify.rs
+++ b/policy/src/journal/verify.rs
@@ -1,6 +1,6 @@
 //! Checks each event against the ones before it and names the one at fault.
 
-use super::{AttemptState, Event, Journal, MAX_ATTEMPTS, Repeat};
+use super::{AttemptState, Event, Idempotency, Journal, MAX_ATTEMPTS};
 use crate::prelude::*;
 use derive_more::{Display, Error};
 
@@ -9,7 +9,7 @@
 pub enum Fault {
     /// The attempt's number is not greater than the ones handed over before.
     #[display("attempt {attempt} handed over twice or out of order")]
-    HandedTwice {
+    DispatchedTwice {
         /// Attempt number.
         attempt: u32,
     },
@@ -27,7 +27,7 @@
     },
     /// Handed over after an attempt gave the end of the answer.
     #[display("attempt {attempt} handed over after the answer had ended")]
-    HandedAfterEnd {
+    DispatchedAfterEnd {
         /// Attempt number.
         attempt: u32,
     },
@@ -39,7 +39,7 @@
     },
     /// The event concerns an attempt that was never handed over.
     #[display("attempt {attempt} was never handed over")]
-    NeverHanded {
+    NeverDispatched {
         /// Attempt number.
         attempt: u32,
     },
@@ -88,7 +88,7 @@
     /// An earlier submission's outcome taken for a request that was handed over itself, or the
     /// other way round: one of the two outcomes would be lost.
     #[display("both handed over and answered from a claim's record")]
-    RecordedAndHanded,
+    RecordedAndDispatched,
     /// The event comes after the outcome was told.
     #[display("comes after the outcome was told")]
     AfterClose,
@@ -111,8 +111,8 @@
 /// # Errors
 ///
 /// The violation.
-pub fn verify(repeat: Repeat, history: &[Event]) -> Result<Journal, Violation> {
-    let mut journal = Journal::open("".into(), repeat, 0);
+pub fn verify(idempotency: Idempotency, history: &[Event]) -> Result<Journal, Violation> {
+    let mut journal = Journal::open("".into(), idempotency, 0);
     for (position, event) in history.iter().enumerate() {
         journal
             .record(0, event.clone())
@@ -131,7 +131,7 @@
             return self.check_closed(event);
         }
         match event {
-            Event::Handed { attempt, .. } => self.check_handed(*attempt),
+            Event::Dispatched { attempt, .. } => self.check_dispatch(*attempt),
             Event::RefusedByUpstream { attempt } | Event::NeverSent { attempt } => {
                 self.check_not_run(*attempt)
             }
@@ -141,7 +141,9 @@
             Event::Token { attempt, index } => self.check_token(*attempt, *index),
             Event::Ended { attempt, tokens } => self.check_end(*attempt, *tokens),
             Event::Closed { outcome } => self.check_outcome(*outcome),
-            Event::Recorded { .. } if !self.attempts.is_empty() => Err(Fault::RecordedAndHanded),
+            Event::Recorded { .. } if !self.attempts.is_empty() => {
+                Err(Fault::RecordedAndDispatched)
+            }
             Event::Received
             | Event::Queued
             | Event::Admitted
@@ -164,26 +166,26 @@
         }
     }
 
-    fn check_handed(&self, attempt: u32) -> Result<(), Fault> {
+    fn check_dispatch(&self, attempt: u32) -> Result<(), Fault> {
         if self.attempts.len() >= MAX_ATTEMPTS {
             return Err(Fault::TooManyAttempts { attempt });
         }
         if self.recorded.is_some() {
-            return Err(Fault::RecordedAndHanded);
+            return Err(Fault::RecordedAndDispatched);
         }
         if attempt < self.next_attempt() {
-            return Err(Fault::HandedTwice { attempt });
+            return Err(Fault::DispatchedTwice { attempt });
         }
-        if self.repeat == Repeat::NonIdempotent && !self.nothing_ran() {
+        if self.idempotency == Idempotency::NonIdempotent && !self.nothing_ran() {
             return Err(Fault::RepeatedNonIdempotent { attempt });
         }
         if self.has_ended() {
-            return Err(Fault::HandedAfterEnd { attempt });
+            return Err(Fault::DispatchedAfterEnd { attempt });
         }
         if self
             .attempts
             .iter()
-            .any(|a| a.state == AttemptState::Handed)
+            .any(|a| a.state == AttemptState::Dispatched)
         {
             return Err(Fault::StillOpen { attempt });
         }
@@ -192,15 +194,15 @@
 
     fn check_open(&self, attempt: u32) -> Result<(), Fault> {
         match self.attempt(attempt).map(|a| a.state) {
-            None => Err(Fault::NeverHanded { attempt }),
-            Some(AttemptState::Handed) => Ok(()),
+            None => Err(Fault::NeverDispatched { attempt }),
+            Some(AttemptState::Dispatched) => Ok(()),
             Some(_) => Err(Fault::AttemptOver { attempt }),
         }
     }
 
     fn check_not_run(&self, attempt: u32) -> Result<(), Fault> {
         self.check_open(attempt)?;
-        match self.tokens_at_hand_over < self.tokens {
+        match self.tokens_at_dispatch < self.tokens {
             true => Err(Fault::RefusedAfterTokens { attempt }),
             false => Ok(()),
         }
@@ -227,10 +229,10 @@
 
     /// A history's last event may only tell what the journal decides for one of the two ends.
     fn check_outcome(&self, told: Outcome) -> Result<(), Fault> {
-        let borne_out = [super::End::Whole, super::End::GivenUp]
+        let consistent = [super::End::Complete, super::End::GivenUp]
             .iter()
             .any(|end| self.outcome(*end) == told);
-        match borne_out {
+        match consistent {
             true => Ok(()),
             false => Err(Fault::WrongOutcome { told }),
         }
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -15,7 +15,7 @@
 pub use stall::{StallConfig, StallDetector};
 pub use stall_suspects::{StallSuspects, Suspicion};
 
-use crate::journal::{Journal, MAX_ATTEMPTS, Repeat};
+use crate::journal::{Idempotency, Journal, MAX_ATTEMPTS};
 use crate::prelude::*;
 use crate::retry_priority::RetryPriority;
 use derive_more::Display;
@@ -89,7 +89,7 @@
     if journal.closed().is_some() {
         return Decision::GiveUp(GiveUp::Closed);
     }
-    if journal.repeat() == Repeat::NonIdempotent && !journal.nothing_ran() {
+    if journal.idempotency() == Idempotency::NonIdempotent && !journal.nothing_ran() {
         return Decision::GiveUp(GiveUp::NonIdempotent);
     }
     if journal.attempts().len() >= MAX_ATTEMPTS {
--- a/policy/tests/journal.rs
+++ b/policy/tests/journal.rs
@@ -8,7 +8,7 @@
 /// One case: a block of a text file.
 struct Case {
     name: String,
-    repeat: Repeat,
+    idempotency: Idempotency,
     lines: Vec<String>,
 }
 
@@ -23,12 +23,12 @@
         match (line.strip_prefix("case "), cases.last_mut()) {
             (Some(name), _) => cases.push(Case {
                 name: format!("{file}: {name}"),
-                repeat: Repeat::Idempotent,
+                idempotency: Idempotency::Idempotent,
                 lines: Vec::new(),
             }),
             (None, Some(case)) => match line {
-                "idempotent" => case.repeat = Repeat::Idempotent,
-                "non-idempotent" => case.repeat = Repeat::NonIdempotent,
+                "idempotent" => case.idempotency = Idempotency::Idempotent,
+                "non-idempotent" => case.idempotency = Idempotency::NonIdempotent,
                 _ => case.lines.push(line.to_owned()),
             },
             (None, None) => panic!("{file}: a line before the first case"),
@@ -53,7 +53,7 @@
     let cause = "test".into();
     match words[0] {
         "admitted" => Event::Admitted,
-        "handed" => Event::Handed {
+        "handed" => Event::Dispatched {
             attempt: number(1),
             upstream: words[2].into(),
         },
@@ -108,12 +108,16 @@
 
 fn run(case: &Case) {
     let name = &case.name;
-    let mut journal = Journal::open("r".into(), case.repeat, 0);
+    let mut journal = Journal::open("r".into(), case.idempotency, 0);
     let mut history = Vec::new();
     for line in &case.lines {
         let (what, expected) = line.split_once(" = ").unwrap_or((line, ""));
         match what {
-            "whole" => expect_that!(journal.outcome(End::Whole), eq(outcome(expected)), "{name}"),
+            "complete" => expect_that!(
+                journal.outcome(End::Complete),
+                eq(outcome(expected)),
+                "{name}"
+            ),
             "given up" => {
                 expect_that!(
                     journal.outcome(End::GivenUp),
@@ -122,7 +126,7 @@
                 );
             }
             "fault" => {
-                let violation = verify(case.repeat, &history).expect_err(name);
+                let violation = verify(case.idempotency, &history).expect_err(name);
                 expect_that!(violation.fault.to_string(), eq(expected), "{name}");
                 expect_that!(violation.position, eq(history.len() - 1), "{name}");
                 return;
@@ -137,7 +141,7 @@
             }
         }
     }
-    expect_that!(verify(case.repeat, &history), ok(anything()), "{name}");
+    expect_that!(verify(case.idempotency, &history), ok(anything()), "{name}");
 }
 
 #[gtest]
@@ -154,24 +158,24 @@
 /// A "not run" that was told stays true: a driver that wakes up late can't hand over any more.
 #[gtest]
 fn nothing_is_handed_over_after_the_outcome_was_told() {
-    let mut journal = Journal::open("r1".into(), Repeat::NonIdempotent, 0);
+    let mut journal = Journal::open("r1".into(), Idempotency::NonIdempotent, 0);
     expect_that!(journal.close(1, End::GivenUp), eq(Outcome::NotRun));
-    let handed = Event::Handed {
+    let handed = Event::Dispatched {
         attempt: 1,
         upstream: "u".into(),
     };
     expect_that!(journal.record(2, handed), err(eq(Fault::AfterClose)));
-    expect_that!(journal.close(3, End::Whole), eq(Outcome::NotRun));
+    expect_that!(journal.close(3, End::Complete), eq(Outcome::NotRun));
 }
 
 /// A long answer over many attempts doesn't make the journal grow, and its last step is kept.
 #[gtest]
 fn its_size_is_bounded() {
-    let mut journal = Journal::open("r".into(), Repeat::Idempotent, 0);
+    let mut journal = Journal::open("r".into(), Idempotency::Idempotent, 0);
     for attempt in 1..=MAX_ATTEMPTS as u32 {
         let upstream = "u".into();
         journal
-            .record(0, Event::Handed { attempt, upstream })
+            .record(0, Event::Dispatched { attempt, upstream })
             .unwrap();
         for _ in 0..1_000 {
             let index = journal.tokens();
@@ -186,7 +190,7 @@
     let attempt = MAX_ATTEMPTS as u32 + 1;
     let upstream = "u".into();
     expect_that!(
-        journal.record(0, Event::Handed { attempt, upstream }),
+        journal.record(0, Event::Dispatched { attempt, upstream }),
         err(eq(Fault::TooManyAttempts { attempt }))
     );
     journal.close(9, End::GivenUp);
--- a/policy/tests/retry.rs
+++ b/policy/tests/retry.rs
@@ -1,7 +1,7 @@
 //! Tests of retry decisions, the retry budget and stall detection.
 
 use googletest::prelude::*;
-use jacinthweir_policy::journal::{Event, Journal, Repeat};
+use jacinthweir_policy::journal::{Event, Idempotency, Journal};
 use jacinthweir_policy::retry::*;
 use jacinthweir_policy::retry_priority::RetryPriority;
 
@@ -13,7 +13,7 @@
 fn handed(journal: &mut Journal, attempt: u32) {
     let upstream = "u".into();
     journal
-        .record(0, Event::Handed { attempt, upstream })
+        .record(0, Event::Dispatched { attempt, upstream })
         .unwrap();
 }
 
@@ -28,7 +28,7 @@
 
 #[gtest]
 fn a_stream_resumes_after_the_tokens_that_its_caller_has() {
-    let mut journal = Journal::open("r".into(), Repeat::Idempotent, 0);
+    let mut journal = Journal::open("r".into(), Idempotency::Idempotent, 0);
     handed(&mut journal, 1);
     for index in 0..3 {
         journal
@@ -64,7 +64,7 @@
 
 #[gtest]
 fn a_non_idempotent_call_is_retried_only_if_nothing_ran() {
-    let mut journal = Journal::open("r".into(), Repeat::NonIdempotent, 0);
+    let mut journal = Journal::open("r".into(), Idempotency::NonIdempotent, 0);
     handed(&mut journal, 1);
     journal
         .record(0, Event::RefusedByUpstream { attempt: 1 })
@@ -130,7 +130,7 @@
     budget.set_in_flight(20);
     let refused = AttemptFailure::Refused { retry_after_ms: 0 };
     let new = |budget: &mut RetryBudget| {
-        let mut journal = Journal::open("new".into(), Repeat::Idempotent, 0);
+        let mut journal = Journal::open("new".into(), Idempotency::Idempotent, 0);
         handed(&mut journal, 1);
         let event = Event::RefusedByUpstream { attempt: 1 };
         journal.record(0, event).unwrap();
@@ -138,7 +138,7 @@
     };
     let retried = (0..100).filter(|_| matches!(new(&mut budget), Decision::Retry { .. }));
     expect_that!(retried.count(), ge(10));
-    let mut journal = Journal::open("begun".into(), Repeat::Idempotent, 0);
+    let mut journal = Journal::open("begun".into(), Idempotency::Idempotent, 0);
     handed(&mut journal, 1);
     let token = Event::Token {
         attempt: 1,
--- a/testkit/examples/measure_capacity.rs
+++ b/testkit/examples/measure_capacity.rs
@@ -9,7 +9,7 @@
 use futures::StreamExt;
 use jacinthweir_policy::admission::{Admission, AdmissionConfig, Measurement, Slot, Ticket, Work};
 use jacinthweir_policy::config::parts;
-use jacinthweir_policy::journal::{End, Event, Journal, Repeat};
+use jacinthweir_policy::journal::{End, Event, Idempotency, Journal};
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::schema::{CompiledSchema, OrgDecl, Schema, parse_schema};
 use jacinthweir_testkit::bench::counting;
@@ -227,11 +227,15 @@
 
 /// The journal of an ordinary answered request over four stages.
 fn journal(i: usize) -> Journal {
-    let mut journal = Journal::open(format!("recife-1.{i:032x}").into(), Repeat::Idempotent, 0);
+    let mut journal = Journal::open(
+        format!("recife-1.{i:032x}").into(),
+        Idempotency::Idempotent,
+        0,
+    );
     let upstream = "runner-a 0..8, runner-b 8..16, runner-c 16..24, runner-d 24..32";
     let events = [
         Event::Admitted,
-        Event::Handed {
+        Event::Dispatched {
             attempt: 1,
             upstream: upstream.into(),
         },
@@ -243,7 +247,7 @@
     for event in events {
         let _ = journal.record(1, event);
     }
-    let _ = journal.close(2, End::Whole);
+    let _ = journal.close(2, End::Complete);
     journal
 }
 
