--- a/clients/src/direct.rs
+++ b/clients/src/direct.rs
@@ -41,7 +41,7 @@
     },
     /// There was a connection, and no whole answer in time.
     #[display("no answer in time")]
-    Late,
+    TimedOut,
     /// The connection broke after the request was handed to it.
     #[display("no answer: {cause}")]
     Unknown {
@@ -56,15 +56,15 @@
     pub fn is_unsent(&self) -> bool {
         match self {
             DirectError::Refused | DirectError::Unreached { .. } => true,
-            DirectError::Late | DirectError::Unknown { .. } => false,
+            DirectError::TimedOut | DirectError::Unknown { .. } => false,
         }
     }
 
     /// Whether nothing at all was heard: that may be the asking side's own doing.
     #[must_use]
-    pub fn is_silence(&self) -> bool {
+    pub fn is_unanswered(&self) -> bool {
         match self {
-            DirectError::Unreached { .. } | DirectError::Late => true,
+            DirectError::Unreached { .. } | DirectError::TimedOut => true,
             DirectError::Refused | DirectError::Unknown { .. } => false,
         }
     }
@@ -72,7 +72,7 @@
 
 /// Body of an answer; holds the connection.
 #[derive(Debug)]
-pub struct AnswerBody {
+pub struct ResponseBody {
     incoming: Incoming,
     _connection: Connection,
 }
@@ -86,7 +86,7 @@
     }
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// The next bytes; `None` at the proper end.
     ///
     /// # Errors
@@ -99,7 +99,7 @@
                         return Some(Ok(data));
                     }
                 }
-                Err(e) => return Some(Err(unknown(&e))),
+                Err(e) => return Some(Err(unknown_error(&e))),
             }
         }
     }
@@ -110,7 +110,7 @@
     /// It is longer, or the connection ended before it did.
     pub async fn whole(self, limit: usize) -> Result<Bytes, DirectError> {
         let body = Limited::new(self.incoming, limit).collect().await;
-        let body = body.map_err(|e| unknown(&*e))?;
+        let body = body.map_err(|e| unknown_error(&*e))?;
         Ok(body.to_bytes())
     }
 }
@@ -123,13 +123,13 @@
     address: SocketAddr,
     req: Request<Full<Bytes>>,
     connect_timeout: Duration,
-) -> Result<Response<AnswerBody>, DirectError> {
+) -> Result<Response<ResponseBody>, DirectError> {
     let stream = connect(address, connect_timeout).await?;
-    let shaken = http1::Builder::new()
+    let handshake = http1::Builder::new()
         .max_buf_size(READ_BUFFER_BYTES)
         .handshake(TokioIo::new(stream))
         .await;
-    let (mut sender, connection) = shaken.map_err(|e| DirectError::Unreached {
+    let (mut sender, connection) = handshake.map_err(|e| DirectError::Unreached {
         cause: e.to_string(),
     })?;
     let task = tokio::spawn(async move {
@@ -137,8 +137,11 @@
         let _ = connection.await;
     });
     let connection = Connection(task);
-    let res = sender.send_request(req).await.map_err(|e| unknown(&e))?;
-    let answer = |incoming| AnswerBody {
+    let res = sender
+        .send_request(req)
+        .await
+        .map_err(|e| unknown_error(&e))?;
+    let answer = |incoming| ResponseBody {
         incoming,
         _connection: connection,
     };
@@ -147,19 +150,19 @@
 
 /// How long a question may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AskTime {
+pub struct RequestTimeouts {
     /// Until there is a connection.
     pub connect: Duration,
     /// Until the whole answer has come.
     pub answer: Duration,
 }
 
-impl From<Duration> for AskTime {
+impl From<Duration> for RequestTimeouts {
     /// One limit for both.
-    fn from(time: Duration) -> AskTime {
-        AskTime {
-            connect: time,
-            answer: time,
+    fn from(limit: Duration) -> RequestTimeouts {
+        RequestTimeouts {
+            connect: limit,
+            answer: limit,
         }
     }
 }
@@ -168,27 +171,27 @@
 ///
 /// # Errors
 /// See [`DirectError`].
-pub async fn ask(
+pub async fn request(
     address: SocketAddr,
     req: Request<Full<Bytes>>,
-    time: impl Into<AskTime>,
+    timeouts: impl Into<RequestTimeouts>,
     limit: usize,
 ) -> Result<Response<Bytes>, DirectError> {
-    let time = time.into();
-    let asked = async {
-        let res = send(address, req, time.connect).await?;
+    let timeouts = timeouts.into();
+    let exchange = async {
+        let res = send(address, req, timeouts.connect).await?;
         let (parts, body) = res.into_parts();
         Ok(Response::from_parts(parts, body.whole(limit).await?))
     };
-    match timeout(time.answer, asked).await {
+    match timeout(timeouts.answer, exchange).await {
         Ok(answer) => answer,
-        Err(_) => Err(DirectError::Late),
+        Err(_) => Err(DirectError::TimedOut),
     }
 }
 
-async fn connect(address: SocketAddr, time: Duration) -> Result<TcpStream, DirectError> {
+async fn connect(address: SocketAddr, limit: Duration) -> Result<TcpStream, DirectError> {
     let unreached = |cause: String| DirectError::Unreached { cause };
-    match timeout(time, TcpStream::connect(address)).await {
+    match timeout(limit, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => {
             // Without it small writes wait for an acknowledgement; the connection works all the
             // same.
@@ -201,7 +204,7 @@
     }
 }
 
-fn unknown(e: &(dyn std::error::Error + 'static)) -> DirectError {
+fn unknown_error(e: &(dyn std::error::Error + 'static)) -> DirectError {
     let mut cause = e.to_string();
     let mut source = e.source();
     while let Some(s) = source {
--- a/clients/src/error.rs
+++ b/clients/src/error.rs
@@ -33,7 +33,7 @@
         matches!(self, ClientError::NoEffect { .. })
     }
 
-    pub(crate) fn bad(cause: impl std::fmt::Display) -> ClientError {
+    pub(crate) fn bad_answer(cause: impl std::fmt::Display) -> ClientError {
         ClientError::BadAnswer {
             cause: cause.to_string(),
         }
--- a/clients/src/peer.rs
+++ b/clients/src/peer.rs
@@ -43,18 +43,18 @@
         Q: Serialize,
         A: DeserializeOwned,
     {
-        let body = rmp_serde::to_vec_named(msg).map_err(ClientError::bad)?;
+        let body = rmp_serde::to_vec_named(msg).map_err(ClientError::bad_answer)?;
         let url = format!("http://{peer}{path}");
         let req = self.client.post(url).bearer_auth(&self.token).body(body);
         let res = req.timeout(self.timeout).send().await?;
         if res.status() != StatusCode::OK {
-            return Err(ClientError::bad(format!(
+            return Err(ClientError::bad_answer(format!(
                 "{peer} answered {}",
                 res.status()
             )));
         }
         let bytes = res.bytes().await?;
-        rmp_serde::from_slice(&bytes).map_err(ClientError::bad)
+        rmp_serde::from_slice(&bytes).map_err(ClientError::bad_answer)
     }
 
     /// Fetches a part of the configuration by its hash; `None`: the peer does not have it.
@@ -73,7 +73,7 @@
         let Some(bytes) = self.fetch(format!("http://{peer}/peer/head")).await? else {
             return Ok(None);
         };
-        let head = rmp_serde::from_slice(&bytes).map_err(ClientError::bad)?;
+        let head = rmp_serde::from_slice(&bytes).map_err(ClientError::bad_answer)?;
         Ok(Some(head))
     }
 
@@ -92,7 +92,7 @@
         let Some(bytes) = bytes else {
             return Ok(None);
         };
-        let record = rmp_serde::from_slice(&bytes).map_err(ClientError::bad)?;
+        let record = rmp_serde::from_slice(&bytes).map_err(ClientError::bad_answer)?;
         Ok(Some(record))
     }
 
@@ -102,8 +102,8 @@
     /// See [`ClientError`].
     pub async fn own_record(&self, peer: SocketAddr) -> Result<MemberRecord, ClientError> {
         let bytes = self.fetch(format!("http://{peer}/peer/self")).await?;
-        let bytes = bytes.ok_or_else(|| ClientError::bad("no such path"))?;
-        rmp_serde::from_slice(&bytes).map_err(ClientError::bad)
+        let bytes = bytes.ok_or_else(|| ClientError::bad_answer("no such path"))?;
+        rmp_serde::from_slice(&bytes).map_err(ClientError::bad_answer)
     }
 
     async fn fetch(&self, url: String) -> Result<Option<Bytes>, ClientError> {
@@ -112,7 +112,7 @@
         match res.status() {
             StatusCode::OK => Ok(Some(res.bytes().await?)),
             StatusCode::NOT_FOUND => Ok(None),
-            status => Err(ClientError::bad(format!("peer answered {status}"))),
+            status => Err(ClientError::bad_answer(format!("peer answered {status}"))),
         }
     }
 }
--- a/clients/src/platform.rs
+++ b/clients/src/platform.rs
@@ -16,7 +16,7 @@
     /// Written; the new version.
     Written(u64),
     /// The condition did not hold; the standing version, 0 where absent.
-    Stands(u64),
+    Conflict(u64),
 }
 
 /// The platform's service. A trait, since tests put an in-memory one in its place.
@@ -107,7 +107,7 @@
             .await?;
         match res.status() {
             StatusCode::OK => Ok(PutResult::Written(written(res).await?)),
-            StatusCode::PRECONDITION_FAILED => Ok(PutResult::Stands(written(res).await?)),
+            StatusCode::PRECONDITION_FAILED => Ok(PutResult::Conflict(written(res).await?)),
             status => Err(status_error(status)),
         }
     }
@@ -168,7 +168,7 @@
         Box::pin(async move {
             let path = format!("/objects?prefix={prefix}");
             let list = self.read(&path, self.timeout).await?;
-            list.ok_or_else(|| ClientError::bad("no list"))
+            list.ok_or_else(|| ClientError::bad_answer("no list"))
         })
     }
 
@@ -182,14 +182,14 @@
             let wait_ms = wait.as_millis();
             let path = format!("/watch?prefix={prefix}&after={after}&wait_ms={wait_ms}");
             let answer = self.read(&path, wait + self.timeout).await?;
-            answer.ok_or_else(|| ClientError::bad("no watch"))
+            answer.ok_or_else(|| ClientError::bad_answer("no watch"))
         })
     }
 
     fn instances(&self) -> BoxFuture<'_, Result<InstanceList, ClientError>> {
         Box::pin(async move {
             let list = self.read("/instances", self.timeout).await?;
-            list.ok_or_else(|| ClientError::bad("no instance list"))
+            list.ok_or_else(|| ClientError::bad_answer("no instance list"))
         })
     }
 }
--- a/clients/src/runner.rs
+++ b/clients/src/runner.rs
@@ -43,7 +43,7 @@
         let Some(line) = self.lines.next().await.transpose()? else {
             return Ok(None);
         };
-        let frame = serde_json::from_str(&line).map_err(ClientError::bad)?;
+        let frame = serde_json::from_str(&line).map_err(ClientError::bad_answer)?;
         Ok(Some(frame))
     }
 }
@@ -75,7 +75,7 @@
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
                 Ok(RunStart::Refused(res.json().await?))
             }
-            status => Err(ClientError::bad(format!("runner answered {status}"))),
+            status => Err(ClientError::bad_answer(format!("runner answered {status}"))),
         }
     }
 
@@ -95,7 +95,7 @@
         if res.status().is_success() {
             return Ok(());
         }
-        Err(ClientError::bad(format!(
+        Err(ClientError::bad_answer(format!(
             "runner answered {}",
             res.status()
         )))
@@ -126,7 +126,7 @@
         let res = self.client.get(url).timeout(self.timeout).send().await?;
         match res.status() {
             StatusCode::OK => Ok(res.json().await?),
-            status => Err(ClientError::bad(format!("runner answered {status}"))),
+            status => Err(ClientError::bad_answer(format!("runner answered {status}"))),
         }
     }
 }
--- a/clients/src/service.rs
+++ b/clients/src/service.rs
@@ -127,7 +127,7 @@
     if matches {
         return Ok(());
     }
-    Err(ClientError::bad(format!(
+    Err(ClientError::bad_answer(format!(
         "answer names request {request:?}, attempt {attempt:?}"
     )))
 }
@@ -141,7 +141,7 @@
     let mut body = Vec::new();
     while let Some(chunk) = res.chunk().await? {
         if body.len() + chunk.len() > MAX_ANSWER_BYTES {
-            return Err(ClientError::bad(format!(
+            return Err(ClientError::bad_answer(format!(
                 "answer exceeds {MAX_ANSWER_BYTES} bytes"
             )));
         }
--- a/plugins/relay/src/attempt.rs
+++ b/plugins/relay/src/attempt.rs
@@ -5,7 +5,7 @@
 
 use http::{HeaderMap, Request, Response, StatusCode};
 use http_body_util::Full;
-use jacinthweir_clients::direct::{self, AnswerBody, DirectError};
+use jacinthweir_clients::direct::{self, DirectError, ResponseBody};
 use jacinthweir_platform::header;
 use jacinthweir_policy::relay::runners::RunnerEntry;
 
@@ -19,7 +19,7 @@
 /// What came of a send.
 pub(crate) enum Sent {
     /// A head that belongs to the request.
-    Answer(Response<AnswerBody>),
+    Answer(Response<ResponseBody>),
     /// The runner says that it did not run the request.
     NotRun {
         status: StatusCode,
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -460,7 +460,7 @@
     *req.uri_mut() = http::Uri::from_static(PATH);
     let host = http::HeaderValue::from_str(&address.to_string()).map_err(|e| e.to_string())?;
     req.headers_mut().insert(http::header::HOST, host);
-    let res: Response<Bytes> = direct::ask(address, req, time, MESSAGE_BYTES)
+    let res: Response<Bytes> = direct::request(address, req, time, MESSAGE_BYTES)
         .await
         .map_err(|e| e.to_string())?;
     rmp_serde::from_slice(res.body()).map_err(|e| e.to_string())
--- a/plugins/relay/src/probe.rs
+++ b/plugins/relay/src/probe.rs
@@ -156,7 +156,7 @@
 /// A connection to a runner did not come about: that is looked into, or shows by itself that nobody
 /// listens there.
 pub(crate) fn not_reached(node: &Rc<Node>, runner: &RunnerEntry, error: &DirectError) {
-    if error.is_silence() {
+    if error.is_unanswered() {
         examine(node, Suspect::of(node, runner), 0);
     } else {
         name_dead(node, &runner.id, runner.born_ms, &error.to_string());
--- a/plugins/relay/src/question.rs
+++ b/plugins/relay/src/question.rs
@@ -13,7 +13,7 @@
 use futures::FutureExt;
 use futures::future::LocalBoxFuture;
 use futures::stream::{FuturesUnordered, StreamExt};
-use jacinthweir_clients::direct::{AskTime, DirectError};
+use jacinthweir_clients::direct::{DirectError, RequestTimeouts};
 use jacinthweir_platform::runner::{self, Report, RunnerError};
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::runners::RunnerEntry;
@@ -27,7 +27,7 @@
 /// Time that a question has. A runner that is there takes a connection within two round trips of a
 /// millisecond or less, however slow it is. One that runs at a tenth of its pace takes ten times as
 /// long to answer, and would count as dead if the whole answer had the connection's time.
-pub(crate) const QUESTION: AskTime = AskTime {
+pub(crate) const QUESTION: RequestTimeouts = RequestTimeouts {
     connect: Duration::from_millis(14),
     answer: Duration::from_millis(250),
 };
@@ -103,7 +103,7 @@
         match answer {
             Ok(report) => Finding::Report(report),
             Err(RunnerError::NoAnswer(DirectError::Refused)) => Finding::Gone,
-            Err(RunnerError::NoAnswer(e)) if e.is_silence() => Finding::Silent(e.to_string()),
+            Err(RunnerError::NoAnswer(e)) if e.is_unanswered() => Finding::Silent(e.to_string()),
             Err(_) if !asked.gives_reports => Finding::Listens,
             Err(e) => Finding::NoReport(e.to_string()),
         }
--- a/plugins/relay/src/stream.rs
+++ b/plugins/relay/src/stream.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use futures::stream::unfold;
 use http::{Response, StatusCode};
-use jacinthweir_clients::direct::AnswerBody;
+use jacinthweir_clients::direct::ResponseBody;
 use jacinthweir_platform::{header, runner};
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::chain_selection;
@@ -92,7 +92,7 @@
     node: &Rc<Node>,
     rq: Proxied,
     passage: Passage,
-    res: Response<AnswerBody>,
+    res: Response<ResponseBody>,
     tried: Tried,
 ) -> Response<RelayBody> {
     let (parts, body) = res.into_parts();
@@ -130,7 +130,7 @@
     node: Rc<Node>,
     rq: Proxied,
     passage: Option<Passage>,
-    body: Option<AnswerBody>,
+    body: Option<ResponseBody>,
     events: Events,
     /// Whether it is a success: only then are its bytes events.
     ok: bool,
@@ -394,7 +394,7 @@
     }
 
     /// One try to go on with another run.
-    async fn try_on(&mut self) -> Result<(Passage, Response<AnswerBody>), GivenUp> {
+    async fn try_on(&mut self) -> Result<(Passage, Response<ResponseBody>), GivenUp> {
         let live = self.next_chain().ok_or(GivenUp::NoChain)?;
         // Each send counts, also one that a runner refuses.
         if !self
@@ -420,7 +420,7 @@
             .choose_chain(&self.rq, chain_selection::MAX_FILL_RESUMED, may_take)
     }
 
-    fn resumed(&mut self, passage: Passage, res: Response<AnswerBody>, cause: &str) {
+    fn resumed(&mut self, passage: Passage, res: Response<ResponseBody>, cause: &str) {
         self.resumed += 1;
         self.began_ms = self.node.now();
         count("resumed");
--- a/plugins/relay/src/tried.rs
+++ b/plugins/relay/src/tried.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use http::{Response, StatusCode};
-use jacinthweir_clients::direct::AnswerBody;
+use jacinthweir_clients::direct::ResponseBody;
 use jacinthweir_platform::header;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::attempts::Attempts;
@@ -23,7 +23,7 @@
 /// What came of sending a request into a chain.
 pub(crate) enum Opened {
     /// The head of an answer.
-    Stream(Passage, Response<AnswerBody>),
+    Stream(Passage, Response<ResponseBody>),
     /// A runner says that it did not run the request.
     NotRun,
     /// No connection to the first runner.
--- a/plugins/schema/src/commit.rs
+++ b/plugins/schema/src/commit.rs
@@ -108,7 +108,7 @@
         match cx.platform.put(keys::HEAD, value.clone(), condition).await {
             Ok(PutResult::Written(_)) => return Committed::Yes,
             Err(e) if e.had_no_effect() => *lost = earlier,
-            Ok(PutResult::Stands(_)) | Err(_) => {}
+            Ok(PutResult::Conflict(_)) | Err(_) => {}
         }
         if *lost && let Some(known) = told(cx, head, expected).await {
             return known;
--- a/plugins/services/src/claimed.rs
+++ b/plugins/services/src/claimed.rs
@@ -90,7 +90,7 @@
         let answer = self.cx.platform.put(place, record.to_text(), on).await;
         match answer {
             Ok(PutResult::Written(version)) => WriteAnswer::Written(version),
-            Ok(PutResult::Stands(_)) => WriteAnswer::Stale,
+            Ok(PutResult::Conflict(_)) => WriteAnswer::Stale,
             Err(ClientError::NoEffect { cause }) => {
                 info!(request = self.running.request.as_ref(); "claim not written: {cause}");
                 WriteAnswer::NoEffect
