--- a/policy/src/journal.rs
+++ b/policy/src/journal.rs
@@ -1,20 +1,21 @@
-//! The journal of one request: what happened to it, and the one place that decides its outcome.
+//! The journal of one request: its event history and the only code that decides its outcome.
 //!
-//! Each step is recorded with [`Journal::record`], which checks it against what came before and
-//! names the violation where it does not fit. [`Event::Dispatched`] is recorded *before* the first
-//! byte may go to an upstream; if it is refused, nothing may be sent. From then on the right to
-//! say "not run" is gone, and only two events give it back for that attempt: the upstream's own
-//! refusal, and a connection that was never opened.
+//! Each event is recorded with [`Journal::record`], which checks it against the earlier events and
+//! returns the violated invariant if it is inconsistent with them. [`Event::Dispatched`] is
+//! recorded *before* the first byte may be sent to an upstream; if recording it fails, nothing may
+//! be sent. Once it is recorded, the outcome can no longer be "not run" unless the attempt is
+//! followed by one of two events: the upstream's own refusal, or a connection that was never
+//! opened.
 //!
 //! Invariants:
-//! - an attempt number is handed over once, and numbers grow;
-//! - the caller's tokens are 0, 1, 2, … without gap or repeat, over all attempts;
-//! - non-idempotent work is handed over again only when every earlier attempt is known not to
-//!   have run;
-//! - after [`Event::Closed`] nothing is handed over: an outcome that was told stays true.
+//! - each attempt number is dispatched once, and attempt numbers increase;
+//! - the caller's tokens are 0, 1, 2, … without gaps or duplicates, over all attempts;
+//! - non-idempotent work is dispatched again only if every earlier attempt is known not to have
+//!   run;
+//! - nothing is dispatched after [`Event::Closed`], so a reported outcome stays true.
 //!
-//! Tokens are counted, not listed, and steps beyond [`MAX_STEPS`] are counted only, so that a
-//! journal's size does not grow with its answer.
+//! Tokens and steps beyond [`MAX_STEPS`] are counted but not stored, so that the size of a journal
+//! does not grow with the length of the answer.
 
 mod event;
 mod frame;
@@ -26,47 +27,47 @@
 
 use crate::prelude::*;
 
-/// The most steps that a journal keeps; the rest are counted.
+/// Maximum number of steps stored in a journal; further steps are only counted.
 pub const MAX_STEPS: usize = 48;
-/// The most attempts of one request.
+/// Maximum number of attempts of one request.
 pub const MAX_ATTEMPTS: usize = 16;
 
-/// Whether work may run more than once.
+/// Whether work may be executed more than once.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May run again: a second run has the same effect as the first.
+    /// May be executed again: a second execution has the same effect as the first.
     #[display("idempotent")]
     Idempotent,
-    /// Runs at most once.
+    /// Must be executed at most once.
     #[display("non-idempotent")]
     NonIdempotent,
 }
 
-/// How the request is about to end, as its driver sees it.
+/// How the request ends from the point of view of its driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The driver holds, or has passed on, an answer that it takes for whole.
+    /// The driver has received or forwarded an answer that it considers complete.
     Complete,
-    /// The driver gives up, for whatever cause.
+    /// The driver gives up, for any cause.
     GivenUp,
 }
 
-/// What is known of one attempt.
+/// Known state of one attempt.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
 pub enum AttemptState {
-    /// Handed to an upstream; nothing is known to the contrary, so it may run.
+    /// Dispatched to an upstream without a result so far, so it may be running.
     #[display("handed")]
     Dispatched,
-    /// Its connection was never opened: no byte left this instance.
+    /// Its connection was never opened, so no byte was sent.
     #[display("never sent")]
     NeverSent,
-    /// The upstream refused it before any of it ran.
+    /// The upstream refused it before running any part of it.
     #[display("refused")]
     Refused,
-    /// The upstream gave the end of the answer.
+    /// The upstream sent the end of the answer.
     #[display("ended")]
     Ended,
-    /// The upstream itself says that it ran in part and broke off.
+    /// The upstream reported that the attempt ran partially and failed.
     #[display("broken")]
     Broken,
     /// The connection or its answer was lost.
@@ -79,13 +80,13 @@
 pub struct Attempt {
     /// Number, from 1.
     pub number: u32,
-    /// Upstream that it was handed to.
+    /// Upstream that it was dispatched to.
     pub upstream: Name,
-    /// What is known of it.
+    /// Its known state.
     pub state: AttemptState,
 }
 
-/// What happened to one request, in order.
+/// Ordered history of one request.
 #[derive(Clone, Debug)]
 pub struct Journal {
     request: Name,
@@ -101,7 +102,7 @@
 }
 
 impl Journal {
-    /// Opens the journal of a request that has just been received, at Unix time `at_ms`.
+    /// Opens the journal of a request received at Unix time `at_ms`.
     pub fn open(request: Name, idempotency: Idempotency, at_ms: Millis) -> Self {
         let mut journal = Self {
             request,
@@ -119,12 +120,12 @@
         journal
     }
 
-    /// Records what happened at Unix time `at_ms`.
+    /// Records an event that occurred at Unix time `at_ms`.
     ///
     /// # Errors
     ///
-    /// The violated invariant; the event is then not taken in. A refused [`Event::Dispatched`] means
-    /// that nothing may be sent.
+    /// Returns the violated invariant and leaves the journal unchanged. If [`Event::Dispatched`] is
+    /// rejected, nothing may be sent.
     pub fn record(&mut self, at_ms: Millis, event: Event) -> Result<(), Fault> {
         self.check(&event)?;
         self.apply(&event);
@@ -134,12 +135,13 @@
         Ok(())
     }
 
-    /// Decides the outcome of a request that ends now. The only place that says "not run".
+    /// Returns the outcome of a request that ends now. No other code decides "not run".
     ///
-    /// A driver that believes to hold a whole answer is answered only if the journal agrees.
+    /// For [`End::Complete`], the outcome is "answered" only if the journal has the end of the
+    /// answer.
     pub fn outcome(&self, end: End) -> Outcome {
-        if let Some(told) = self.closed.or(self.recorded) {
-            return told;
+        if let Some(decided) = self.closed.or(self.recorded) {
+            return decided;
         }
         if self.nothing_ran() {
             return Outcome::NotRun;
@@ -154,8 +156,8 @@
         }
     }
 
-    /// Decides the outcome and closes the journal with it: from here on [`Event::Dispatched`] is
-    /// refused, so that a "not run" that was told can't become untrue.
+    /// Decides the outcome and closes the journal with it. [`Event::Dispatched`] is rejected
+    /// afterwards, so that a reported "not run" cannot become untrue.
     pub fn close(&mut self, at_ms: Millis, end: End) -> Outcome {
         let outcome = self.outcome(end);
         if self.closed.is_none() {
@@ -165,66 +167,66 @@
         outcome
     }
 
-    /// Request id.
+    /// Returns the request id.
     pub fn request(&self) -> &Name {
         &self.request
     }
 
-    /// Whether the work may run more than once.
+    /// Returns whether the work may be executed more than once.
     pub fn idempotency(&self) -> Idempotency {
         self.idempotency
     }
 
-    /// Number of tokens that the caller has: where a new attempt resumes.
+    /// Returns the number of tokens that the caller has received, at which a new attempt resumes.
     pub fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// Attempts in the order in which they were handed over.
+    /// Returns the attempts in dispatch order.
     pub fn attempts(&self) -> &[Attempt] {
         &self.attempts
     }
 
-    /// Number for the next attempt.
+    /// Returns the number of the next attempt.
     pub fn next_attempt(&self) -> u32 {
         self.attempts.last().map_or(1, |last| last.number + 1)
     }
 
-    /// Outcome that was told, once the journal is closed.
+    /// Returns the reported outcome, if the journal is closed.
     pub fn closed(&self) -> Option<Outcome> {
         self.closed
     }
 
-    /// Number of frames that did not match and were dropped.
+    /// Returns the number of frames that were dropped as mismatched.
     pub fn dropped_frames(&self) -> u32 {
         self.dropped_frames
     }
 
-    /// Steps kept, in order, for operators.
+    /// Returns the stored steps in order, for operators.
     pub fn steps(&self) -> &[Step] {
         &self.steps
     }
 
-    /// Number of steps beyond [`MAX_STEPS`].
+    /// Returns the number of steps beyond [`MAX_STEPS`].
     pub fn omitted_steps(&self) -> u32 {
         self.omitted_steps
     }
 
-    /// Whether every attempt, if any, is known not to have run.
+    /// Returns whether every attempt, if any, is known not to have run.
     pub fn nothing_ran(&self) -> bool {
         self.attempts
             .iter()
             .all(|a| matches!(a.state, AttemptState::NeverSent | AttemptState::Refused))
     }
 
-    /// Whether the newest attempt gave its end.
+    /// Returns whether the latest attempt received the end of the answer.
     fn has_ended(&self) -> bool {
         self.attempts
             .last()
             .is_some_and(|a| a.state == AttemptState::Ended)
     }
 
-    /// Whether an attempt may have run without its result being known here.
+    /// Returns whether some attempt may have run without a known result.
     fn has_unknown_result(&self) -> bool {
         self.attempts
             .iter()
@@ -271,7 +273,7 @@
         }
     }
 
-    /// Keeps the step, or counts it when the bound is reached. The last place is kept free for
+    /// Stores the step, or only counts it if the limit is reached. The last slot is reserved for
     /// the step that closes the journal.
     fn push_step(&mut self, at_ms: Millis, event: Event) {
         let closes = matches!(event, Event::Closed { .. });
--- a/policy/src/journal/event.rs
+++ b/policy/src/journal/event.rs
@@ -1,99 +1,100 @@
-//! What can happen to a request.
+//! Events of a request.
 
 use crate::prelude::*;
 use derive_more::Display;
 
-/// One thing that happened to a request.
+/// Something that happened to a request.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Event {
-    /// It came in whole and was understood.
+    /// The request was read completely and parsed.
     #[display("received")]
     Received,
-    /// It waits for its turn.
+    /// The request is queued.
     #[display("queued")]
     Queued,
-    /// It may go on to an upstream.
+    /// The request was admitted and may be sent to an upstream.
     #[display("admitted")]
     Admitted,
-    /// This instance holds its claim.
+    /// This instance holds the claim on the request's idempotency key.
     #[display("claimed")]
     Claimed,
-    /// An attempt goes to an upstream: recorded before the first byte may be sent.
+    /// An attempt is dispatched to an upstream. Recorded before the first byte may be sent.
     #[display("attempt {attempt} handed to {upstream}")]
     Dispatched {
         /// Attempt number.
         attempt: u32,
-        /// Upstream's name.
+        /// Name of the upstream.
         upstream: Name,
     },
-    /// The attempt's connection was never opened, so that no byte of it left this instance.
+    /// The connection of the attempt was never opened, so no byte of it was sent.
     ///
-    /// True only where the connector itself reported that there is no connection: refused, no
+    /// Recorded only if the connector itself reported that there is no connection: refused, no
     /// route, or its own time-out, which closes the socket before any request is written. A
-    /// time-out or cancellation *around* the whole call does not say how far the connect got;
-    /// that is [`Event::Lost`].
+    /// time-out or cancellation *around* the whole call does not show how far the connect
+    /// progressed and is recorded as [`Event::Lost`].
     #[display("attempt {attempt} never sent: no connection")]
     NeverSent {
         /// Attempt number.
         attempt: u32,
     },
-    /// The upstream refused the attempt before any of it ran, and said so itself.
+    /// The upstream reported that it refused the attempt before running any part of it.
     #[display("attempt {attempt} refused by the upstream before it ran")]
     RefusedByUpstream {
         /// Attempt number.
         attempt: u32,
     },
-    /// A token was accepted for the caller. Counted, not listed.
+    /// A token was accepted for the caller. Counted, but not stored as a step.
     #[display("attempt {attempt} gave token {index}")]
     Token {
         /// Attempt number.
         attempt: u32,
-        /// Index in the whole answer, from 0.
+        /// Index in the answer over all attempts, from 0.
         index: u32,
     },
-    /// The upstream gave the end of the answer.
+    /// The upstream sent the end of the answer.
     #[display("attempt {attempt} ended{}", total_tokens_suffix(*tokens))]
     Ended {
         /// Attempt number.
         attempt: u32,
-        /// Tokens of the whole answer, those of earlier attempts counted; 0 for a plain service.
+        /// Tokens of the answer, including those of earlier attempts; 0 for a plain service.
         tokens: u32,
     },
-    /// The upstream itself says that the attempt ran in part and broke off.
+    /// The upstream reported that the attempt ran partially and failed.
     #[display("attempt {attempt} broke off: {cause}")]
     Broken {
         /// Attempt number.
         attempt: u32,
-        /// Cause in a few words.
+        /// Short description of the cause.
         cause: Name,
     },
-    /// The connection or the answer of the attempt was lost.
+    /// The connection of the attempt failed or its answer was lost.
     #[display("attempt {attempt} lost: {cause}")]
     Lost {
         /// Attempt number.
         attempt: u32,
-        /// Cause in a few words.
+        /// Short description of the cause.
         cause: Name,
     },
-    /// The outcome comes from the record of an earlier submission with the same key.
+    /// The outcome was read from the claim record of an earlier submission with the same
+    /// idempotency key.
     #[display("outcome {outcome} taken from the claim's record")]
     Recorded {
         /// Outcome of the earlier submission.
         outcome: Outcome,
     },
-    /// This instance refused it.
+    /// This instance refused the request.
     #[display("refused: {code}")]
     Refused {
-        /// Stable error code, as the caller sees it.
+        /// Stable error code sent to the caller.
         code: Name,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     #[display("caller left")]
     CallerLeft,
     /// The caller's deadline passed.
     #[display("deadline passed")]
     DeadlinePassed,
-    /// Its final outcome was decided.
+    /// The final outcome was decided.
     #[display("closed: {outcome}")]
     Closed {
         /// The outcome.
@@ -101,17 +102,17 @@
     },
 }
 
-/// One recorded event.
+/// A recorded event with its time.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("{at_ms} {event}")]
 pub struct Step {
     /// Unix time, in milliseconds.
     pub at_ms: Millis,
-    /// What happened.
+    /// The event.
     pub event: Event,
 }
 
-/// Tokens of a whole answer; nothing for a plain service, which has none.
+/// Formats the number of tokens of the answer; empty for a plain service, which has none.
 fn total_tokens_suffix(tokens: u32) -> String {
     match tokens {
         0 => String::new(),
--- a/policy/src/journal/frame.rs
+++ b/policy/src/journal/frame.rs
@@ -1,19 +1,19 @@
-//! Which frames of an upstream belong to the caller's answer.
+//! Matching of upstream frames to the caller's answer.
 //!
-//! Frames may come late, crossed or twice: from an attempt that was cancelled and went on, from
-//! a connection that was used for another request, or from an upstream at fault. A frame is
-//! taken only if request, attempt and index all match; else it is counted and dropped, and the
-//! driver closes the connection that it came on.
+//! Frames may be late, duplicated or belong to another request: from an attempt that continued
+//! after its cancellation, from a connection that was used for another request, or from a faulty
+//! upstream. A frame is accepted only if its request, attempt and index all match; otherwise it is
+//! counted and dropped, and the driver closes the connection that it was received on.
 
 use super::{AttemptState, Journal};
 use derive_more::Display;
 
-/// What a frame says of itself.
+/// Identification that a frame carries.
 #[derive(Clone, Copy, Debug)]
 pub struct Frame<'a> {
-    /// Request id that it carries.
+    /// Request id.
     pub request: &'a str,
-    /// Attempt number that it carries.
+    /// Attempt number.
     pub attempt: u32,
 }
 
@@ -21,43 +21,43 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Verdict {
-    /// It is the next one of the answer.
+    /// The frame is the next one of the answer.
     Accept,
-    /// It is not: drop it and close its connection.
+    /// The frame does not belong to the answer: drop it and close its connection.
     Drop(DropReason),
 }
 
 /// Why a frame was dropped.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum DropReason {
-    /// It carries another request's id.
+    /// The frame carries the id of another request.
     #[display("other request")]
     OtherRequest,
-    /// Its attempt was never handed over.
+    /// Its attempt was never dispatched.
     #[display("attempt not handed")]
     NotDispatched,
-    /// A newer attempt was handed over since.
+    /// A newer attempt has been dispatched.
     #[display("stale attempt")]
     StaleAttempt,
-    /// Its attempt is over.
+    /// Its attempt is already over.
     #[display("attempt is over")]
     AttemptOver,
-    /// The caller has this token already.
+    /// The caller already has this token.
     #[display("token repeated")]
     Repeated,
     /// A token before this one is missing.
     #[display("token skipped")]
     Skipped,
-    /// The end counts another number of tokens than the caller has.
+    /// The end frame's token count differs from the number of tokens that the caller has.
     #[display("end does not match the tokens")]
     WrongLength,
-    /// The request's outcome was told already.
+    /// The outcome of the request was already reported.
     #[display("request is closed")]
     Closed,
 }
 
 impl Journal {
-    /// Whether a token frame is the next token of the answer. Counts it where it is not.
+    /// Checks that a token frame is the next token of the answer. A dropped frame is counted.
     pub fn accept(&mut self, frame: Frame<'_>, index: u32) -> Verdict {
         let reason = self
             .mismatch(frame)
@@ -69,7 +69,7 @@
         self.verdict(reason)
     }
 
-    /// Whether an end frame ends this answer with the tokens that the caller has.
+    /// Checks that an end frame ends this answer with the number of tokens that the caller has.
     pub fn accept_end(&mut self, frame: Frame<'_>, tokens: u32) -> Verdict {
         let reason = self
             .mismatch(frame)
@@ -77,7 +77,7 @@
         self.verdict(reason)
     }
 
-    /// Whether another frame, such as "broke off", is of the newest attempt.
+    /// Checks that a frame of any other kind, such as a failure, belongs to the latest attempt.
     pub fn accept_other(&mut self, frame: Frame<'_>) -> Verdict {
         let reason = self.mismatch(frame);
         self.verdict(reason)
@@ -90,8 +90,8 @@
         if self.closed.is_some() {
             return Some(DropReason::Closed);
         }
-        let newest = self.attempts.last().map_or(0, |a| a.number);
-        if frame.attempt < newest {
+        let latest = self.attempts.last().map_or(0, |a| a.number);
+        if frame.attempt < latest {
             return Some(DropReason::StaleAttempt);
         }
         match self.attempt(frame.attempt).map(|a| a.state) {
--- a/policy/src/journal/verify.rs
+++ b/policy/src/journal/verify.rs
@@ -1,66 +1,66 @@
-//! Checks each event against the ones before it and names the one at fault.
+//! Checks each event of a journal against the earlier ones.
 
-use super::{AttemptState, Event, Idempotency, Journal, MAX_ATTEMPTS};
+use super::{AttemptState, End, Event, Idempotency, Journal, MAX_ATTEMPTS};
 use crate::prelude::*;
 use derive_more::{Display, Error};
 
-/// Which invariant an event violates.
+/// Invariant that an event violates.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum Fault {
-    /// The attempt's number is not greater than the ones handed over before.
+    /// The attempt number is not greater than those dispatched before.
     #[display("attempt {attempt} handed over twice or out of order")]
     DispatchedTwice {
         /// Attempt number.
         attempt: u32,
     },
-    /// Non-idempotent work handed over again while an earlier attempt may have run.
+    /// Non-idempotent work is dispatched again although an earlier attempt may have run.
     #[display("attempt {attempt} repeats non-idempotent work that may have run")]
     RepeatedNonIdempotent {
         /// Attempt number.
         attempt: u32,
     },
-    /// Handed over while the attempt before it is still open.
+    /// The attempt is dispatched while the previous attempt is still open.
     #[display("attempt {attempt} handed over while the one before it is open")]
     StillOpen {
         /// Attempt number.
         attempt: u32,
     },
-    /// Handed over after an attempt gave the end of the answer.
+    /// The attempt is dispatched after an earlier attempt received the end of the answer.
     #[display("attempt {attempt} handed over after the answer had ended")]
     DispatchedAfterEnd {
         /// Attempt number.
         attempt: u32,
     },
-    /// More than [`MAX_ATTEMPTS`].
+    /// The request has more than [`MAX_ATTEMPTS`] attempts.
     #[display("attempt {attempt} is over the bound of attempts")]
     TooManyAttempts {
         /// Attempt number.
         attempt: u32,
     },
-    /// The event concerns an attempt that was never handed over.
+    /// The event refers to an attempt that was never dispatched.
     #[display("attempt {attempt} was never handed over")]
     NeverDispatched {
         /// Attempt number.
         attempt: u32,
     },
-    /// The event concerns an attempt that is over.
+    /// The event refers to an attempt that is already over.
     #[display("attempt {attempt} is over already")]
     AttemptOver {
         /// Attempt number.
         attempt: u32,
     },
-    /// A refusal after the attempt gave tokens.
+    /// The attempt is refused after it produced tokens.
     #[display("attempt {attempt} refused after it gave tokens")]
     RefusedAfterTokens {
         /// Attempt number.
         attempt: u32,
     },
-    /// The caller has this token already.
+    /// The caller already has this token.
     #[display("token {index} repeats: the caller has {expected}")]
     TokenRepeated {
         /// Index of the token.
         index: u32,
-        /// Index that comes next.
+        /// Expected index.
         expected: u32,
     },
     /// A token before this one is missing.
@@ -68,33 +68,33 @@
     TokenSkipped {
         /// Index of the token.
         index: u32,
-        /// Index that comes next.
+        /// Expected index.
         expected: u32,
     },
-    /// The end counts another number of tokens than the caller has.
+    /// The token count of the end differs from the number of tokens that the caller has.
     #[display("end with {tokens} tokens, the caller has {given}")]
     WrongLength {
-        /// Tokens that the end counts.
+        /// Token count of the end.
         tokens: u32,
-        /// Tokens given.
+        /// Tokens that the caller has.
         given: u32,
     },
-    /// The outcome told is not the one that the journal decides.
+    /// The reported outcome is not one that the journal decides.
     #[display("closed as {told}, which the journal does not bear out")]
     WrongOutcome {
-        /// Outcome told.
+        /// Reported outcome.
         told: Outcome,
     },
-    /// An earlier submission's outcome taken for a request that was handed over itself, or the
-    /// other way round: one of the two outcomes would be lost.
+    /// The request both takes its outcome from an earlier submission and is dispatched itself, so
+    /// one of the two outcomes would be lost.
     #[display("both handed over and answered from a claim's record")]
     RecordedAndDispatched,
-    /// The event comes after the outcome was told.
+    /// The event comes after the outcome was reported.
     #[display("comes after the outcome was told")]
     AfterClose,
 }
 
-/// The event of a history that violates an invariant.
+/// An event of a history that violates an invariant.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("event {position} ({event}): {fault}")]
 pub struct Violation {
@@ -102,15 +102,15 @@
     pub position: usize,
     /// The event.
     pub event: Event,
-    /// Invariant violated.
+    /// The violated invariant.
     pub fault: Fault,
 }
 
-/// Replays a request's history and names the first event that violates an invariant.
+/// Replays the history of a request into a journal.
 ///
 /// # Errors
 ///
-/// The violation.
+/// Returns the first event that violates an invariant.
 pub fn verify(idempotency: Idempotency, history: &[Event]) -> Result<Journal, Violation> {
     let mut journal = Journal::open("".into(), idempotency, 0);
     for (position, event) in history.iter().enumerate() {
@@ -155,7 +155,8 @@
         }
     }
 
-    /// After the close only the fate of an attempt that was open may still be learned.
+    /// Checks an event of a closed journal: only the result of an open attempt may still be
+    /// recorded, besides the caller's disconnection and deadline.
     fn check_closed(&self, event: &Event) -> Result<(), Fault> {
         match event {
             Event::CallerLeft | Event::DeadlinePassed => Ok(()),
@@ -227,9 +228,9 @@
         }
     }
 
-    /// A history's last event may only tell what the journal decides for one of the two ends.
+    /// Checks that a reported outcome is the one that the journal decides for either [`End`].
     fn check_outcome(&self, told: Outcome) -> Result<(), Fault> {
-        let consistent = [super::End::Complete, super::End::GivenUp]
+        let consistent = [End::Complete, End::GivenUp]
             .iter()
             .any(|end| self.outcome(*end) == told);
         match consistent {
--- a/policy/tests/journal.rs
+++ b/policy/tests/journal.rs
@@ -1,11 +1,12 @@
-//! The journal: outcomes, violations and frames, from the text cases in `cases/journal`.
+//! Tests of the request journal: outcomes, violations and frames, mostly from the case files in
+//! `cases/journal`.
 
 use googletest::prelude::*;
 use jacinthweir_policy::journal::*;
 use jacinthweir_policy::prelude::*;
 use std::path::Path;
 
-/// One case: a block of a text file.
+/// One case of a case file.
 struct Case {
     name: String,
     idempotency: Idempotency,
@@ -31,7 +32,7 @@
                 "non-idempotent" => case.idempotency = Idempotency::NonIdempotent,
                 _ => case.lines.push(line.to_owned()),
             },
-            (None, None) => panic!("{file}: a line before the first case"),
+            (None, None) => panic!("{file}: line before the first `case`"),
         }
     }
     cases
@@ -43,7 +44,7 @@
         "not_run" => Outcome::NotRun,
         "failed" => Outcome::Failed,
         "unknown" => Outcome::Unknown,
-        _ => panic!("no such outcome: {text}"),
+        _ => panic!("unknown outcome: {text}"),
     }
 }
 
@@ -83,12 +84,12 @@
         },
         "caller-left" => Event::CallerLeft,
         "deadline" => Event::DeadlinePassed,
-        _ => panic!("no such event: {line}"),
+        _ => panic!("unknown event: {line}"),
     }
 }
 
-/// What a frame line says of its frame, and what is expected.
-fn frame(journal: &mut Journal, line: &str, expected: &str, name: &str) {
+/// Checks a frame line of a case against its expected verdict.
+fn check_frame(journal: &mut Journal, line: &str, expected: &str, name: &str) {
     let words: Vec<&str> = line.split_whitespace().collect();
     let frame = Frame {
         request: words[1],
@@ -132,11 +133,11 @@
                 return;
             }
             _ if what.starts_with("frame ") || what.starts_with("end ") => {
-                frame(&mut journal, what, expected, name);
+                check_frame(&mut journal, what, expected, name);
             }
             _ => {
                 history.push(event(what));
-                // A fault is looked at by the case's "fault" line.
+                // The `fault` line of the case checks the fault.
                 let _ = journal.record(0, event(what));
             }
         }
@@ -145,7 +146,7 @@
 }
 
 #[gtest]
-fn text_cases() {
+fn case_files() {
     for file in ["outcomes.txt", "violations.txt", "frames.txt"] {
         let cases = cases(file);
         expect_that!(cases.len(), gt(5));
@@ -155,22 +156,23 @@
     }
 }
 
-/// A "not run" that was told stays true: a driver that wakes up late can't hand over any more.
+/// A driver that is delayed until after the outcome was reported must not dispatch, so that a
+/// reported "not run" stays true.
 #[gtest]
-fn nothing_is_handed_over_after_the_outcome_was_told() {
+fn nothing_is_dispatched_after_the_outcome_was_reported() {
     let mut journal = Journal::open("r1".into(), Idempotency::NonIdempotent, 0);
     expect_that!(journal.close(1, End::GivenUp), eq(Outcome::NotRun));
-    let handed = Event::Dispatched {
+    let dispatched = Event::Dispatched {
         attempt: 1,
         upstream: "u".into(),
     };
-    expect_that!(journal.record(2, handed), err(eq(Fault::AfterClose)));
+    expect_that!(journal.record(2, dispatched), err(eq(Fault::AfterClose)));
     expect_that!(journal.close(3, End::Complete), eq(Outcome::NotRun));
 }
 
-/// A long answer over many attempts doesn't make the journal grow, and its last step is kept.
+/// The journal does not grow with a long answer over many attempts and still stores its last step.
 #[gtest]
-fn its_size_is_bounded() {
+fn journal_size_is_bounded() {
     let mut journal = Journal::open("r".into(), Idempotency::Idempotent, 0);
     for attempt in 1..=MAX_ATTEMPTS as u32 {
         let upstream = "u".into();
