--- a/policy/src/schema.rs
+++ b/policy/src/schema.rs
@@ -1,8 +1,8 @@
-//! The schema: what operators declare.
+//! The schema: the operators' declarations of models, services, upstreams and organisations.
 //!
-//! This module has the declarations as written in the schema file. Unknown fields are errors.
-//! Units stand in the field names. Below it: reading and verifying a file, the difference of two
-//! schemas, and the compiled form that decisions use.
+//! This module defines the declarations as written in the schema file. Unknown fields are errors,
+//! and field names include their units. The submodules parse and verify a file, compute the
+//! difference between two schemas, and compile a schema into the form that decisions use.
 
 pub mod compiled;
 pub mod diff;
@@ -20,29 +20,30 @@
 
 use crate::time::Name;
 
-/// Group name of the entry instances in the platform's list; no upstream group may have it.
+/// Group name of the entry instances in the platform's list. Reserved: no upstream group may use
+/// it.
 pub const ENTRY_GROUP: &str = "jacinthweir";
 
-/// A whole schema file.
+/// The contents of a schema file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Schema {
-    /// Kinds of accelerator and what they can do.
+    /// Accelerator kinds with their speed and memory.
     #[serde(default)]
     pub accelerators: Vec<AcceleratorDecl>,
     /// Models that can be served.
     #[serde(default)]
     pub models: Vec<ModelDecl>,
-    /// Models under the names that callers use.
+    /// Models under their public names.
     #[serde(default)]
     pub pipelines: Vec<PipelineDecl>,
     /// Plain services beside the models.
     #[serde(default)]
     pub services: Vec<ServiceDecl>,
-    /// Groups of upstreams; which instances belong to a group comes from the platform's list.
+    /// Groups of upstreams. The platform's list says which instances belong to a group.
     #[serde(default)]
     pub upstreams: Vec<UpstreamDecl>,
-    /// Organisations with their keys, priorities and shares.
+    /// Organisations with their keys, priorities and weights.
     #[serde(default)]
     pub organisations: Vec<OrgDecl>,
 }
@@ -53,7 +54,7 @@
 pub struct AcceleratorDecl {
     /// Name, as runners report it.
     pub kind: Name,
-    /// Speed against the reference kind, in percent (100: as fast as the reference).
+    /// Speed relative to the reference accelerator, in percent (100: equal speed).
     pub speed_percent: u32,
     /// Memory for weights and cache, in bytes.
     pub memory_bytes: u64,
@@ -65,13 +66,13 @@
 pub struct ModelDecl {
     /// Name, as runners report it.
     pub name: Name,
-    /// Number of layers; a pipeline's stages cover `[0, layers)`.
+    /// Number of layers. The stages of a pipeline cover `[0, layers)`.
     pub layers: u32,
     /// Size of one layer's weights, in bytes.
     pub bytes_per_layer: u64,
-    /// Time one layer takes for one token on the reference accelerator, in nanoseconds.
+    /// Time to run one layer for one token on the reference accelerator, in nanoseconds.
     pub nanos_per_layer: u64,
-    /// Size of one token's activations between two stages, in bytes.
+    /// Size of the activations of one token between two stages, in bytes.
     pub activation_bytes: u64,
 }
 
@@ -81,11 +82,11 @@
 pub struct PipelineDecl {
     /// Public name.
     pub name: Name,
-    /// Name of the model behind it.
+    /// Name of the model that it runs.
     pub model: Name,
-    /// The most tokens one request may generate.
+    /// Maximum number of tokens that one request may generate.
     pub max_tokens: u32,
-    /// Deadline of a request that states none, in milliseconds.
+    /// Deadline of a request that does not specify one, in milliseconds.
     pub default_deadline_ms: u64,
 }
 
@@ -95,7 +96,7 @@
 pub struct ServiceDecl {
     /// Name, as in `/v1/services/{service}/{call}`.
     pub name: Name,
-    /// Calls it takes; any other is refused.
+    /// Accepted calls; any other call is refused.
     pub calls: Vec<CallDecl>,
 }
 
@@ -105,9 +106,9 @@
 pub struct CallDecl {
     /// Name, as in `/v1/services/{service}/{call}`.
     pub name: Name,
-    /// Whether it may be repeated. Has no default: operators must decide.
+    /// Whether the call may be executed again. Has no default, so that operators must decide.
     pub idempotent: bool,
-    /// Deadline of a call that states none, in milliseconds.
+    /// Deadline of a call that does not specify one, in milliseconds.
     pub default_deadline_ms: u64,
 }
 
@@ -117,22 +118,22 @@
 pub struct UpstreamDecl {
     /// Group name, as in the platform's list of instances.
     pub group: Name,
-    /// What its instances do.
+    /// What its instances serve.
     pub serves: Serves,
-    /// Whether its instances refuse an order that carries an old fencing number.
+    /// Whether its instances refuse an order with an outdated fencing token.
     pub checks_fencing: bool,
 }
 
-/// What the instances of an upstream group do.
+/// What the instances of an upstream group serve.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub enum Serves {
-    /// Run layer ranges of models on accelerators of a kind.
+    /// Layer ranges of models, on accelerators of one kind.
     Layers {
         /// Accelerator kind.
         accelerator: Name,
     },
-    /// Answer the calls of a plain service.
+    /// The calls of a plain service.
     Service {
         /// Service name.
         service: Name,
@@ -147,16 +148,16 @@
     pub name: Name,
     /// Priority class: 0 is served first, [`OrgDecl::LOWEST_PRIORITY`] last.
     pub priority: u8,
-    /// Share against the other organisations of the same priority.
+    /// Weight for fair sharing among the organisations of the same priority.
     pub weight: u32,
-    /// SHA-256 of each key its callers may use, as 64 hexadecimal digits.
+    /// SHA-256 of each API key that its callers may use, as 64 hexadecimal digits.
     pub key_sha256: Vec<Name>,
-    /// The most requests in flight over all instances; absent: no limit.
+    /// Maximum number of requests in flight over all instances; absent: no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_in_flight: Option<u32>,
 }
 
 impl OrgDecl {
-    /// The last priority class.
+    /// The lowest priority class, which is served last.
     pub const LOWEST_PRIORITY: u8 = 9;
 }
--- a/policy/src/schema/compiled.rs
+++ b/policy/src/schema/compiled.rs
@@ -1,8 +1,8 @@
 //! A verified schema in the form that decisions use.
 //!
-//! Names are resolved to dense indices once, when a revision is put in force. Indices belong to
-//! one `CompiledSchema`: another revision may give the same organisation another index, so what
-//! outlives a revision is kept by name.
+//! Names are resolved to dense indices once, when a revision takes effect. An index is valid for
+//! one `CompiledSchema` only: another revision may assign a different index to the same
+//! organisation, so state that outlives a revision is keyed by name.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
@@ -21,11 +21,11 @@
 pub struct Pipeline {
     /// Public name.
     pub name: Name,
-    /// The model behind it.
+    /// The model that it runs.
     pub model: ModelId,
-    /// The most tokens one request may generate.
+    /// Maximum number of tokens that one request may generate.
     pub max_tokens: u32,
-    /// Deadline of a request that states none, in milliseconds.
+    /// Deadline of a request that does not specify one, in milliseconds.
     pub default_deadline_ms: u64,
 }
 
@@ -45,9 +45,9 @@
     pub name: Name,
     /// Priority class: 0 is served first.
     pub priority: u8,
-    /// Share against the other organisations of the same priority.
+    /// Weight for fair sharing among the organisations of the same priority.
     pub weight: u32,
-    /// The most requests in flight over all instances; absent: no limit.
+    /// Maximum number of requests in flight over all instances; absent: no limit.
     pub max_in_flight: Option<u32>,
 }
 
@@ -56,18 +56,18 @@
 pub struct Group {
     /// Name, as in the platform's list of instances.
     pub name: Name,
-    /// What its instances do.
+    /// What its instances serve.
     pub serves: GroupServes,
-    /// Whether its instances refuse an order that carries an old fencing number.
+    /// Whether its instances refuse an order with an outdated fencing token.
     pub checks_fencing: bool,
 }
 
-/// What the instances of a group do.
+/// What the instances of a group serve.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GroupServes {
-    /// Run layer ranges on accelerators of a kind.
+    /// Layer ranges of models, on accelerators of one kind.
     Layers(AcceleratorDecl),
-    /// Answer the calls of a plain service.
+    /// The calls of a plain service.
     Service(ServiceId),
 }
 
@@ -81,7 +81,7 @@
     services: PrimaryMap<ServiceId, Service>,
     orgs: PrimaryMap<OrgId, Org>,
     groups: BTreeMap<Name, Group>,
-    // Looked up, never iterated: the order of a hash map must not decide anything.
+    // Only looked up, never iterated: decisions must not depend on hash map iteration order.
     models_by_name: HashMap<Name, ModelId>,
     pipelines_by_name: HashMap<Name, PipelineId>,
     services_by_name: HashMap<Name, ServiceId>,
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     ///
-    /// Every finding of [`verify`].
+    /// Returns all findings of [`verify`].
     pub fn compile(source: Arc<Schema>) -> Result<Self, Vec<Finding>> {
         let findings = verify(&source);
         if !findings.is_empty() {
@@ -185,72 +185,72 @@
         }
     }
 
-    /// The schema as declared.
+    /// Returns the schema as declared.
     pub fn source(&self) -> &Arc<Schema> {
         &self.source
     }
 
-    /// What an accelerator of a kind can do.
+    /// Returns the declaration of an accelerator kind.
     pub fn accelerator(&self, kind: &str) -> Option<&AcceleratorDecl> {
         self.accelerators.get(kind)
     }
 
-    /// Models in the order of their indices.
+    /// Returns the models in index order.
     pub fn models(&self) -> &PrimaryMap<ModelId, ModelDecl> {
         &self.models
     }
 
-    /// Pipelines in the order of their indices.
+    /// Returns the pipelines in index order.
     pub fn pipelines(&self) -> &PrimaryMap<PipelineId, Pipeline> {
         &self.pipelines
     }
 
-    /// Plain services in the order of their indices.
+    /// Returns the plain services in index order.
     pub fn services(&self) -> &PrimaryMap<ServiceId, Service> {
         &self.services
     }
 
-    /// Organisations in the order of their indices.
+    /// Returns the organisations in index order.
     pub fn orgs(&self) -> &PrimaryMap<OrgId, Org> {
         &self.orgs
     }
 
-    /// Upstream groups by name.
+    /// Returns the upstream groups by name.
     pub fn groups(&self) -> &BTreeMap<Name, Group> {
         &self.groups
     }
 
-    /// The upstream group of a name.
+    /// Looks up an upstream group by name.
     pub fn group(&self, name: &str) -> Option<&Group> {
         self.groups.get(name)
     }
 
-    /// The model of a name.
+    /// Looks up a model by name.
     pub fn model_named(&self, name: &str) -> Option<ModelId> {
         self.models_by_name.get(name).copied()
     }
 
-    /// The pipeline of a name.
+    /// Looks up a pipeline by its public name.
     pub fn pipeline_named(&self, name: &str) -> Option<PipelineId> {
         self.pipelines_by_name.get(name).copied()
     }
 
-    /// The plain service of a name.
+    /// Looks up a plain service by name.
     pub fn service_named(&self, name: &str) -> Option<ServiceId> {
         self.services_by_name.get(name).copied()
     }
 
-    /// A call of a plain service.
+    /// Looks up a call of a plain service by name.
     pub fn call(&self, service: ServiceId, call: &str) -> Option<&CallDecl> {
         self.services[service].calls.get(call)
     }
 
-    /// The organisation of a name.
+    /// Looks up an organisation by name.
     pub fn org_named(&self, name: &str) -> Option<OrgId> {
         self.orgs_by_name.get(name).copied()
     }
 
-    /// The organisation that a key with this hash belongs to.
+    /// Looks up an organisation by the hash of one of its API keys.
     pub fn org_by_key(&self, hash: &KeyHash) -> Option<OrgId> {
         self.orgs_by_key.get(hash).copied()
     }
--- a/policy/src/schema/diff.rs
+++ b/policy/src/schema/diff.rs
@@ -8,37 +8,37 @@
 };
 use crate::time::Name;
 
-/// Digits of a key's hash that are shown.
+/// Number of digits shown of the hash of an API key.
 const SHOWN_KEY_DIGITS: usize = 12;
 
-/// One entity that is added, removed or changed.
+/// Addition, removal or alteration of one entity.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum Change {
-    /// It is new.
-    #[display("+ {what}{}", Listed(fields))]
+    /// The entity exists only in the new schema.
+    #[display("+ {what}{}", Parenthesized(fields))]
     Added {
         /// Kind and name.
         what: EntityName,
         /// All its fields.
         fields: Vec<Field>,
     },
-    /// It is gone.
+    /// The entity exists only in the old schema.
     #[display("- {what}")]
     Removed {
         /// Kind and name.
         what: EntityName,
     },
-    /// Some of its fields differ.
-    #[display("~ {what}: {}", Joined(fields))]
+    /// Some fields of the entity differ.
+    #[display("~ {what}: {}", CommaSeparated(fields))]
     Altered {
         /// Kind and name.
         what: EntityName,
-        /// The fields that differ.
+        /// Fields that differ.
         fields: Vec<FieldChange>,
     },
 }
 
-/// Kind and name of an entity; a call's name is `service/call`.
+/// Kind and name of an entity; the name of a call is `service/call`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, derive_more::Display)]
 #[display("{kind} {name}")]
 pub struct EntityName {
@@ -72,9 +72,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display)]
 #[display("{name} {value}")]
 pub struct Field {
-    /// Field's name in the schema.
+    /// Name of the field in the schema.
     pub name: &'static str,
-    /// Value as shown.
+    /// Displayed value.
     pub value: String,
 }
 
@@ -82,21 +82,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display)]
 #[display("{name} {old} -> {new}")]
 pub struct FieldChange {
-    /// Field's name in the schema.
+    /// Name of the field in the schema.
     pub name: &'static str,
-    /// Old value as shown.
+    /// Displayed old value.
     pub old: String,
-    /// New value as shown.
+    /// Displayed new value.
     pub new: String,
 }
 
-/// What an apply of `new` over `old` would change, in the order of kinds and names. The order
-/// of declarations has no meaning, so a mere reordering is no change.
+/// Returns the changes from `old` to `new`, sorted by kind and name.
+///
+/// The order of declarations has no meaning, so reordering alone is not a change.
 pub fn diff(old: &Schema, new: &Schema) -> Vec<Change> {
     let old = entities(old);
     let new = entities(new);
-    let gone = old.iter().filter(|(what, _)| !new.contains_key(what));
-    let mut changes: Vec<(EntityName, Change)> = gone
+    let removed = old.iter().filter(|(what, _)| !new.contains_key(what));
+    let mut changes: Vec<(EntityName, Change)> = removed
         .map(|(what, _)| (what.clone(), Change::Removed { what: what.clone() }))
         .collect();
     for (what, entity) in &new {
@@ -131,7 +132,7 @@
     (!fields.is_empty()).then_some(Change::Altered { what, fields })
 }
 
-/// An entity, borrowed from its schema.
+/// An entity borrowed from its schema.
 #[derive(PartialEq)]
 enum Entity<'a> {
     Accelerator(&'a AcceleratorDecl),
@@ -145,7 +146,7 @@
 
 fn entities(schema: &Schema) -> BTreeMap<EntityName, Entity<'_>> {
     let mut all = BTreeMap::new();
-    let mut put = |kind: Kind, name: &Name, entity| {
+    let mut insert = |kind: Kind, name: &Name, entity| {
         all.insert(
             EntityName {
                 kind,
@@ -155,32 +156,32 @@
         );
     };
     for decl in &schema.accelerators {
-        put(Kind::Accelerator, &decl.kind, Entity::Accelerator(decl));
+        insert(Kind::Accelerator, &decl.kind, Entity::Accelerator(decl));
     }
     for decl in &schema.models {
-        put(Kind::Model, &decl.name, Entity::Model(decl));
+        insert(Kind::Model, &decl.name, Entity::Model(decl));
     }
     for decl in &schema.pipelines {
-        put(Kind::Pipeline, &decl.name, Entity::Pipeline(decl));
+        insert(Kind::Pipeline, &decl.name, Entity::Pipeline(decl));
     }
     for decl in &schema.services {
-        put(Kind::Service, &decl.name, Entity::Service);
+        insert(Kind::Service, &decl.name, Entity::Service);
         for call in &decl.calls {
             let name = format!("{}/{}", decl.name, call.name).into();
-            put(Kind::Call, &name, Entity::Call(call));
+            insert(Kind::Call, &name, Entity::Call(call));
         }
     }
     for decl in &schema.upstreams {
-        put(Kind::Upstream, &decl.group, Entity::Upstream(decl));
+        insert(Kind::Upstream, &decl.group, Entity::Upstream(decl));
     }
     for decl in &schema.organisations {
-        put(Kind::Organisation, &decl.name, Entity::Organisation(decl));
+        insert(Kind::Organisation, &decl.name, Entity::Organisation(decl));
     }
     all
 }
 
 impl Entity<'_> {
-    /// Every field but the name, always in the same order.
+    /// Returns every field except the name, in a fixed order.
     fn fields(&self) -> Vec<Field> {
         match self {
             Entity::Accelerator(a) => vec![
@@ -241,22 +242,22 @@
     format!("[{}]", shown.join(" "))
 }
 
-/// Shows fields as ` (a 1, b 2)`, or nothing.
-struct Listed<'a>(&'a [Field]);
+/// Displays fields as ` (a 1, b 2)`, or as an empty string if there are none.
+struct Parenthesized<'a>(&'a [Field]);
 
-impl fmt::Display for Listed<'_> {
+impl fmt::Display for Parenthesized<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             [] => Ok(()),
-            fields => write!(f, " ({})", Joined(fields)),
+            fields => write!(f, " ({})", CommaSeparated(fields)),
         }
     }
 }
 
-/// Shows items with commas between them.
-struct Joined<'a, T>(&'a [T]);
+/// Displays items separated by commas.
+struct CommaSeparated<'a, T>(&'a [T]);
 
-impl<T: fmt::Display> fmt::Display for Joined<'_, T> {
+impl<T: fmt::Display> fmt::Display for CommaSeparated<'_, T> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (i, item) in self.0.iter().enumerate() {
             let comma = if i == 0 { "" } else { ", " };
--- a/policy/src/schema/key.rs
+++ b/policy/src/schema/key.rs
@@ -1,16 +1,16 @@
-//! Hashes of callers' keys.
+//! Hashes of callers' API keys.
 
 use sha2::{Digest, Sha256};
 
-/// SHA-256 of a caller's key.
+/// SHA-256 of a caller's API key.
 pub type KeyHash = [u8; 32];
 
-/// The hash under which a key stands in the schema.
+/// Returns the hash by which the schema identifies an API key.
 pub fn hash(key: &str) -> KeyHash {
     Sha256::digest(key.as_bytes()).into()
 }
 
-/// Reads 64 hexadecimal digits.
+/// Parses a hash of 64 hexadecimal digits.
 pub fn parse(digits: &str) -> Option<KeyHash> {
     let mut hash = KeyHash::default();
     hex::decode_to_slice(digits, &mut hash).ok()?;
--- a/policy/src/schema/parse.rs
+++ b/policy/src/schema/parse.rs
@@ -1,16 +1,16 @@
-//! From the text of a schema file to a verified schema.
+//! Parsing of a schema file into a verified schema.
 
 use jacinthweir_document::{Document, Fault, MAX_FAULTS};
 
 use super::Schema;
 use super::verify::verify;
 
-/// Reads and verifies the text of a schema file.
+/// Parses and verifies the text of a schema file.
 ///
 /// # Errors
 ///
-/// The faults of the text's form; where it has none, those of its content, each with its line
-/// ([`MAX_FAULTS`] at most).
+/// Returns the faults of syntax and types or, if there are none, those found by [`verify`], each
+/// with its line. At most [`MAX_FAULTS`] faults are returned.
 pub fn parse_schema(text: &str) -> Result<Schema, Vec<Fault>> {
     let doc = Document::parse(text)?;
     let schema: Schema = doc.read()?;
--- a/policy/tests/schema_cases.rs
+++ b/policy/tests/schema_cases.rs
@@ -1,4 +1,5 @@
-//! Case files of the schema: each has its input, a line `---`, and the lines that must come out.
+//! Tests of schema verification and differences by case files. Each file has its input, a line
+//! `---`, and the expected output lines.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -6,11 +7,11 @@
 use googletest::prelude::*;
 use jacinthweir_policy::schema::{CompiledSchema, diff, key, parse_schema};
 
-/// Files of a folder below `tests/cases`, in order.
-fn cases(folder: &str) -> Vec<PathBuf> {
+/// Returns the files of a directory below `tests/cases`, sorted by name.
+fn cases(dir: &str) -> Vec<PathBuf> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/cases")
-        .join(folder);
+        .join(dir);
     let mut files: Vec<PathBuf> = std::fs::read_dir(root)
         .unwrap()
         .map(|entry| entry.unwrap().path())
@@ -32,7 +33,7 @@
 }
 
 #[gtest]
-fn faults_of_a_schema() {
+fn faulty_schemas_give_the_expected_faults() {
     for file in cases("schema") {
         let sections = sections(&file);
         let faults = parse_schema(&sections[0]).err().unwrap_or_default();
@@ -42,7 +43,7 @@
 }
 
 #[gtest]
-fn difference_of_two_schemas() {
+fn diff_lists_the_expected_changes() {
     for file in cases("diff") {
         let sections = sections(&file);
         let old = parse_schema(&sections[0]).unwrap();
@@ -108,14 +109,14 @@
 }
 
 #[gtest]
-fn the_number_of_entries_is_bounded() {
+fn number_of_entries_is_bounded() {
     let accelerator = r#"{"kind": "k", "speed_percent": 1, "memory_bytes": 1}"#;
     let text = format!(
         r#"{{"accelerators": [{}]}}"#,
         vec![accelerator; 1001].join(",")
     );
     let faults = parse_schema(&text).unwrap_err();
-    let wanted = "line 1: accelerators: 1001 entries, but 1000 is the most";
-    expect_that!(faults[0].to_string(), eq(wanted));
+    let expected = "line 1: accelerators: 1001 entries, but 1000 is the most";
+    expect_that!(faults[0].to_string(), eq(expected));
     expect_that!(faults, len(eq(1)));
 }
--- a/policy/tests/schema_random.rs
+++ b/policy/tests/schema_random.rs
@@ -1,5 +1,5 @@
-//! Random schemas: what is written reads back, splits and joins to the same, and a difference
-//! leads from the one to the other.
+//! Property tests of schemas: a serialized schema parses to an equal one, its parts join to an
+//! equal one, and differences are symmetric.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -95,9 +95,9 @@
 proptest! {
     #![proptest_config(deterministic())]
 
-    /// Operators get back by `jwctl` what they wrote.
+    /// A schema that an operator reads back with `jwctl` equals the one that was applied.
     #[test]
-    fn a_schema_reads_back_as_written(schema in schema()) {
+    fn serialized_schema_parses_to_an_equal_schema(schema in schema()) {
         prop_assert_eq!(verify(&schema), vec![]);
         let text = serde_json::to_string_pretty(&schema).unwrap();
         prop_assert_eq!(&parse_schema(&text).unwrap(), &schema);
@@ -108,7 +108,8 @@
         }
     }
 
-    /// What an instance joins is what was committed, and the order in the file has no meaning.
+    /// An instance that joins the parts obtains the committed schema, and the order of declarations
+    /// does not affect the content hash.
     #[test]
     fn parts_join_to_an_equal_schema(schema in schema()) {
         let parts = split(&schema).unwrap();
@@ -122,17 +123,18 @@
         prop_assert_eq!(content_of(&again), content_of(&refs));
     }
 
-    /// The same entities are added one way and removed the other, and none is named twice.
+    /// Entities added in one direction are removed in the other, and equal contents have no
+    /// difference.
     #[test]
-    fn a_difference_reverses(old in schema(), new in schema()) {
-        let (there, back) = (diff(&old, &new), diff(&new, &old));
+    fn diff_is_symmetric(old in schema(), new in schema()) {
+        let (forward, backward) = (diff(&old, &new), diff(&new, &old));
         let named = |changes: &[Change], which: fn(&Change) -> Option<String>| {
             changes.iter().filter_map(which).collect::<Vec<_>>()
         };
-        prop_assert_eq!(named(&there, added), named(&back, removed));
-        prop_assert_eq!(named(&there, removed), named(&back, added));
-        prop_assert_eq!(there.len(), back.len());
-        prop_assert_eq!(there.is_empty(), content(&old) == content(&new));
+        prop_assert_eq!(named(&forward, added), named(&backward, removed));
+        prop_assert_eq!(named(&forward, removed), named(&backward, added));
+        prop_assert_eq!(forward.len(), backward.len());
+        prop_assert_eq!(forward.is_empty(), content(&old) == content(&new));
     }
 }
 
