--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -1,8 +1,8 @@
-//! Every decision of the router, free of input and output.
+//! Decision logic of the router, without input or output.
 //!
-//! Nothing here opens a socket, reads a clock or draws from a global random source: time,
-//! randomness and every answer from outside come in as arguments, so the same inputs give the
-//! same run. Modules are state machines of the form `(now, event) -> actions`.
+//! Nothing here opens a socket, reads a clock or uses a global random source: time, randomness
+//! and external responses are passed as arguments, so that runs are reproducible. Modules are
+//! state machines of the form `(now, event) -> actions`.
 
 pub mod admission;
 pub mod claim;
--- a/policy/src/prelude.rs
+++ b/policy/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types that nearly every module of the product uses.
+//! Common types used by most modules of the workspace.
 
 pub use crate::entity::{DomainId, ModelId, OrgId, PipelineId, RunnerId, ServiceId};
 pub use crate::outcome::Outcome;
--- a/policy/src/time.rs
+++ b/policy/src/time.rs
@@ -1,44 +1,45 @@
-//! Time and names as the policy sees them.
+//! Clock readings and shared names.
 
 use std::sync::Arc;
 
 /// A shared immutable name.
 pub type Name = Arc<str>;
 
-/// Milliseconds of a clock that the caller supplies: monotonic within one process for decisions,
-/// Unix time where a value leaves the process. Field names say which.
+/// Milliseconds of a clock supplied by the caller: the process's monotonic clock for decisions,
+/// Unix time for values that leave the process. Field names say which.
 pub type Millis = u64;
 
-/// Time since a start that also counts while the machine is suspended: at each reading it grows
-/// by the advance of the clock on which more has passed. It never runs backwards.
+/// Time elapsed since a start, including time during which the machine is suspended.
+///
+/// Each reading adds the larger advance of the two clocks, so it never decreases.
 #[derive(Clone, Copy, Debug)]
 pub struct Elapsed {
-    seen: Now,
+    last: Now,
     total_ms: Millis,
 }
 
 impl Elapsed {
-    /// Starts at 0.
+    /// Creates a reading of 0 at `start`.
     #[must_use]
     pub fn since(start: Now) -> Elapsed {
         Elapsed {
-            seen: start,
+            last: start,
             total_ms: 0,
         }
     }
 
-    /// Milliseconds since the start.
+    /// Advances to `now` and returns the milliseconds since the start.
     pub fn advance(&mut self, now: Now) -> Millis {
-        self.total_ms += now.gap_since(self.seen);
-        self.seen = now;
+        self.total_ms += now.gap_since(self.last);
+        self.last = now;
         self.total_ms
     }
 }
 
-/// Both clocks at one moment.
+/// A simultaneous reading of the monotonic clock and the wall clock.
 ///
-/// The monotonic clock may stand still while a machine is suspended, and the wall clock may be
-/// set; a process that was stopped shows on at least one of them.
+/// The monotonic clock may stop while the machine is suspended, and the wall clock may be set; a
+/// pause of the process shows on at least one of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Now {
     /// Monotonic clock of this process, in milliseconds.
@@ -48,7 +49,7 @@
 }
 
 impl Now {
-    /// Time since an earlier moment, in milliseconds, by the clock on which more has passed.
+    /// Returns the milliseconds since an earlier reading, by the clock that advanced further.
     #[must_use]
     pub fn gap_since(self, earlier: Now) -> Millis {
         let mono = self.mono_ms.saturating_sub(earlier.mono_ms);
@@ -56,7 +57,7 @@
         mono.max(unix)
     }
 
-    /// The moment `ms` milliseconds later, on both clocks.
+    /// Returns the reading `ms` milliseconds later on both clocks.
     #[must_use]
     pub fn plus(self, ms: Millis) -> Now {
         Now {
@@ -65,13 +66,13 @@
         }
     }
 
-    /// Whether `deadline` is over on either clock.
+    /// Returns whether `deadline` has passed on either clock.
     #[must_use]
     pub fn is_past(self, deadline: Now) -> bool {
         self.mono_ms >= deadline.mono_ms || self.unix_ms >= deadline.unix_ms
     }
 
-    /// The earlier of two moments, on each clock.
+    /// Returns the earlier of two readings, for each clock separately.
     #[must_use]
     pub fn earlier(self, other: Now) -> Now {
         Now {
