--- a/clients/src/direct.rs
+++ b/clients/src/direct.rs
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     /// It is longer, or the connection ended before it did.
-    pub async fn whole(self, limit: usize) -> Result<Bytes, DirectError> {
+    pub async fn collect(self, limit: usize) -> Result<Bytes, DirectError> {
         let body = Limited::new(self.incoming, limit).collect().await;
         let body = body.map_err(|e| unknown_error(&*e))?;
         Ok(body.to_bytes())
@@ -181,7 +181,7 @@
     let exchange = async {
         let res = send(address, req, timeouts.connect).await?;
         let (parts, body) = res.into_parts();
-        Ok(Response::from_parts(parts, body.whole(limit).await?))
+        Ok(Response::from_parts(parts, body.collect(limit).await?))
     };
     match timeout(timeouts.answer, exchange).await {
         Ok(answer) => answer,
--- a/plugins/relay/src/call.rs
+++ b/plugins/relay/src/call.rs
@@ -142,7 +142,7 @@
         match attempt::send(node, runner, &rq.id, req).await {
             Sent::Answer(res) => {
                 let (parts, body) = res.into_parts();
-                match body.whole(ANSWER_BYTES).await {
+                match body.collect(ANSWER_BYTES).await {
                     Ok(bytes) => Ok(Response::from_parts(parts, bytes)),
                     Err(e) => Err(Sent::Lost(e.to_string())),
                 }
