--- a/document/src/document.rs
+++ b/document/src/document.rs
@@ -6,20 +6,20 @@
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Number, Value};
 
-use crate::fault::{Fault, WHOLE};
-use crate::lines::{Below, LineStarts, Lines};
+use crate::fault::{Fault, WHOLE_DOCUMENT};
+use crate::lines::{Children, LineStarts, Lines};
 
-/// The largest text that is parsed, in bytes. A schema of 19,000 organisations with two keys each
-/// takes about 6 MB.
+/// Maximum size of a text, in bytes. A schema of 19,000 organisations with two keys each takes
+/// about 6 MB.
 pub const MAX_BYTES: usize = 16 << 20;
 
-/// The deepest nesting of arrays and objects.
+/// Maximum nesting depth of arrays and objects.
 pub const MAX_DEPTH: usize = 32;
 
-/// The most faults that are collected from one document; the rest would not be read anyway.
+/// Maximum number of faults collected from one document. Operators would not read more.
 pub const MAX_FAULTS: usize = 100;
 
-/// Beyond JSON, only comments and trailing commas are allowed.
+/// Accepts JSON with comments and trailing commas, and no other extension.
 const OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -33,7 +33,7 @@
     allow_extended_string_escapes: false,
 };
 
-/// A parsed text: its JSON value and the line of each part of it.
+/// A parsed text: its JSON value and the line number of each value in it.
 #[derive(Debug)]
 pub struct Document {
     value: Value,
@@ -45,24 +45,29 @@
     ///
     /// # Errors
     ///
-    /// The first fault of syntax, or each duplicate key, bad number and nesting beyond
-    /// [`MAX_DEPTH`], [`MAX_FAULTS`] at most; or the text is longer than [`MAX_BYTES`].
+    /// Returns a single fault if the text is longer than [`MAX_BYTES`], or the first syntax error.
+    /// Otherwise returns every duplicate key, invalid number and nesting beyond [`MAX_DEPTH`], up
+    /// to [`MAX_FAULTS`].
     pub fn parse(text: &str) -> Result<Self, Vec<Fault>> {
         if text.len() > MAX_BYTES {
             let message = format!("{} bytes, but {MAX_BYTES} is the most", text.len());
-            return Err(vec![Fault::new(1, WHOLE, &message)]);
+            return Err(vec![Fault::new(1, WHOLE_DOCUMENT, &message)]);
         }
         let root = match parse_to_ast(text, &CollectOptions::default(), &OPTIONS) {
             Ok(parsed) => parsed.value,
             Err(e) => {
                 let message = format!("column {}: {}", e.column_display(), e.kind());
-                return Err(vec![Fault::new(e.line_display(), WHOLE, &message)]);
+                return Err(vec![Fault::new(e.line_display(), WHOLE_DOCUMENT, &message)]);
             }
         };
         let Some(root) = root else {
-            return Err(vec![Fault::new(1, WHOLE, "there is nothing in it")]);
+            return Err(vec![Fault::new(
+                1,
+                WHOLE_DOCUMENT,
+                "there is nothing in it",
+            )]);
         };
-        let mut cx = Context {
+        let mut cx = Converter {
             starts: LineStarts::of(text),
             path: Vec::new(),
             faults: Vec::new(),
@@ -75,63 +80,64 @@
         }
     }
 
-    /// Reads the document into a type.
+    /// Deserializes the document into a type.
     ///
     /// # Errors
     ///
-    /// The first value that does not fit the type: unknown, missing or mistyped field.
+    /// Returns the first field that is unknown, missing or of the wrong type.
     pub fn read<T: DeserializeOwned>(&self) -> Result<T, Vec<Fault>> {
         serde_path_to_error::deserialize(&self.value).map_err(|e| {
             let path = e.path().to_string();
-            let field = if path == "." { WHOLE } else { &path };
+            let field = if path == "." { WHOLE_DOCUMENT } else { &path };
             vec![self.fault_at(field, &e.inner().to_string())]
         })
     }
 
-    /// A fault at a field such as `organisations[3].weight`. Where the field does not stand in
-    /// the document, its line is that of the nearest value above it that does.
+    /// Creates a fault at a field such as `organisations[3].weight`. If the document does not
+    /// contain the field, the line is that of its nearest ancestor that it does contain.
     pub fn fault_at(&self, field: &str, message: &str) -> Fault {
         Fault::new(self.line_of(field), field, message)
     }
 
-    /// Line, from 1, of a field such as `organisations[3].weight`, or of the nearest above it.
+    /// Returns the line, from 1, of a field such as `organisations[3].weight`, or of its nearest
+    /// ancestor in the document.
     pub fn line_of(&self, field: &str) -> usize {
         self.lines.find(field)
     }
 }
 
-/// A step of the path to the value being converted.
-enum Step {
+/// A segment of the path to the value being converted.
+enum Segment {
     Element(usize),
     Field(String),
 }
 
-/// Converts the syntax tree, and keeps the path so that a fault can name its field.
-struct Context {
+/// Converts the syntax tree and tracks the path, so that a fault can name its field.
+struct Converter {
     starts: LineStarts,
-    path: Vec<Step>,
+    path: Vec<Segment>,
     faults: Vec<Fault>,
 }
 
-impl Context {
+impl Converter {
     fn value(&mut self, node: Node<'_>) -> (Value, Lines) {
         let line = self.starts.line(node.start());
-        let (value, below) = match node {
-            Node::NullKeyword(_) => (Value::Null, Below::Nothing),
-            Node::BooleanLit(lit) => (Value::Bool(lit.value), Below::Nothing),
-            Node::StringLit(lit) => (Value::String(lit.value.into_owned()), Below::Nothing),
-            Node::NumberLit(lit) => (self.number(&lit, line), Below::Nothing),
-            // Each level of nesting is a call on the stack here, in `serde` and in dropping the
-            // value: without the limit a hostile text of brackets aborts the process by stack
-            // overflow. The parser's own limit (512) covers the parse before this point.
+        let (value, children) = match node {
+            Node::NullKeyword(_) => (Value::Null, Children::None),
+            Node::BooleanLit(lit) => (Value::Bool(lit.value), Children::None),
+            Node::StringLit(lit) => (Value::String(lit.value.into_owned()), Children::None),
+            Node::NumberLit(lit) => (self.number(&lit, line), Children::None),
+            // Nesting uses the stack here, in `serde` and when the value is dropped. Without the
+            // limit, a malicious text of brackets would abort the process by stack overflow. The
+            // parser has a limit of its own (512), which covers the parsing before this point.
             Node::Array(_) | Node::Object(_) if self.path.len() == MAX_DEPTH => {
                 self.fault(line, &format!("nested deeper than {MAX_DEPTH} levels"));
-                (Value::Null, Below::Nothing)
+                (Value::Null, Children::None)
             }
             Node::Array(array) => self.array(array),
             Node::Object(object) => self.object(object),
         };
-        (value, Lines::new(line, below))
+        (value, Lines::new(line, children))
     }
 
     fn number(&mut self, lit: &NumberLit<'_>, line: usize) -> Value {
@@ -145,38 +151,38 @@
         Value::Null
     }
 
-    fn array(&mut self, array: Array<'_>) -> (Value, Below) {
+    fn array(&mut self, array: Array<'_>) -> (Value, Children) {
         let mut values = Vec::with_capacity(array.elements.len());
         let mut lines = Vec::with_capacity(array.elements.len());
         for (i, element) in array.elements.into_iter().enumerate() {
-            self.path.push(Step::Element(i));
-            let (value, line) = self.value(element);
+            self.path.push(Segment::Element(i));
+            let (value, value_lines) = self.value(element);
             self.path.pop();
             values.push(value);
-            lines.push(line);
+            lines.push(value_lines);
         }
-        (Value::Array(values), Below::Elements(lines))
+        (Value::Array(values), Children::Elements(lines))
     }
 
-    fn object(&mut self, object: Object<'_>) -> (Value, Below) {
+    fn object(&mut self, object: Object<'_>) -> (Value, Children) {
         let mut values = Map::new();
         let mut lines = std::collections::BTreeMap::new();
         for prop in object.properties {
             let line = self.starts.line(prop.start());
             let ObjectProp { name, value, .. } = prop;
             let name = name.into_string();
-            self.path.push(Step::Field(name.clone()));
-            let (value, below) = self.value(value);
-            // Taking the last of two equal keys would silently drop what the operator declared
-            // in the first, e.g. a second `services` list replacing the one above it.
+            self.path.push(Segment::Field(name.clone()));
+            let (value, value_lines) = self.value(value);
+            // If the last of two equal keys won, the operator's first declaration would be dropped
+            // silently, e.g. if a second `services` list replaced the first one.
             if values.contains_key(&name) {
                 self.fault(line, "this key stands twice in the object");
             }
             self.path.pop();
             values.insert(name.clone(), value);
-            lines.insert(name, below);
+            lines.insert(name, value_lines);
         }
-        (Value::Object(values), Below::Fields(lines))
+        (Value::Object(values), Children::Fields(lines))
     }
 
     fn fault(&mut self, line: usize, message: &str) {
@@ -187,15 +193,15 @@
 
     fn field(&self) -> String {
         let mut field = String::new();
-        for step in &self.path {
-            match step {
-                Step::Element(i) => field.push_str(&format!("[{i}]")),
-                Step::Field(name) if field.is_empty() => field.push_str(name),
-                Step::Field(name) => field.push_str(&format!(".{name}")),
+        for segment in &self.path {
+            match segment {
+                Segment::Element(i) => field.push_str(&format!("[{i}]")),
+                Segment::Field(name) if field.is_empty() => field.push_str(name),
+                Segment::Field(name) => field.push_str(&format!(".{name}")),
             }
         }
         if field.is_empty() {
-            WHOLE.to_owned()
+            WHOLE_DOCUMENT.to_owned()
         } else {
             field
         }
--- a/document/src/fault.rs
+++ b/document/src/fault.rs
@@ -1,11 +1,12 @@
-//! One fault of a document.
+//! Faults of a document.
 
 use serde::{Deserialize, Serialize};
 
-/// The field name of a fault that concerns the document as a whole.
-pub const WHOLE: &str = "document";
+/// Field name of a fault that concerns the whole document.
+pub const WHOLE_DOCUMENT: &str = "document";
 
-/// The longest field or message of a fault, in characters: a fault may quote hostile input.
+/// Maximum length of the field and of the message of a fault, in characters. Limited because a
+/// fault may quote untrusted input.
 const MAX_QUOTED_CHARS: usize = 200;
 
 /// One fault of a document.
@@ -14,29 +15,34 @@
 pub struct Fault {
     /// Line, from 1.
     pub line: usize,
-    /// Path of the field, as `models[0].layers`.
+    /// Path of the field, such as `models[0].layers`.
     pub field: String,
-    /// What is wrong.
+    /// Description of the fault.
     pub message: String,
 }
 
 impl Fault {
-    /// A fault whose texts are cut to a bounded length and free of control characters.
+    /// Creates a fault, with its texts truncated and their control characters replaced.
     pub fn new(line: usize, field: &str, message: &str) -> Self {
         Self {
             line,
-            field: printable(field),
-            message: printable(message),
+            field: sanitize(field),
+            message: sanitize(message),
         }
     }
 }
 
-/// Replaces control characters, which could forge lines of a log or terminal, and cuts the text.
-fn printable(text: &str) -> String {
-    let clean = |c: char| if c.is_control() { '\u{fffd}' } else { c };
-    let mut short: String = text.chars().take(MAX_QUOTED_CHARS).map(clean).collect();
+/// Truncates the text and replaces control characters, which could forge lines of a log or
+/// terminal.
+fn sanitize(text: &str) -> String {
+    let replace_control = |c: char| if c.is_control() { '\u{fffd}' } else { c };
+    let mut sanitized: String = text
+        .chars()
+        .take(MAX_QUOTED_CHARS)
+        .map(replace_control)
+        .collect();
     if text.chars().nth(MAX_QUOTED_CHARS).is_some() {
-        short.push('…');
+        sanitized.push('…');
     }
-    short
+    sanitized
 }
--- a/document/src/lib.rs
+++ b/document/src/lib.rs
@@ -1,10 +1,10 @@
-//! JSON with comments read into typed values, with errors that name line and field.
+//! Deserialization of JSON with comments, with errors that name line and field.
 //!
-//! A text is parsed once into a [`Document`], which holds the plain JSON value beside a tree of
-//! line numbers of the same shape. Faults of syntax, of types and of the later semantic checks
-//! thereby all name a line. Comments and trailing commas are allowed and nothing else beyond
-//! JSON; a key that stands twice in an object is a fault. Size and nesting are bounded, so a
-//! hostile text costs a bounded amount of memory and stack.
+//! A text is parsed once into a [`Document`], which stores the plain JSON value and a tree of line
+//! numbers with the same structure, so that faults of syntax, types and later semantic checks all
+//! name a line. Comments and trailing commas are the only extensions of JSON; duplicate keys in an
+//! object are a fault. Size and nesting are limited, so that a malicious text uses a bounded amount
+//! of memory and stack.
 
 mod document;
 pub mod fault;
--- a/document/src/lines.rs
+++ b/document/src/lines.rs
@@ -1,68 +1,69 @@
-//! Line numbers of a document's values, as a tree of the same shape.
+//! Line numbers of a document's values, in a tree with the same structure.
 
 use std::collections::BTreeMap;
 
-/// Line of a value and of everything below it.
+/// Line numbers of a value and of the values nested in it.
 #[derive(Debug)]
 pub(crate) struct Lines {
     line: usize,
-    below: Below,
+    children: Children,
 }
 
-/// What is below a value.
+/// Line numbers of the values nested directly in a value.
 #[derive(Debug)]
-pub(crate) enum Below {
-    Nothing,
+pub(crate) enum Children {
+    None,
     Elements(Vec<Lines>),
     Fields(BTreeMap<String, Lines>),
 }
 
 impl Lines {
-    pub(crate) fn new(line: usize, below: Below) -> Self {
-        Self { line, below }
+    pub(crate) fn new(line: usize, children: Children) -> Self {
+        Self { line, children }
     }
 
-    /// Line of the value at `path`, as `models[0].layers`; where the path leads nowhere, the line
-    /// of the last value on it that stands in the document.
+    /// Returns the line of the value at `path`, such as `models[0].layers`. If there is no such
+    /// value, returns the line of its nearest ancestor in the document.
     pub(crate) fn find(&self, path: &str) -> usize {
-        let mut at = self;
-        for step in steps(path) {
-            match at.step(step) {
-                Some(next) => at = next,
+        let mut current = self;
+        for segment in segments(path) {
+            match current.child(segment) {
+                Some(child) => current = child,
                 None => break,
             }
         }
-        at.line
+        current.line
     }
 
-    fn step(&self, step: &str) -> Option<&Lines> {
-        match &self.below {
-            Below::Nothing => None,
-            Below::Elements(elements) => elements.get(step.parse::<usize>().ok()?),
-            Below::Fields(fields) => fields.get(step),
+    fn child(&self, segment: &str) -> Option<&Lines> {
+        match &self.children {
+            Children::None => None,
+            Children::Elements(elements) => elements.get(segment.parse::<usize>().ok()?),
+            Children::Fields(fields) => fields.get(segment),
         }
     }
 }
 
 /// Splits `models[0].layers` into `models`, `0` and `layers`.
-fn steps(path: &str) -> impl Iterator<Item = &str> {
-    path.split(['.', '[', ']']).filter(|step| !step.is_empty())
+fn segments(path: &str) -> impl Iterator<Item = &str> {
+    path.split(['.', '[', ']'])
+        .filter(|segment| !segment.is_empty())
 }
 
-/// Turns byte offsets into lines.
+/// Byte offsets of the starts of lines, to convert a byte offset to a line number.
 pub(crate) struct LineStarts(Vec<usize>);
 
 impl LineStarts {
     pub(crate) fn of(text: &str) -> Self {
-        let after_breaks = text.bytes().enumerate().filter(|(_, b)| *b == b'\n');
+        let line_breaks = text.bytes().enumerate().filter(|(_, b)| *b == b'\n');
         Self(
             std::iter::once(0)
-                .chain(after_breaks.map(|(at, _)| at + 1))
+                .chain(line_breaks.map(|(at, _)| at + 1))
                 .collect(),
         )
     }
 
-    /// Line, from 1, of a byte offset.
+    /// Returns the line, from 1, of a byte offset.
     pub(crate) fn line(&self, offset: usize) -> usize {
         self.0.partition_point(|start| *start <= offset)
     }
--- a/document/tests/document.rs
+++ b/document/tests/document.rs
@@ -1,4 +1,4 @@
-//! Reading documents: what is allowed, what is a fault and on which line it is named.
+//! Tests of documents: accepted syntax, faults and the lines that they name.
 
 use googletest::prelude::*;
 use jacinthweir_document::{Document, Fault, MAX_BYTES, MAX_FAULTS};
@@ -6,37 +6,37 @@
 
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Shed {
+struct Warehouse {
     name: String,
-    billets: Vec<Billet>,
+    items: Vec<Item>,
 }
 
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Billet {
+struct Item {
     kind: String,
     grams: u64,
 }
 
 fn faults(text: &str) -> Vec<String> {
-    let read = Document::parse(text).and_then(|doc| doc.read::<Shed>());
+    let read = Document::parse(text).and_then(|doc| doc.read::<Warehouse>());
     read.unwrap_err().iter().map(Fault::to_string).collect()
 }
 
 #[gtest]
 fn comments_and_trailing_commas_are_allowed() {
-    let text = "// sheds\n{\"name\": \"recife\", /* two */ \"billets\": [\n\
+    let text = "// warehouses\n{\"name\": \"recife\", /* two */ \"items\": [\n\
         {\"kind\": \"spruce\", \"grams\": 18446744073709551615,},\n],}\n";
-    let shed: Shed = Document::parse(text).unwrap().read().unwrap();
-    let billets = vec![Billet {
+    let warehouse: Warehouse = Document::parse(text).unwrap().read().unwrap();
+    let items = vec![Item {
         kind: "spruce".into(),
         grams: u64::MAX,
     }];
     expect_that!(
-        shed,
-        eq(&Shed {
+        warehouse,
+        eq(&Warehouse {
             name: "recife".into(),
-            billets
+            items
         })
     );
 }
@@ -61,12 +61,12 @@
 fn a_fault_names_its_line_and_field() {
     let cases = [
         (
-            "{\n\"name\": 1, \"billets\": []}",
+            "{\n\"name\": 1, \"items\": []}",
             "line 2: name: invalid type: integer `1`",
         ),
         (
-            "{\"name\": \"a\",\n\"billets\": [\n{\"kind\": \"x\"}]}",
-            "line 3: billets[0]: missing",
+            "{\"name\": \"a\",\n\"items\": [\n{\"kind\": \"x\"}]}",
+            "line 3: items[0]: missing",
         ),
         (
             "{\"name\": \"a\",\n\n\"shelf\": 2}",
@@ -77,12 +77,12 @@
             "line 2: name: this key stands twice",
         ),
         (
-            "{\"name\": \"a\"\n\"billets\": 1}",
+            "{\"name\": \"a\"\n\"items\": 1}",
             "line 1: document: column 13: Expected comma",
         ),
         (
-            "{\n\"billets\": [1e999]}",
-            "line 2: billets[0]: `1e999` is not a number",
+            "{\n\"items\": [1e999]}",
+            "line 2: items[0]: `1e999` is not a number",
         ),
         ("[]", "line 1: document: invalid "),
         ("", "line 1: document: there is nothing in it"),
@@ -92,13 +92,13 @@
         ),
         ("{} {}", "line 1: document: column 4"),
     ];
-    for (text, wanted) in cases {
-        expect_that!(faults(text), elements_are![starts_with(wanted)], "{text}");
+    for (text, expected) in cases {
+        expect_that!(faults(text), elements_are![starts_with(expected)], "{text}");
     }
 }
 
 #[gtest]
-fn a_later_check_finds_the_line_of_a_field() {
+fn line_of_a_field_is_found_after_parsing() {
     let doc = Document::parse("{\n\"a\": [\n{\"b\": 1},\n{\n\"b\": 2}]}").unwrap();
     expect_that!(doc.line_of("a[0].b"), eq(3));
     expect_that!(doc.line_of("a[1].b"), eq(5));
@@ -111,9 +111,9 @@
 }
 
 #[gtest]
-fn hostile_nesting_is_a_fault_and_no_stack_overflow() {
-    // An operator's token leaks and a body of half a million brackets arrives. A parser that
-    // recurses without a limit would abort the whole process, with every request in flight.
+fn deep_nesting_is_a_fault_and_not_a_stack_overflow() {
+    // A parser that recurses without a limit would abort the process, with all requests in flight,
+    // on a body of half a million brackets sent with a leaked operator token.
     for depth in [33, 511, 513, 500_000] {
         let arrays = "[".repeat(depth) + &"]".repeat(depth);
         let objects = "{\"a\":".repeat(depth) + "1" + &"}".repeat(depth);
@@ -126,16 +126,22 @@
 }
 
 #[gtest]
-fn hostile_size_and_number_of_faults_are_bounded() {
+fn size_and_number_of_faults_are_bounded() {
     let long = " ".repeat(MAX_BYTES + 1);
     expect_that!(
         Document::parse(&long).unwrap_err()[0].message,
         ends_with("is the most")
     );
-    let twice = format!("{{{}}}", "\"a\":1,".repeat(1000));
-    expect_that!(Document::parse(&twice).unwrap_err(), len(eq(MAX_FAULTS)));
+    let duplicates = format!("{{{}}}", "\"a\":1,".repeat(1000));
+    expect_that!(
+        Document::parse(&duplicates).unwrap_err(),
+        len(eq(MAX_FAULTS))
+    );
     let key = format!("{{\"{}\\n\": 1}}", "x".repeat(100_000));
-    let fault = &Document::parse(&key).unwrap().read::<Shed>().unwrap_err()[0];
+    let fault = &Document::parse(&key)
+        .unwrap()
+        .read::<Warehouse>()
+        .unwrap_err()[0];
     expect_that!(fault.message.len() + fault.field.len(), lt(500));
 }
 
--- a/document/tests/random.rs
+++ b/document/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random texts: reading never panics, and what is read is what was written.
+//! Property tests of documents: parsing never panics, and serialized values parse to equal ones.
 
 use jacinthweir_document::Document;
 use proptest::prelude::*;
@@ -14,9 +14,9 @@
     }
 }
 
-/// Texts made of the pieces that a parser may stumble over.
-fn pieces() -> impl Strategy<Value = String> {
-    let piece = prop_oneof![
+/// Generates texts from fragments that are difficult for a parser.
+fn fragments() -> impl Strategy<Value = String> {
+    let fragment = prop_oneof![
         Just("{"),
         Just("}"),
         Just("["),
@@ -42,7 +42,7 @@
         Just("\u{feff}"),
         Just("'"),
     ];
-    prop::collection::vec(piece, 0..40).prop_map(|pieces| pieces.concat())
+    prop::collection::vec(fragment, 0..40).prop_map(|fragments| fragments.concat())
 }
 
 fn value() -> impl Strategy<Value = Value> {
@@ -65,9 +65,9 @@
 proptest! {
     #![proptest_config(deterministic())]
 
-    /// Whatever comes in, there is a value or a fault with a line of the text.
+    /// Any text gives a value, or faults whose lines are within the text.
     #[test]
-    fn any_text_is_read_or_refused(text in pieces()) {
+    fn any_text_is_read_or_refused(text in fragments()) {
         let lines = text.matches('\n').count() + 1;
         if let Err(faults) = Document::parse(&text) {
             prop_assert!(!faults.is_empty());
@@ -75,9 +75,9 @@
         }
     }
 
-    /// JSON is read as what it is, with comments or without.
+    /// JSON parses to the same value with and without comments.
     #[test]
-    fn json_reads_as_itself(value in value()) {
+    fn serialized_value_parses_to_an_equal_value(value in value()) {
         let text = serde_json::to_string_pretty(&value).unwrap();
         let commented = format!("// head\n{text} /* tail */\n");
         for text in [text, commented] {
@@ -86,9 +86,9 @@
         }
     }
 
-    /// A valid text that is cut off anywhere is refused, unless only blanks are lost.
+    /// A valid text without trailing blanks is refused if it is truncated anywhere.
     #[test]
-    fn a_text_that_is_cut_off_is_refused(value in value(), cut in any::<prop::sample::Index>()) {
+    fn truncated_text_is_refused(value in value(), cut in any::<prop::sample::Index>()) {
         let text = serde_json::to_string(&Value::Array(vec![value])).unwrap();
         let at = (0..=cut.index(text.len())).rev().find(|at| text.is_char_boundary(*at));
         prop_assert!(Document::parse(&text[..at.unwrap_or(0)]).is_err());
