--- a/wire/src/caller.rs
+++ b/wire/src/caller.rs
@@ -1,22 +1,22 @@
-//! Messages to and from callers: the field's usual completion protocol, the entry answer and the
-//! one error form.
+//! Messages to and from callers: a completion protocol compatible with common client libraries, the
+//! entry answer and the common error format.
 
 pub use jacinthweir_policy::entry::{EntryAddress, EntryAnswer};
 use jacinthweir_policy::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// `POST /v1/chat/completions`. Fields of the usual protocol that the system does not act on are
-/// accepted and ignored, as client libraries send many of them.
+/// Body of `POST /v1/chat/completions`. Other fields of the protocol are accepted and ignored,
+/// since client libraries send many of them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ChatRequest {
     /// Pipeline name.
     pub model: Name,
-    /// The conversation.
+    /// Messages of the conversation.
     pub messages: Vec<ChatMessage>,
-    /// Whether to answer by server-sent events.
+    /// Whether to stream the answer as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default)]
     pub max_tokens: Option<u32>,
 }
@@ -24,28 +24,28 @@
 /// One message of a conversation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ChatMessage {
-    /// Who speaks: `system`, `user`, `assistant`.
+    /// Role of the author: `system`, `user` or `assistant`.
     pub role: String,
-    /// What is said.
+    /// Text of the message.
     pub content: String,
 }
 
-/// `POST /v1/completions`.
+/// Body of `POST /v1/completions`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CompletionRequest {
     /// Pipeline name.
     pub model: Name,
-    /// The text to go on from.
+    /// Text to be continued.
     pub prompt: String,
-    /// Whether to answer by server-sent events.
+    /// Whether to stream the answer as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default)]
     pub max_tokens: Option<u32>,
 }
 
-/// A whole completion, chat or plain, or one event of a streamed one.
+/// A complete chat or text completion, or one event of a streamed one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Completion {
     /// Request id.
@@ -56,65 +56,65 @@
     pub created: u64,
     /// Pipeline name.
     pub model: Name,
-    /// Always one choice.
+    /// Choices; always exactly one.
     pub choices: Vec<Choice>,
-    /// Token counts; in a stream, in the last event only.
+    /// Token counts; in a stream, only in the last event.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
-    /// Final outcome; in a stream, in the last event only.
+    /// Final outcome; in a stream, only in the last event.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<Outcome>,
 }
 
-/// The one choice of a completion.
+/// The only choice of a completion.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Choice {
     /// Always 0.
     pub index: u32,
-    /// Whole chat message.
+    /// Complete chat message.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub message: Option<ChatMessage>,
-    /// Next piece of a chat message.
+    /// Next fragment of a chat message.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delta: Option<Delta>,
-    /// Plain text, whole or next piece.
+    /// Text of a text completion: complete, or the next fragment in a stream.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub text: Option<String>,
-    /// Why the answer ended: `stop` or `length`.
+    /// Reason why generation ended: `stop` or `length`.
     #[serde(default)]
     pub finish_reason: Option<FinishReason>,
 }
 
-/// Next piece of a chat message.
+/// Next fragment of a chat message.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Delta {
-    /// Next piece of text.
+    /// Next fragment of the text.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub content: Option<String>,
 }
 
-/// Why an answer ended.
+/// Reason why generation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
-    /// The model ended it.
+    /// The model ended the answer.
     Stop,
-    /// The most tokens were reached.
+    /// The maximum number of tokens was reached.
     Length,
 }
 
 /// Token counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub completion_tokens: u32,
-    /// Both.
+    /// Sum of both.
     pub total_tokens: u32,
 }
 
-/// The one form of every error, as a body or as the last event of a stream.
+/// Common format of all errors, as a response body or as the last event of a stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ErrorBody {
     /// The error.
@@ -124,16 +124,16 @@
 /// One error.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// Stable code, for programs.
+    /// Stable machine-readable code.
     pub code: ErrorCode,
-    /// One sentence, for people.
+    /// One-sentence description.
     pub message: String,
     /// Final outcome.
     pub outcome: Outcome,
-    /// Request id, where one was given.
+    /// Request id, if one was assigned.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<Name>,
-    /// When to come back, in milliseconds.
+    /// Time to wait before a retry, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
@@ -151,34 +151,34 @@
     NotFound,
     /// 405: the path does not take this method.
     MethodNotAllowed,
-    /// 408: the request did not arrive whole in time.
+    /// 408: the request was not received completely in time.
     RequestTimeout,
     /// 413: body too large.
     TooLarge,
-    /// 409: the idempotency key was used for another body, or is held by another claim.
+    /// 409: the idempotency key was used for another body or is held by another claim.
     KeyConflict,
     /// 409: a call with the same idempotency key is still running.
     StillRunning,
-    /// 410: the idempotency key is older than the retention of claims.
+    /// 410: the idempotency key is older than the retention period of claims.
     KeyExpired,
-    /// 429: the organisation's own limit is reached.
+    /// 429: the limit of the organisation is reached.
     OrganisationLimit,
-    /// 429 or 503: queue full or deadline out of reach.
+    /// 429 or 503: the queue is full or the deadline cannot be met.
     Overloaded,
-    /// 503: no chain of stages or no upstream is there.
+    /// 503: no chain of stages or no upstream is available.
     NoCapacity,
-    /// 503: the platform cannot be reached and the call may not be repeated.
+    /// 503: the platform cannot be reached and the call is not idempotent.
     PlatformDown,
-    /// 503: this instance has no configuration that it can vouch for.
+    /// 503: this instance has no confirmed configuration.
     NoConfiguration,
     /// 503: this instance is shutting down.
     Draining,
-    /// 502: the upstream failed after the request had run in part.
+    /// 502: the upstream failed after the request ran partially.
     UpstreamFailed,
-    /// 504: the deadline passed after the request had run in part.
+    /// 504: the deadline passed after the request ran partially.
     DeadlineExceeded,
-    /// 504: a non-idempotent call was sent and its answer is lost.
+    /// 504: a non-idempotent call was sent and its answer was lost.
     OutcomeUnknown,
-    /// 500: a fault of this instance.
+    /// 500: internal error of this instance.
     Internal,
 }
--- a/wire/src/header.rs
+++ b/wire/src/header.rs
@@ -1,21 +1,21 @@
-//! HTTP header names of the product's own.
+//! Names of the HTTP headers defined by this system.
 
-/// Final outcome of a request: `answered`, `not_run`, `failed`, `unknown`; `streamed` while a
-/// stream is open, whose last event then has the outcome.
+/// Final outcome of a request: `answered`, `not_run`, `failed` or `unknown`. For a stream the value
+/// is `streamed`, and the last event of the stream has the outcome.
 pub const OUTCOME: &str = "jacinthweir-outcome";
-/// Request id, given by the instance that received the request.
+/// Request id, assigned by the instance that received the request.
 pub const REQUEST: &str = "jacinthweir-request";
-/// Attempt number towards an upstream, from 1.
+/// Attempt number, from 1, in requests to upstreams.
 pub const ATTEMPT: &str = "jacinthweir-attempt";
-/// Caller's deadline in milliseconds from the arrival of the request.
+/// Deadline set by the caller, in milliseconds from the arrival of the request.
 pub const DEADLINE_MS: &str = "jacinthweir-deadline-ms";
-/// Caller's priority class: may only lower the organisation's own.
+/// Priority class set by the caller. It can only lower that of the organisation.
 pub const PRIORITY: &str = "jacinthweir-priority";
-/// Caller's failure domain, a hint for the entry answer.
+/// Failure domain of the caller, a hint for the selection of entry instances.
 pub const DOMAIN: &str = "jacinthweir-domain";
-/// Caller's idempotency key.
+/// Idempotency key of the request, chosen by the caller.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// From a plain service: `no` says that it refused the call before any of it ran.
+/// Response header of a plain service: `no` if it refused the call before running any part of it.
 pub const RAN: &str = "jacinthweir-ran";
-/// The value of [`OUTCOME`] while a stream is open.
+/// Value of [`OUTCOME`] in the response head of a stream.
 pub const STREAMED: &str = "streamed";
--- a/wire/src/lib.rs
+++ b/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Typed messages towards callers, upstreams, the platform, operators and peers.
+//! Typed messages exchanged with callers, upstreams, the platform, operators and peers.
 //!
-//! Messages to callers, upstreams, the platform and operators travel as JSON; those between
-//! instances as MessagePack (`rmp-serde`) with field names, so that a newer instance may add
-//! fields that an older one skips.
+//! Messages to callers, upstreams, the platform and operators are JSON. Messages between instances
+//! are MessagePack (`rmp-serde`) with field names, so that a newer instance may add fields that an
+//! older one ignores.
 
 pub mod caller;
 pub mod header;
--- a/wire/src/operator.rs
+++ b/wire/src/operator.rs
@@ -1,5 +1,5 @@
-//! Remote procedure calls of operators, as JSON on the operators' listener, with the operators'
-//! token as a bearer token.
+//! Remote procedure calls of operators, as JSON on the operators' listener, authenticated by the
+//! operators' bearer token.
 //!
 //! | call | request | answer |
 //! |---|---|---|
@@ -8,8 +8,8 @@
 //! | `GET /operator/schema` | | [`SchemaReply`] |
 //! | `GET /operator/history` | | [`HistoryReply`] |
 //! | `GET /operator/status` | | [`StatusReply`] |
-//! | `GET /operator/requests/{id}` | | [`RequestRecord`]; 404 where not known |
-//! | `GET /operator/dump` | | a JSON object, a field a plug-in |
+//! | `GET /operator/requests/{id}` | | [`RequestRecord`]; 404 if not known |
+//! | `GET /operator/dump` | | a JSON object with one field for each plug-in |
 //! | `GET /metrics` | | Prometheus text |
 
 pub use jacinthweir_document::Fault;
@@ -18,80 +18,80 @@
 use jacinthweir_policy::schema::Schema;
 use serde::{Deserialize, Serialize};
 
-/// What would a schema change?
+/// Request for the changes that a schema would make.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PlanRequest {
-    /// Schema file's text.
+    /// Text of the schema file.
     pub text: String,
 }
 
-/// Difference against the schema in force.
+/// Difference from the schema in force.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PlanReply {
-    /// Revision it was compared with: the base for an apply.
+    /// Revision that the schema was compared with, to be used as the base of an apply.
     pub base: u64,
-    /// One line a change; empty: nothing would change.
+    /// One line for each change; empty if nothing would change.
     pub changes: Vec<String>,
 }
 
-/// Commit a schema.
+/// Request to commit a schema.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ApplyRequest {
-    /// Schema file's text.
+    /// Text of the schema file.
     pub text: String,
-    /// Revision the operator planned against.
+    /// Revision that the operator planned against.
     pub base: u64,
-    /// Change id.
+    /// Change id, which makes the apply idempotent.
     pub change: Name,
-    /// Who.
+    /// Name of the operator.
     pub operator: Name,
 }
 
-/// The commit is confirmed.
+/// Confirmation of a commit.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ApplyReply {
-    /// Revision it made, or the standing one where nothing changed.
+    /// Revision of the commit, or the current revision if nothing changed.
     pub revision: u64,
-    /// One line a change.
+    /// One line for each change.
     pub changes: Vec<String>,
 }
 
-/// Why an apply was not committed, or is not known to be.
+/// Reason why an apply was not committed or could not be confirmed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "refused", rename_all = "snake_case")]
 pub enum ApplyRefused {
-    /// The text is not a valid schema: nothing was written. 400.
+    /// 400: the text is not a valid schema; nothing was written.
     Invalid {
-        /// Every fault found.
+        /// Faults found.
         faults: Vec<Fault>,
     },
-    /// Another commit came first: nothing was committed. 409.
+    /// 409: another commit was made after the base revision; nothing was committed.
     Conflict {
-        /// Standing revision.
+        /// Current revision.
         standing: u64,
-        /// Difference between the base and what stands, as far as known.
+        /// Difference between the base and the current revision, as far as known.
         changes: Vec<String>,
     },
-    /// The change id was used for a commit of other content: nothing was committed. 409.
+    /// 409: the change id was already used for a commit of other content; nothing was committed.
     ChangeReused {
-        /// Revision that the change id made.
+        /// Revision of that commit.
         revision: u64,
     },
-    /// The platform shows an older head than the accepted one, which is being written back:
-    /// nothing was committed. 503.
+    /// 503: the platform returned an older head than the accepted one, which is being written
+    /// back; nothing was committed.
     WentBack {
-        /// Revision that the platform shows.
+        /// Revision that the platform returned.
         standing: u64,
         /// Accepted revision.
         accepted: u64,
     },
-    /// The platform can't be reached: nothing was committed. 503.
+    /// 503: the platform cannot be reached; nothing was committed.
     PlatformDown {
         /// Cause.
         cause: String,
     },
-    /// The commit was sent and its effect could not be confirmed: ask again with the same
-    /// change id. 504.
+    /// 504: the commit was sent, but its effect could not be confirmed; retry with the same change
+    /// id.
     Unconfirmed {
         /// Change id.
         change: Name,
@@ -107,53 +107,53 @@
     pub schema: Schema,
 }
 
-/// Latest commits.
+/// The latest commits.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HistoryReply {
     /// Newest first.
     pub commits: Vec<Commit>,
 }
 
-/// What is in force where.
+/// Revisions in force on the instances, and the state of the upstreams.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StatusReply {
-    /// Newest revision that the answering instance knows of.
+    /// Newest revision known to the answering instance.
     pub newest: u64,
-    /// Whether the answering instance may serve by its revision: the platform or a majority of
-    /// the instances confirms it.
+    /// Whether the answering instance may serve with its revision, because the platform or a
+    /// majority of the instances confirmed it.
     pub confirmed: bool,
-    /// Whether the answering instance reaches the platform.
+    /// Whether the answering instance can reach the platform.
     pub platform: PlatformReach,
-    /// Every known instance.
+    /// All known instances.
     pub instances: Vec<InstanceStatus>,
-    /// Every known upstream.
+    /// All known upstreams.
     pub upstreams: Vec<UpstreamStatus>,
 }
 
-/// Whether the platform is reached.
+/// Reachability of the platform.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlatformReach {
-    /// The last call succeeded.
+    /// The last call to the platform succeeded.
     #[display("reached")]
     Reached,
-    /// The last call failed.
+    /// The last call to the platform failed.
     #[display("down")]
     Down,
 }
 
-/// One instance.
+/// Status of one instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct InstanceStatus {
-    /// Its state as last heard.
+    /// Last known state of the instance.
     pub member: jacinthweir_policy::member::MemberState,
     /// Whether it is suspected to be dead.
     pub suspected: bool,
-    /// Time since its heartbeat last grew, in milliseconds.
+    /// Time since its heartbeat last advanced, in milliseconds.
     pub silent_ms: u64,
 }
 
-/// One upstream.
+/// Status of one upstream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct UpstreamStatus {
     /// Name.
@@ -162,13 +162,13 @@
     pub group: Name,
     /// Failure domain.
     pub domain: Name,
-    /// Whether new work goes to it, and why not.
+    /// Whether new work is sent to it, and if not, the reason.
     pub state: String,
-    /// Layers it holds, as `model 0..8`.
+    /// Layers that it holds, such as `model 0..8`.
     pub holds: Vec<String>,
 }
 
-/// What happened to a request.
+/// Record of a request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RequestRecord {
     /// Request id.
@@ -181,7 +181,7 @@
     pub target: String,
     /// Revision in force when it was received.
     pub revision: u64,
-    /// Final outcome; absent: still in progress.
+    /// Final outcome; absent while the request is in progress.
     pub outcome: Option<Outcome>,
     /// Steps in order.
     pub steps: Vec<RecordedStep>,
@@ -192,6 +192,6 @@
 pub struct RecordedStep {
     /// Unix time, in milliseconds.
     pub at_ms: u64,
-    /// What happened.
+    /// Text of the event.
     pub what: String,
 }
--- a/wire/src/peer.rs
+++ b/wire/src/peer.rs
@@ -2,16 +2,16 @@
 //!
 //! | call | meaning |
 //! |---|---|
-//! | `POST /peer/exchange` | body [`Exchange`], answer [`ExchangeAnswer`]: what is known, and what of it is newer here |
-//! | `POST /peer/push` | body and answer [`Push`]: what the other side asked for |
-//! | `POST /peer/probe` | body [`ProbeRequest`], answer [`ProbeReply`]: can you reach this one? |
-//! | `GET /peer/self` | [`MemberRecord`] of the instance itself |
-//! | `GET /peer/head` | [`Head`] of the configuration in force on the instance; 404 where none is |
-//! | `GET /peer/parts/{hash}` | a part of the configuration by its hash, as text; 404 where absent |
+//! | `POST /peer/exchange` | body [`Exchange`], answer [`ExchangeAnswer`]: digests of the sender's records, and the records that are newer at the receiver |
+//! | `POST /peer/push` | body and answer [`Push`]: the records that the other instance requested |
+//! | `POST /peer/probe` | body [`ProbeRequest`], answer [`ProbeReply`]: indirect probe of an instance or upstream |
+//! | `GET /peer/self` | [`MemberRecord`] of the answering instance |
+//! | `GET /peer/head` | [`Head`] of the configuration in force on the instance; 404 if there is none |
+//! | `GET /peer/parts/{hash}` | a part of the configuration by its hash, as text; 404 if absent |
 //! | `GET /peer/requests/{id}` | [`crate::operator::RequestRecord`] of a request this instance served |
 //!
-//! An exchange carries digests first and then only what the other side lacks; the modules of
-//! [`jacinthweir_policy::membership`] and [`jacinthweir_policy::upstreams`] say how.
+//! An anti-entropy exchange sends digests first and then only the records that the other instance
+//! lacks; see [`jacinthweir_policy::membership`] and [`jacinthweir_policy::upstreams`].
 
 pub use jacinthweir_policy::head::{Head, PartRef};
 pub use jacinthweir_policy::member::{MemberState, Phase};
@@ -21,58 +21,59 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// First message: what the sender knows, in short.
+/// First message of an exchange: digests of the sender's records.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Exchange {
     /// Sender's name.
     pub from: Name,
-    /// Digest of the members.
+    /// Digest of the member records.
     pub members: MemberDigest,
-    /// Digest of the upstreams.
+    /// Digest of the upstream records.
     pub upstreams: UpstreamDigest,
 }
 
-/// Second message: what is newer at the receiver, and what it lacks.
+/// Second message of an exchange: the records that are newer at the receiver, and requests for
+/// those that it lacks.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ExchangeAnswer {
     /// Name of the answering instance.
     pub from: Name,
-    /// Members.
+    /// Member records.
     pub members: MemberDelta,
-    /// Upstreams.
+    /// Upstream records.
     pub upstreams: UpstreamDelta,
 }
 
-/// Third message, where there is anything to push, and the answer to it.
+/// Third message of an exchange, sent only if records were requested, and the answer to it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Push {
     /// Sender's name.
     pub from: Option<Name>,
-    /// Members, where any were wanted.
+    /// Member records, if any were requested.
     pub members: Option<MemberDelta>,
-    /// Upstreams, where any were wanted or are wanted.
+    /// Upstream records, if any were requested, and requests for further ones.
     pub upstreams: Option<UpstreamDelta>,
 }
 
-/// Can you reach this one?
+/// Request to probe an instance or upstream on behalf of the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProbeRequest {
     /// Another instance.
     Member {
-        /// Its peers' address.
+        /// Address of its peer listener.
         address: SocketAddr,
     },
     /// An upstream.
     Upstream {
         /// Its address.
         address: SocketAddr,
-        /// How to try.
+        /// Kind of probe.
         kind: PollKind,
     },
 }
 
-/// What a probe found.
+/// Result of a probe.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProbeReply {
@@ -80,8 +81,8 @@
     Member(MemberRecord),
     /// The runner answered with its report.
     Report(crate::runner::LoadReport),
-    /// The service took a connection.
+    /// The service accepted a connection.
     Connected,
-    /// Not reached.
+    /// The target was not reached.
     NotReached,
 }
--- a/wire/src/platform.rs
+++ b/wire/src/platform.rs
@@ -1,16 +1,16 @@
-//! The platform's service: objects with versions, and the list of instances.
+//! Messages of the platform's service: versioned objects and the list of instances.
 //!
 //! | call | meaning |
 //! |---|---|
-//! | `GET /objects/{key}` | [`Object`], 404 where absent |
-//! | `PUT /objects/{key}` | body [`PutObject`]; 200 with [`Written`], 412 with [`Written`] of what stands (version 0: absent) |
+//! | `GET /objects/{key}` | [`Object`]; 404 if absent |
+//! | `PUT /objects/{key}` | body [`PutObject`]; 200 with [`Written`], 412 with [`Written`] of the current object (version 0: absent) |
 //! | `DELETE /objects/{key}?version=N` | 200, 404, 412 |
 //! | `GET /objects?prefix=P` | [`ObjectList`] without values |
-//! | `GET /watch?prefix=P&after=SEQ&wait_ms=N` | [`WatchAnswer`], as soon as something changed or the wait is over |
-//! | `GET /instances` | [`InstanceList`]: lags behind |
+//! | `GET /watch?prefix=P&after=SEQ&wait_ms=N` | long poll: [`WatchAnswer`] once something has changed or the wait is over |
+//! | `GET /instances` | [`InstanceList`], which may be stale |
 //!
-//! 429 says that the rate is exceeded and 503 that the service is out: neither had an effect.
-//! A connection that breaks or times out leaves a write's effect unknown.
+//! 429 means that the rate limit is exceeded and 503 that the service is unavailable; in both cases
+//! the call had no effect. If the connection breaks or times out, the effect of a write is unknown.
 
 pub use jacinthweir_policy::listed::{ENTRY_GROUP, ListedInstance, ListedState};
 use serde::{Deserialize, Serialize};
@@ -20,18 +20,18 @@
 pub struct Object {
     /// Key.
     pub key: String,
-    /// Version: grows with each write of any object; never 0.
+    /// Version, which increases with each write of any object; never 0.
     pub version: u64,
-    /// Value: text, a megabyte at most.
+    /// Text, one megabyte at most.
     pub value: String,
 }
 
 /// A conditional write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PutObject {
-    /// Value: text, a megabyte at most.
+    /// Text, one megabyte at most.
     pub value: String,
-    /// Condition on what stands.
+    /// Condition on the current object.
     pub condition: Condition,
 }
 
@@ -39,25 +39,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Condition {
-    /// No object stands under the key.
+    /// There is no object with the key.
     Absent,
-    /// The object stands at this version.
+    /// The object has this version.
     Version(u64),
-    /// None.
+    /// No condition.
     Any,
 }
 
-/// The version that a write gave, or the one that stood against it.
+/// Version assigned by a write, or the current version that violated its condition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Written {
     /// Version; 0: absent.
     pub version: u64,
 }
 
-/// Keys and versions below a prefix.
+/// Keys and versions with a common prefix.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ObjectList {
-    /// Entries in the order of their keys.
+    /// Entries sorted by key.
     pub objects: Vec<ObjectVersion>,
 }
 
@@ -70,18 +70,18 @@
     pub version: u64,
 }
 
-/// Changes below a prefix.
+/// Changes of keys with a common prefix.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct WatchAnswer {
-    /// What changed, oldest first.
+    /// Changed objects, oldest first.
     pub changes: Vec<ObjectVersion>,
-    /// Pass as `after` of the next watch.
+    /// Value for `after` of the next watch.
     pub next: u64,
 }
 
-/// The list of instances; lags behind.
+/// The platform's list of instances, which may be stale.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct InstanceList {
-    /// Every listed instance, upstreams and our own.
+    /// All listed instances: upstreams and instances of this system.
     pub instances: Vec<ListedInstance>,
 }
--- a/wire/src/relay.rs
+++ b/wire/src/relay.rs
@@ -1,4 +1,4 @@
-//! State of a relay, as its operators' listener shows it.
+//! State of a relay, as served by its operators' listener.
 
 use std::net::SocketAddr;
 
@@ -6,75 +6,75 @@
 use jacinthweir_policy::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Path of the state.
+/// Path of the state dump.
 pub const DUMP_PATH: &str = "/dump";
 
 /// Path of the metrics.
 pub const METRICS_PATH: &str = "/metrics";
 
-/// State of one process.
+/// State of one relay process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RelayDump {
     /// Name of the instance.
     pub instance: Name,
-    /// Time since its start, in milliseconds.
+    /// Time since the start of the process, in milliseconds.
     pub at_ms: Millis,
-    /// Whether callers may be sent here.
+    /// Whether the instance is ready for callers.
     pub ready: bool,
     /// Whether it is shutting down.
     pub draining: bool,
     /// Version of the configuration in force.
     pub version: Option<u64>,
-    /// Time since that was last confirmed to be the newest, in milliseconds.
+    /// Time since that version was last confirmed to be the newest, in milliseconds.
     pub confirmed_ms_ago: Option<Millis>,
-    /// Term of the lease, if it gives orders.
+    /// Term of the lease, if the instance holds it and gives orders to runners.
     pub gives_orders: Option<u64>,
-    /// Orders that runners have not carried out yet.
+    /// Number of orders that runners have not carried out yet.
     pub orders_pending: usize,
-    /// Chains in use, and those that still have requests.
+    /// Chains in use, and replaced chains that still have requests.
     pub chains: Vec<ChainDump>,
-    /// Runners known.
+    /// Known runners.
     pub runners: Vec<RunnerDump>,
-    /// Instances known.
+    /// Known instances.
     pub members: MembershipDump,
 }
 
-/// A chain.
+/// A chain of runners.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ChainDump {
     /// Service.
     pub service: Name,
-    /// Failure domain; none where it crosses domains.
+    /// Failure domain; absent if the chain spans several.
     pub domain: Option<Name>,
-    /// Whether a part is known to be dead.
+    /// Whether a stage is known to be dead.
     pub broken: bool,
-    /// Tokens that it has room for.
+    /// Capacity in tokens.
     pub room_tokens: f64,
-    /// Tokens in flight through it from this instance.
+    /// Tokens in flight on the chain from this instance.
     pub used_tokens: f64,
-    /// Time of a token step as declared, in milliseconds.
+    /// Declared duration of a token step, in milliseconds.
     pub step_ms: f64,
     /// Requests in flight from this instance.
     pub waiting: usize,
-    /// Time without a byte while requests wait, in milliseconds.
+    /// Time since the last received byte while requests are waiting, in milliseconds.
     pub silent_ms: Millis,
-    /// Parts in order.
+    /// Stages in order.
     pub stages: Vec<StageDump>,
 }
 
-/// A part of a chain.
+/// A stage of a chain.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StageDump {
     /// Runner.
     pub runner: Name,
-    /// First layer, and one past the last.
+    /// First layer and one past the last layer.
     pub layers: (u32, u32),
 }
 
 /// A runner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunnerDump {
-    /// Identity.
+    /// Identifier.
     pub id: Name,
     /// Service.
     pub service: Name,
@@ -84,20 +84,20 @@
     pub domain: Name,
     /// Kind of accelerator.
     pub kind: Option<Name>,
-    /// Layers held: first, and one past the last.
+    /// Layers held: first layer and one past the last layer.
     pub layers: Option<(u32, u32)>,
-    /// Whether it is leaving.
+    /// Whether the runner is draining.
     pub draining: bool,
-    /// Whether it counts as dead.
+    /// Whether the runner is considered dead.
     pub dead: bool,
-    /// Unix time of its start, in milliseconds.
+    /// Unix time of the runner's start, in milliseconds.
     pub born_ms: u64,
-    /// Orders accepted, where that is known.
+    /// Number of accepted orders, if known.
     pub orders: Option<u64>,
-    /// How slow it said to be when last asked.
+    /// Last reported pace: 1 is the declared speed, 2 half of it.
     pub pace: Option<f64>,
-    /// Share of recent requests that it failed.
+    /// Fraction of recent requests that failed on the runner.
     pub failing: f64,
-    /// Requests in flight there from this instance.
+    /// Requests in flight on the runner from this instance.
     pub in_flight: u32,
 }
--- a/wire/src/runner.rs
+++ b/wire/src/runner.rs
@@ -1,14 +1,15 @@
-//! Model runners: engines that hold a range of layers and pass activations on themselves.
+//! Messages to and between model runners: engines that hold a range of layers and pass activations
+//! to the next stage themselves.
 //!
 //! | call | meaning |
 //! |---|---|
-//! | `POST /v1/run` | body [`RunRequest`], to the first stage; answer: one [`Frame`] as JSON a line; or 429/503 with [`Refused`] before anything ran |
+//! | `POST /v1/run` | body [`RunRequest`], to the first stage; answer: lines with one JSON [`Frame`] each; 429 or 503 with [`Refused`] if nothing ran |
 //! | `POST /v1/stage` | between runners: [`StageRequest`], answer [`StageReply`] |
 //! | `POST /v1/cancel` | body [`CancelRequest`] |
-//! | `GET /v1/load` | [`LoadReport`]: lags behind |
-//! | `GET /v1/cache-events?after=SEQ` | [`CacheEvents`]: late and with gaps |
+//! | `GET /v1/load` | [`LoadReport`], which may be stale |
+//! | `GET /v1/cache-events?after=SEQ` | [`CacheEvents`], which may be late and have gaps |
 //! | `POST /v1/kv/export`, `/v1/kv/import` | [`KvRequest`] |
-//! | `POST /v1/orders` | body [`Order`]; 409 with [`Fenced`] where an old number is checked and refused |
+//! | `POST /v1/orders` | body [`Order`]; 409 with [`Fenced`] if the runner checks fencing tokens and refuses an outdated one |
 
 pub use jacinthweir_policy::layers::LayerRange;
 pub use jacinthweir_policy::load::{HeldLayers, LoadReport};
@@ -20,49 +21,50 @@
 /// One stage of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stage {
-    /// Runner's name.
+    /// Name of the runner.
     pub runner: Name,
-    /// Runner's address.
+    /// Address of the runner.
     pub address: SocketAddr,
-    /// Layers it is to run.
+    /// Layers to run.
     pub layers: LayerRange,
 }
 
-/// Generate tokens along a route.
+/// Request to generate tokens along a route.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunRequest {
     /// Request id.
     pub request: Name,
-    /// Attempt number, from 1; a runner never runs the same attempt twice.
+    /// Attempt number, from 1. A runner never runs the same attempt twice.
     pub attempt: u32,
     /// Model name.
     pub model: Name,
-    /// Stages in order; the first is the addressee.
+    /// Stages in order. The first one is the recipient.
     pub route: Vec<Stage>,
     /// The prompt.
     pub prompt: String,
-    /// Text of the tokens that the caller already has from earlier attempts, in order.
+    /// Texts of the tokens that the caller has from earlier attempts, in order.
     pub resume: Vec<String>,
-    /// The most tokens of the whole answer, resumed ones counted.
+    /// Maximum number of tokens of the answer, including resumed ones.
     pub max_tokens: u32,
-    /// Priority class, 0 first.
+    /// Priority class; 0 is served first.
     pub priority: u8,
-    /// Time left, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Runner to import the KV cache of the resumed tokens from; absent: prefill again.
+    /// Runner to import the KV cache of the resumed tokens from; if absent, they are prefilled
+    /// again.
     #[serde(default)]
     pub kv_from: Option<SocketAddr>,
 }
 
-/// One line of the answer to a run.
+/// One line of the answer to a [`RunRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "frame", rename_all = "snake_case")]
 pub enum Frame {
     /// One token.
     Token(TokenFrame),
-    /// The answer is whole.
+    /// The answer is complete.
     End(EndFrame),
-    /// The attempt broke off; tokens may have been given.
+    /// The attempt failed, possibly after some tokens.
     Broken(BrokenFrame),
 }
 
@@ -73,59 +75,59 @@
     pub request: Name,
     /// Attempt number.
     pub attempt: u32,
-    /// Index in the answer, resumed tokens counted, from 0.
+    /// Index in the answer, from 0, including resumed tokens.
     pub index: u32,
-    /// Text.
+    /// Text of the token.
     pub text: String,
-    /// What ran it, in order.
+    /// Runners and layers that produced it, in order.
     pub ran: Vec<RanRange>,
 }
 
-/// One runner's part of a token.
+/// Layers that one runner ran for a token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RanRange {
-    /// Runner's name.
+    /// Name of the runner.
     pub runner: Name,
-    /// Layers it ran.
+    /// Layers that it ran.
     pub layers: LayerRange,
 }
 
-/// The answer is whole.
+/// End of a complete answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndFrame {
     /// Request id.
     pub request: Name,
     /// Attempt number.
     pub attempt: u32,
-    /// Number of tokens of the whole answer.
+    /// Number of tokens of the answer, including resumed ones.
     pub tokens: u32,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Why it ended.
+    /// Reason why generation ended.
     pub finish: crate::caller::FinishReason,
 }
 
-/// The attempt broke off.
+/// Failure of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BrokenFrame {
     /// Request id.
     pub request: Name,
     /// Attempt number.
     pub attempt: u32,
-    /// Runner at fault, where known.
+    /// Faulty runner, if known.
     pub runner: Option<Name>,
-    /// Cause in one sentence.
+    /// One-sentence cause.
     pub cause: String,
 }
 
-/// A refusal before anything of the attempt ran, here or further down the route.
+/// Refusal of an attempt by any stage of the route before any part of it ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
-    /// Cause.
+    /// Cause of the refusal.
     pub code: RefusedCode,
-    /// When to come back, in milliseconds.
+    /// Time to wait before a retry, in milliseconds.
     pub retry_after_ms: u64,
-    /// Runner that refused, or that can't be reached; absent: the addressee.
+    /// Runner that refused or cannot be reached; absent if it is the recipient.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub runner: Option<Name>,
 }
@@ -134,21 +136,21 @@
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusedCode {
-    /// The queue is full.
+    /// The runner's queue is full.
     Busy,
-    /// The runner is leaving.
+    /// The runner is draining.
     Leaving,
     /// The runner does not hold the layers.
     NotHeld,
-    /// The attempt was run or cancelled before.
+    /// The attempt was already run or cancelled.
     Stale,
-    /// The route does not fit together.
+    /// The route is inconsistent.
     BadRoute,
-    /// A later stage of the route can't be reached.
+    /// A later stage of the route cannot be reached.
     Unreachable,
 }
 
-/// Run one token through the rest of a route.
+/// Request to run tokens through the rest of a route.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StageRequest {
     /// Request id.
@@ -157,62 +159,62 @@
     pub attempt: u32,
     /// Token index.
     pub index: u32,
-    /// Tokens to run through: 1, or the number of the prompt and the resumed tokens for a prefill;
-    /// 0: take a place for the attempt along the route, running nothing.
+    /// Number of tokens to run: 1 for decoding, or the number of prompt and resumed tokens for a
+    /// prefill. 0 reserves a slot for the attempt along the route without running anything.
     pub tokens: u32,
-    /// Hashes of the prompt's prefixes, shortest first, for a prefill; the first is its
-    /// [`prefix_hash`], what the others are is the runners' own matter.
+    /// Hashes of prefixes of the prompt, shortest first, for a prefill. The first one is its
+    /// [`prefix_hash`]; the others are defined by the runners.
     #[serde(default)]
     pub prefix: Vec<u64>,
-    /// Runner to import the KV cache from, for a prefill; absent: run the tokens again.
+    /// Runner to import the KV cache from, for a prefill; if absent, the tokens are run again.
     #[serde(default)]
     pub kv_from: Option<SocketAddr>,
     /// Model name.
     pub model: Name,
-    /// Rest of the route; the first is the addressee.
+    /// Rest of the route. The first stage is the recipient.
     pub route: Vec<Stage>,
-    /// Priority class, 0 first.
+    /// Priority class; 0 is served first.
     pub priority: u8,
 }
 
-/// What ran, from the addressee on.
+/// Layers that ran, from the recipient to the last stage.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StageReply {
-    /// In order.
+    /// Runners and layers, in order.
     pub ran: Vec<RanRange>,
 }
 
-/// Stop an attempt: it runs no further token.
+/// Request to stop an attempt, so that no further token is run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CancelRequest {
     /// Request id.
     pub request: Name,
-    /// Attempt number; this one and all lower ones are stopped.
+    /// Attempt number. This attempt and all lower ones are stopped.
     pub attempt: u32,
 }
 
-/// Cache events since a number.
+/// Cache events after a sequence number.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// Events in order; a jump in `number` is a gap.
+    /// Events in order. A jump in `number` is a gap.
     pub events: Vec<CacheEvent>,
-    /// Newest number.
+    /// Newest sequence number.
     pub newest: u64,
 }
 
-/// One prefix came into or left the cache.
+/// Insertion of a prefix into the cache or its eviction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number.
+    /// Sequence number.
     pub number: u64,
     /// Hash of the prefix: [`prefix_hash`].
     pub prefix: u64,
-    /// In or out.
+    /// Whether the prefix was inserted rather than evicted.
     pub cached: bool,
 }
 
-/// Export from, or import into, a runner's KV cache. An export answers with the number of tokens
-/// that it covers, or 404.
+/// Request to export from or import into a runner's KV cache. An export answers with the number of
+/// tokens that it covers, or 404.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct KvRequest {
     /// Request id.
@@ -221,42 +223,43 @@
     pub model: Name,
     /// Layers.
     pub layers: LayerRange,
-    /// Tokens covered.
+    /// Number of tokens covered.
     pub tokens: u32,
 }
 
-/// A wanted state of a runner; may be repeated.
+/// Order that sets the desired state of a runner. Idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Fencing number of the lease it is given under.
+    /// Fencing token of the lease under which the order is given.
     pub fencing: u64,
-    /// What is wanted.
+    /// Desired state.
     pub wanted: Wanted,
 }
 
-/// What an order wants.
+/// Desired state of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Wanted {
     /// Hold these layers.
     Hold(HeldLayers),
-    /// Do not hold these layers.
+    /// Drop these layers.
     Drop(HeldLayers),
 }
 
-/// An order was refused for its old fencing number.
+/// Refusal of an order because of its outdated fencing token.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Fenced {
-    /// Greatest number seen.
+    /// Greatest fencing token seen.
     pub fencing: u64,
 }
 
-/// Bytes of a prompt that make its prefix, as far as cache events name it.
+/// Length of the prompt prefix that cache events identify, in bytes.
 pub const PREFIX_BYTES: usize = 64;
 
-/// Hash of a prompt's prefix, as runners name it in cache events: the first eight bytes, big
-/// endian, of the SHA-256 of the prompt's first [`PREFIX_BYTES`] bytes. `None`: the prompt is
-/// shorter, and runners do not report it.
+/// Returns the hash that identifies a prompt's prefix in cache events: the first eight bytes, big
+/// endian, of the SHA-256 of the prompt's first [`PREFIX_BYTES`] bytes.
+///
+/// Returns `None` for a shorter prompt, which runners do not report.
 #[must_use]
 pub fn prefix_hash(prompt: &str) -> Option<u64> {
     let prefix = prompt.as_bytes().get(..PREFIX_BYTES)?;
--- a/wire/tests/codecs.rs
+++ b/wire/tests/codecs.rs
@@ -1,5 +1,5 @@
-//! Both codecs against random input: hostile bytes are refused and never panic; what is encoded
-//! is decoded to the same; a message cut short is never taken for a whole one.
+//! Property tests of both codecs: arbitrary bytes never cause a panic, encoded messages decode to
+//! equal ones, and a truncated message is never accepted.
 
 use jacinthweir_policy::prelude::Name;
 use jacinthweir_wire::caller::{ChatRequest, CompletionRequest, FinishReason};
@@ -12,7 +12,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-fn fixed(cases: u32) -> Config {
+fn deterministic(cases: u32) -> Config {
     Config {
         cases,
         failure_persistence: None,
@@ -82,7 +82,7 @@
     prop_oneof![token, end, broken]
 }
 
-/// Decodes as every message that comes from outside; the result does not matter here.
+/// Decodes the bytes as each message type that is received from outside, ignoring the results.
 fn decode_all(bytes: &[u8]) {
     let _ = rmp_serde::from_slice::<Exchange>(bytes);
     let _ = rmp_serde::from_slice::<ExchangeAnswer>(bytes);
@@ -102,7 +102,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(2_000))]
+    #![proptest_config(deterministic(2_000))]
 
     #[test]
     fn random_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
@@ -110,7 +110,7 @@
     }
 
     #[test]
-    fn frames_decode_to_what_was_encoded(frame in frame()) {
+    fn encoded_frame_decodes_to_an_equal_frame(frame in frame()) {
         let line = serde_json::to_string(&frame).unwrap();
         prop_assert!(!line.contains('\n'), "a frame is one line");
         let decoded: Frame = serde_json::from_str(&line).unwrap();
@@ -118,14 +118,14 @@
     }
 
     #[test]
-    fn a_frame_cut_short_is_no_frame(frame in frame(), cut in 0.0..1.0_f64) {
+    fn truncated_frame_is_refused(frame in frame(), cut in 0.0..1.0_f64) {
         let line = serde_json::to_vec(&frame).unwrap();
         let end = (line.len() as f64 * cut) as usize;
         prop_assert!(serde_json::from_slice::<Frame>(&line[..end]).is_err());
     }
 
     #[test]
-    fn a_head_cut_short_is_no_head(revision in any::<u64>(), cut in 0.0..1.0_f64) {
+    fn truncated_head_is_refused(revision in any::<u64>(), cut in 0.0..1.0_f64) {
         let head = Head { revision, ..Head::default() };
         let bytes = rmp_serde::to_vec_named(&head).unwrap();
         let end = (bytes.len() as f64 * cut) as usize;
