--- a/clients/src/direct.rs
+++ b/clients/src/direct.rs
@@ -1,11 +1,12 @@
-//! One request on one connection of its own.
+//! HTTP requests that use a new connection each.
 //!
-//! A kept connection can hold bytes of an earlier answer, or be closed by the server just as the
-//! next request is written; then nobody knows whose bytes come, or whether the request ran. On a
-//! fresh connection every byte belongs to the one request, and a connection that could not be
-//! opened proves that nothing was sent. The price is one round trip and one handshake a request.
+//! A reused connection may contain bytes of an earlier answer, or the server may close it while the
+//! next request is being written. It is then unknown which request the bytes belong to, or whether
+//! the request ran. On a new connection every byte belongs to its only request, and a failure to
+//! connect proves that nothing was sent. The cost is one round trip and one handshake for each
+//! request.
 //!
-//! Dropping the answer closes the connection at once, which tells the server to stop working.
+//! Dropping the response closes the connection immediately, which signals the server to stop work.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -22,27 +23,27 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Read buffer of a connection, in bytes: the least that the library allows. Answers and events
-/// are small, and a process keeps hundreds of connections.
+/// Size of the read buffer of a connection, in bytes. The minimum of the library, since answers and
+/// events are small and a process has hundreds of connections.
 const READ_BUFFER_BYTES: usize = 8 << 10;
 
-/// A request got no answer.
+/// Failure of a request.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum DirectError {
-    /// The machine says that nobody listens there: no byte of the request left.
+    /// The target host refused the connection, so no byte of the request was sent.
     #[display("connection refused")]
     Refused,
-    /// No connection came about: no byte of the request left. Whether anybody listens there is not
-    /// known.
+    /// The connection could not be opened, so no byte of the request was sent. Whether the target
+    /// listens is not known.
     #[display("not reached: {cause}")]
     Unreached {
         /// Cause.
         cause: String,
     },
-    /// There was a connection, and no whole answer in time.
+    /// The connection was opened, but the complete answer did not arrive in time.
     #[display("no answer in time")]
     TimedOut,
-    /// The connection broke after the request was handed to it.
+    /// The connection failed after the request was passed to it.
     #[display("no answer: {cause}")]
     Unknown {
         /// Cause.
@@ -51,7 +52,7 @@
 }
 
 impl DirectError {
-    /// Whether no byte of the request left.
+    /// Returns whether no byte of the request was sent.
     #[must_use]
     pub fn is_unsent(&self) -> bool {
         match self {
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Whether nothing at all was heard: that may be the asking side's own doing.
+    /// Returns whether the target did not respond at all, which may be caused by a fault on this
+    /// side.
     #[must_use]
     pub fn is_unanswered(&self) -> bool {
         match self {
@@ -70,7 +72,7 @@
     }
 }
 
-/// Body of an answer; holds the connection.
+/// Body of a response. Owns the connection.
 #[derive(Debug)]
 pub struct ResponseBody {
     incoming: Incoming,
@@ -87,10 +89,10 @@
 }
 
 impl ResponseBody {
-    /// The next bytes; `None` at the proper end.
+    /// Returns the next bytes, or `None` at the end of the body.
     ///
     /// # Errors
-    /// The connection ended before the answer did.
+    /// Returns an error if the connection is closed before the end of the body.
     pub async fn next(&mut self) -> Option<Result<Bytes, DirectError>> {
         loop {
             match self.incoming.frame().await? {
@@ -104,10 +106,10 @@
         }
     }
 
-    /// The whole body, of `limit` bytes at most.
+    /// Reads the whole body, of `limit` bytes at most.
     ///
     /// # Errors
-    /// It is longer, or the connection ended before it did.
+    /// Returns an error if the body is longer or the connection is closed before its end.
     pub async fn collect(self, limit: usize) -> Result<Bytes, DirectError> {
         let body = Limited::new(self.incoming, limit).collect().await;
         let body = body.map_err(|e| unknown_error(&*e))?;
@@ -115,7 +117,7 @@
     }
 }
 
-/// Sends `req` to `address` and waits for the head of its answer.
+/// Sends `req` to `address` and waits for the head of the response.
 ///
 /// # Errors
 /// See [`DirectError`].
@@ -133,7 +135,7 @@
         cause: e.to_string(),
     })?;
     let task = tokio::spawn(async move {
-        // What goes wrong here shows at the answer.
+        // Errors of the connection are also returned by the response.
         let _ = connection.await;
     });
     let connection = Connection(task);
@@ -141,24 +143,24 @@
         .send_request(req)
         .await
         .map_err(|e| unknown_error(&e))?;
-    let answer = |incoming| ResponseBody {
+    let body = |incoming| ResponseBody {
         incoming,
         _connection: connection,
     };
-    Ok(res.map(answer))
+    Ok(res.map(body))
 }
 
-/// How long a question may take.
+/// Time limits of a request, both from its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestTimeouts {
-    /// Until there is a connection.
+    /// Time limit until the connection is open.
     pub connect: Duration,
-    /// Until the whole answer has come.
+    /// Time limit until the complete response has been received.
     pub answer: Duration,
 }
 
 impl From<Duration> for RequestTimeouts {
-    /// One limit for both.
+    /// Uses the same limit for both.
     fn from(limit: Duration) -> RequestTimeouts {
         RequestTimeouts {
             connect: limit,
@@ -167,7 +169,8 @@
     }
 }
 
-/// Sends `req` and reads the whole answer, of `limit` bytes at most, within `time`.
+/// Sends `req` and reads the complete response, with a body of `limit` bytes at most, within
+/// `timeouts`.
 ///
 /// # Errors
 /// See [`DirectError`].
@@ -184,7 +187,7 @@
         Ok(Response::from_parts(parts, body.collect(limit).await?))
     };
     match timeout(timeouts.answer, exchange).await {
-        Ok(answer) => answer,
+        Ok(res) => res,
         Err(_) => Err(DirectError::TimedOut),
     }
 }
@@ -193,8 +196,8 @@
     let unreached = |cause: String| DirectError::Unreached { cause };
     match timeout(limit, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => {
-            // Without it small writes wait for an acknowledgement; the connection works all the
-            // same.
+            // Without TCP_NODELAY small writes wait for an acknowledgement. The connection works
+            // even if setting it fails.
             let _ = stream.set_nodelay(true);
             Ok(stream)
         }
--- a/clients/src/error.rs
+++ b/clients/src/error.rs
@@ -1,24 +1,23 @@
-//! Errors of the clients, by what is known of the call's effect.
+//! Errors of the clients, classified by what is known about the effect of the call.
 
 use derive_more::{Display, Error};
 
-/// A call failed.
+/// Failure of a call.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum ClientError {
-    /// No byte of the call left this instance, or the server said that it did nothing: the call
-    /// had no effect.
+    /// The call had no effect: no byte of it was sent, or the server reported that it did nothing.
     #[display("no effect: {cause}")]
     NoEffect {
         /// Cause.
         cause: String,
     },
-    /// The connection broke or timed out: the call may have had its effect, or have it later.
+    /// The connection failed or timed out: the call may have taken effect or may still do so.
     #[display("effect unknown: {cause}")]
     Unknown {
         /// Cause.
         cause: String,
     },
-    /// The server answered something that its protocol does not allow.
+    /// The answer of the server violates the protocol.
     #[display("bad answer: {cause}")]
     BadAnswer {
         /// Cause.
@@ -27,7 +26,7 @@
 }
 
 impl ClientError {
-    /// Whether the call certainly had no effect.
+    /// Returns whether the call is known to have had no effect.
     #[must_use]
     pub fn had_no_effect(&self) -> bool {
         matches!(self, ClientError::NoEffect { .. })
@@ -42,7 +41,7 @@
 
 impl From<reqwest::Error> for ClientError {
     fn from(e: reqwest::Error) -> Self {
-        let cause = chain(&e);
+        let cause = error_chain(&e);
         if e.is_builder() || (e.is_connect() && was_refused(&e)) {
             return ClientError::NoEffect { cause };
         }
@@ -53,8 +52,8 @@
     }
 }
 
-/// Whether the peer's kernel refused the connection. Any other connect error (time-out, reset)
-/// leaves its result unknown and is not taken as proof that nothing was sent.
+/// Returns whether the server's kernel refused the connection. Any other connect error (time-out,
+/// reset) does not prove that nothing was sent.
 fn was_refused(e: &reqwest::Error) -> bool {
     let mut source: Option<&(dyn std::error::Error + 'static)> = Some(e);
     while let Some(s) = source {
@@ -66,7 +65,7 @@
     false
 }
 
-fn chain(e: &reqwest::Error) -> String {
+fn error_chain(e: &reqwest::Error) -> String {
     let mut text = e.to_string();
     let mut source = std::error::Error::source(e);
     while let Some(s) = source {
--- a/clients/src/lib.rs
+++ b/clients/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP clients towards the platform, upstreams and peers.
+//! HTTP clients of the platform, upstreams and peers.
 //!
-//! A client never repeats a call by itself and never follows a redirect: whether a call may be
-//! repeated is a decision of the policy. Each error says what is known of the call's effect.
+//! A client never retries a call and never follows a redirect: whether a call may be retried is
+//! decided by the policy. Each error says what is known about the effect of the call.
 
 pub mod direct;
 pub mod error;
@@ -14,22 +14,25 @@
 
 use std::time::Duration;
 
-/// Time a new connection may take before the upstream counts as not reached.
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Idle connections are closed by us well before a server would close them: a request written
-/// into a connection that the server is closing is lost without an answer.
-const POOL_IDLE: Duration = Duration::from_secs(4);
+/// Time after which the client closes idle connections. It is well below the idle time-out of the
+/// servers, since a request written to a connection that the server is closing is lost without an
+/// answer.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A client that keeps connections, for calls that carry an attempt number or change nothing.
+/// Creates a client that reuses connections, for calls that carry an attempt number or have no side
+/// effects.
 fn pooled() -> Result<reqwest::Client, ClientError> {
-    let client = base().pool_idle_timeout(POOL_IDLE).build()?;
+    let client = base().pool_idle_timeout(POOL_IDLE_TIMEOUT).build()?;
     Ok(client)
 }
 
-/// A client that opens a connection for each call. A pooled connection that the server closes
-/// while a call is written leaves it open whether the call ran; a fresh one shows a refused
-/// connection for certain.
+/// Creates a client that opens a new connection for each call.
+///
+/// If the server closes a pooled connection while a call is being written, it is unknown whether
+/// the call ran. With a new connection, a refused connection proves that it did not.
 fn unpooled() -> Result<reqwest::Client, ClientError> {
     let client = base().pool_max_idle_per_host(0).build()?;
     Ok(client)
--- a/clients/src/peer.rs
+++ b/clients/src/peer.rs
@@ -1,4 +1,4 @@
-//! Other instances, as documented in [`jacinthweir_wire::peer`]. Bodies are MessagePack.
+//! Client of other instances, as documented in [`jacinthweir_wire::peer`]. Bodies are MessagePack.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 use crate::ClientError;
 
-/// Client towards other instances.
+/// Client of other instances.
 #[derive(Clone, Debug)]
 pub struct PeerClient {
     client: reqwest::Client,
@@ -21,10 +21,10 @@
 }
 
 impl PeerClient {
-    /// A client that shows `token` and ends each call within `timeout`.
+    /// Creates a client that sends `token` as a bearer token and ends each call within `timeout`.
     ///
     /// # Errors
-    /// When the HTTP client cannot be built.
+    /// Returns an error if the HTTP client cannot be built.
     pub fn open(token: String, timeout: Duration) -> Result<PeerClient, ClientError> {
         let client = crate::pooled()?;
         Ok(PeerClient {
@@ -57,7 +57,7 @@
         rmp_serde::from_slice(&bytes).map_err(ClientError::bad_answer)
     }
 
-    /// Fetches a part of the configuration by its hash; `None`: the peer does not have it.
+    /// Fetches a part of the configuration by its hash, or `None` if the peer does not have it.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -65,7 +65,7 @@
         self.fetch(format!("http://{peer}/peer/parts/{hash}")).await
     }
 
-    /// Reads the head of the configuration in force on `peer`; `None`: it has none.
+    /// Fetches the head of the configuration in force on `peer`, or `None` if it has none.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -77,7 +77,8 @@
         Ok(Some(head))
     }
 
-    /// Fetches the record of a request that `peer` served; `None`: not known there.
+    /// Fetches the record of a request that `peer` served, or `None` if it does not know the
+    /// request.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -96,7 +97,7 @@
         Ok(Some(record))
     }
 
-    /// Asks an instance for its own record.
+    /// Fetches the member record of `peer` itself.
     ///
     /// # Errors
     /// See [`ClientError`].
--- a/clients/src/platform.rs
+++ b/clients/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's service, as documented in [`jacinthweir_wire::platform`].
+//! Client of the platform's service, as documented in [`jacinthweir_wire::platform`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 /// Result of a conditional write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PutResult {
-    /// Written; the new version.
+    /// The object was written and has this version.
     Written(u64),
-    /// The condition did not hold; the standing version, 0 where absent.
+    /// The condition did not hold. The object has this version; 0 if absent.
     Conflict(u64),
 }
 
-/// The platform's service. A trait, since tests put an in-memory one in its place.
+/// The platform's service. A trait, so that tests can use an in-memory implementation.
 pub trait Platform: Send + Sync {
     /// Reads an object.
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Object>, ClientError>>;
@@ -30,19 +30,19 @@
         value: String,
         condition: Condition,
     ) -> BoxFuture<'a, Result<PutResult, ClientError>>;
-    /// Deletes an object at a version; `false`: it was absent or at another version.
+    /// Deletes an object at a version. Returns `false` if it was absent or had another version.
     fn delete<'a>(&'a self, key: &'a str, version: u64)
     -> BoxFuture<'a, Result<bool, ClientError>>;
-    /// Lists keys and versions below a prefix.
+    /// Lists the keys with a prefix and their versions.
     fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Result<ObjectList, ClientError>>;
-    /// Waits for changes below a prefix.
+    /// Waits for changes of keys with a prefix, by long polling.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
         after: u64,
         wait: Duration,
     ) -> BoxFuture<'a, Result<WatchAnswer, ClientError>>;
-    /// Reads the list of instances, which lags.
+    /// Reads the list of instances, which may be stale.
     fn instances(&self) -> BoxFuture<'_, Result<InstanceList, ClientError>>;
 }
 
@@ -55,10 +55,11 @@
 }
 
 impl HttpPlatform {
-    /// A client of the platform at `address`; each call but a watch ends within `timeout`.
+    /// Creates a client of the platform at `address`. Each call ends within `timeout`, except for a
+    /// watch, which ends within its wait plus `timeout`.
     ///
     /// # Errors
-    /// When the HTTP client cannot be built.
+    /// Returns an error if the HTTP client cannot be built.
     pub fn open(address: SocketAddr, timeout: Duration) -> Result<HttpPlatform, ClientError> {
         let client = crate::pooled()?;
         Ok(HttpPlatform {
@@ -106,8 +107,8 @@
             .send()
             .await?;
         match res.status() {
-            StatusCode::OK => Ok(PutResult::Written(written(res).await?)),
-            StatusCode::PRECONDITION_FAILED => Ok(PutResult::Conflict(written(res).await?)),
+            StatusCode::OK => Ok(PutResult::Written(written_version(res).await?)),
+            StatusCode::PRECONDITION_FAILED => Ok(PutResult::Conflict(written_version(res).await?)),
             status => Err(status_error(status)),
         }
     }
@@ -123,9 +124,9 @@
     }
 }
 
-/// Reads the body of an answered write. A body that breaks off after the status line still
-/// leaves the status known, but not the version.
-async fn written(res: reqwest::Response) -> Result<u64, ClientError> {
+/// Reads the version from the answer to a write. If the body is truncated after the status line,
+/// the status is known but the version is not.
+async fn written_version(res: reqwest::Response) -> Result<u64, ClientError> {
     let body: Written = res.json().await?;
     Ok(body.version)
 }
--- a/clients/src/runner.rs
+++ b/clients/src/runner.rs
@@ -1,4 +1,4 @@
-//! Model runners, as documented in [`jacinthweir_wire::runner`].
+//! Client of model runners, as documented in [`jacinthweir_wire::runner`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,21 +11,21 @@
 
 use crate::ClientError;
 
-/// The longest line that a runner may send, in bytes; a longer one breaks the attempt off.
+/// Maximum length of a line of a runner's answer, in bytes. A longer line fails the attempt.
 const MAX_FRAME_BYTES: usize = 256 * 1024;
 
-/// Client towards model runners.
+/// Client of model runners.
 #[derive(Clone, Debug)]
 pub struct RunnerClient {
     client: reqwest::Client,
     timeout: Duration,
 }
 
-/// Answer to the start of a run.
+/// Result of starting an attempt.
 pub enum RunStart {
     /// The attempt was accepted; frames follow.
     Accepted(Frames),
-    /// The runner refused before anything of the attempt ran.
+    /// The runner refused before running any part of the attempt.
     Refused(Refused),
 }
 
@@ -35,10 +35,10 @@
 }
 
 impl Frames {
-    /// The next frame; `None`: the connection ended.
+    /// Returns the next frame, or `None` if the connection ended.
     ///
     /// # Errors
-    /// When the connection breaks or a line is not a frame.
+    /// Returns an error if the connection fails or a line is not a frame.
     pub async fn next(&mut self) -> Result<Option<Frame>, ClientError> {
         let Some(line) = self.lines.next().await.transpose()? else {
             return Ok(None);
@@ -49,10 +49,11 @@
 }
 
 impl RunnerClient {
-    /// A client whose calls but runs end within `timeout`; a run ends with the caller's deadline.
+    /// Creates a client whose calls end within `timeout`, except for runs, which end with the
+    /// caller's deadline.
     ///
     /// # Errors
-    /// When the HTTP client cannot be built.
+    /// Returns an error if the HTTP client cannot be built.
     pub fn open(timeout: Duration) -> Result<RunnerClient, ClientError> {
         let client = crate::pooled()?;
         Ok(RunnerClient { client, timeout })
@@ -61,7 +62,7 @@
     /// Starts an attempt at the first stage of its route.
     ///
     /// # Errors
-    /// See [`ClientError`]: only [`ClientError::NoEffect`] says that nothing ran.
+    /// See [`ClientError`]. Only [`ClientError::NoEffect`] means that nothing ran.
     pub async fn run(&self, req: &RunRequest) -> Result<RunStart, ClientError> {
         let Some(first) = req.route.first() else {
             return Err(ClientError::NoEffect {
@@ -101,7 +102,7 @@
         )))
     }
 
-    /// Reads a runner's load report, which lags.
+    /// Fetches a runner's load report, which may be stale.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -109,7 +110,7 @@
         self.read(format!("http://{runner}/v1/load")).await
     }
 
-    /// Reads a runner's cache events after a number.
+    /// Fetches a runner's cache events after a sequence number.
     ///
     /// # Errors
     /// See [`ClientError`].
--- a/clients/src/service.rs
+++ b/clients/src/service.rs
@@ -1,8 +1,8 @@
-//! Plain services: one HTTP call each, over a connection of its own.
+//! Client of plain services. Each call uses a new connection.
 //!
-//! `POST /call/{call}` with the caller's body, the request id and attempt number as headers,
-//! which the service echoes. A 429 or 503 with `jacinthweir-ran: no` says that nothing ran; any
-//! other status is the service's own answer.
+//! A call is `POST /call/{call}` with the caller's body and headers for the request id and attempt
+//! number, which the service echoes. A 429 or 503 with `jacinthweir-ran: no` means that nothing
+//! ran; any other status is the service's own answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 
 use crate::ClientError;
 
-/// The largest answer taken from a plain service, in bytes.
+/// Maximum size of the answer of a plain service, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
-/// One call.
+/// A call of a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceCall {
-    /// Upstream.
+    /// Address of the upstream.
     pub address: SocketAddr,
     /// Call name.
     pub call: String,
@@ -27,20 +27,20 @@
     pub request: String,
     /// Attempt number, from 1.
     pub attempt: u32,
-    /// Caller's idempotency key.
+    /// Idempotency key set by the caller.
     pub key: Option<String>,
-    /// Caller's content type.
+    /// Content type set by the caller.
     pub content_type: Option<String>,
     /// Body.
     pub body: Bytes,
-    /// Time left.
+    /// Time left until the deadline.
     pub timeout: Duration,
 }
 
-/// What a plain service made of a call.
+/// Answer of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServiceAnswer {
-    /// Its whole answer.
+    /// The complete answer of the service.
     Answered {
         /// HTTP status.
         status: u16,
@@ -49,24 +49,24 @@
         /// Body.
         body: Bytes,
     },
-    /// It refused before anything ran.
+    /// The service refused the call before running any part of it.
     Refused {
-        /// When to come back, in milliseconds, where it said so.
+        /// Time to wait before a retry, in milliseconds, if given.
         retry_after_ms: Option<u64>,
     },
 }
 
-/// Client towards plain services.
+/// Client of plain services.
 #[derive(Clone, Debug)]
 pub struct ServiceClient {
     client: reqwest::Client,
 }
 
 impl ServiceClient {
-    /// A client without kept connections, repeats or redirects.
+    /// Creates a client that does not reuse connections, retry or follow redirects.
     ///
     /// # Errors
-    /// When the HTTP client cannot be built.
+    /// Returns an error if the HTTP client cannot be built.
     pub fn open() -> Result<ServiceClient, ClientError> {
         let client = crate::unpooled()?;
         Ok(ServiceClient { client })
@@ -75,7 +75,7 @@
     /// Makes the call once.
     ///
     /// # Errors
-    /// See [`ClientError`]: only [`ClientError::NoEffect`] says that nothing ran. An answer that
+    /// See [`ClientError`]. Only [`ClientError::NoEffect`] means that nothing ran. An answer that
     /// names another request or attempt is [`ClientError::BadAnswer`]; the call may have run.
     pub async fn call(&self, call: &ServiceCall) -> Result<ServiceAnswer, ClientError> {
         let url = format!("http://{}/call/{}", call.address, call.call);
@@ -90,7 +90,7 @@
             req = req.header(reqwest::header::CONTENT_TYPE, kind);
         }
         let res = req.body(call.body.clone()).send().await?;
-        if refused(&res) {
+        if is_refusal(&res) {
             return Ok(ServiceAnswer::Refused {
                 retry_after_ms: retry_after_ms(&res),
             });
@@ -107,10 +107,11 @@
     }
 }
 
-fn refused(res: &Response) -> bool {
+fn is_refusal(res: &Response) -> bool {
     let status = res.status();
-    let may = status == StatusCode::TOO_MANY_REQUESTS || status == StatusCode::SERVICE_UNAVAILABLE;
-    may && text_header(res, header::RAN).as_deref() == Some("no")
+    let may_refuse =
+        status == StatusCode::TOO_MANY_REQUESTS || status == StatusCode::SERVICE_UNAVAILABLE;
+    may_refuse && text_header(res, header::RAN).as_deref() == Some("no")
 }
 
 fn retry_after_ms(res: &Response) -> Option<u64> {
@@ -118,7 +119,8 @@
     seconds.checked_mul(1000)
 }
 
-/// A crossed answer (another request's, or an earlier attempt's) must not reach the caller.
+/// Checks that the answer belongs to this request and attempt, so that the caller never receives
+/// the answer to another one.
 fn check_echo(res: &Response, call: &ServiceCall) -> Result<(), ClientError> {
     let request = text_header(res, header::REQUEST);
     let attempt = text_header(res, header::ATTEMPT);
