--- a/clients/src/direct.rs
+++ b/clients/src/direct.rs
@@ -1,11 +1,12 @@
-//! One request on one connection of its own.
+//! HTTP requests that use a new connection each.
 //!
-//! A kept connection can hold bytes of an earlier answer, or be closed by the server just as the
-//! next request is written; then nobody knows whose bytes come, or whether the request ran. On a
-//! fresh connection every byte belongs to the one request, and a connection that could not be
-//! opened proves that nothing was sent. The price is one round trip and one handshake a request.
+//! A reused connection may contain bytes of an earlier answer, or the server may close it while the
+//! next request is being written. It is then unknown which request the bytes belong to, or whether
+//! the request ran. On a new connection every byte belongs to its only request, and a failure to
+//! connect proves that nothing was sent. The cost is one round trip and one handshake for each
+//! request.
 //!
-//! Dropping the answer closes the connection at once, which tells the server to stop working.
+//! Dropping the response closes the connection immediately, which signals the server to stop work.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -22,27 +23,27 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Read buffer of a connection, in bytes: the least that the library allows. Answers and events
-/// are small, and a process keeps hundreds of connections.
+/// Size of the read buffer of a connection, in bytes. The minimum of the library, since answers and
+/// events are small and a process has hundreds of connections.
 const READ_BUFFER_BYTES: usize = 8 << 10;
 
-/// A request got no answer.
+/// Failure of a request.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum DirectError {
-    /// The machine says that nobody listens there: no byte of the request left.
+    /// The target host refused the connection, so no byte of the request was sent.
     #[display("connection refused")]
     Refused,
-    /// No connection came about: no byte of the request left. Whether anybody listens there is not
-    /// known.
+    /// The connection could not be opened, so no byte of the request was sent. Whether the target
+    /// listens is not known.
     #[display("not reached: {cause}")]
     Unreached {
         /// Cause.
         cause: String,
     },
-    /// There was a connection, and no whole answer in time.
+    /// The connection was opened, but the complete answer did not arrive in time.
     #[display("no answer in time")]
-    Late,
-    /// The connection broke after the request was handed to it.
+    TimedOut,
+    /// The connection failed after the request was passed to it.
     #[display("no answer: {cause}")]
     Unknown {
         /// Cause.
@@ -51,28 +52,29 @@
 }
 
 impl DirectError {
-    /// Whether no byte of the request left.
+    /// Returns whether no byte of the request was sent.
     #[must_use]
     pub fn is_unsent(&self) -> bool {
         match self {
             DirectError::Refused | DirectError::Unreached { .. } => true,
-            DirectError::Late | DirectError::Unknown { .. } => false,
+            DirectError::TimedOut | DirectError::Unknown { .. } => false,
         }
     }
 
-    /// Whether nothing at all was heard: that may be the asking side's own doing.
+    /// Returns whether the target did not respond at all, which may be caused by a fault on this
+    /// side.
     #[must_use]
-    pub fn is_silence(&self) -> bool {
+    pub fn is_unanswered(&self) -> bool {
         match self {
-            DirectError::Unreached { .. } | DirectError::Late => true,
+            DirectError::Unreached { .. } | DirectError::TimedOut => true,
             DirectError::Refused | DirectError::Unknown { .. } => false,
         }
     }
 }
 
-/// Body of an answer; holds the connection.
+/// Body of a response. Owns the connection.
 #[derive(Debug)]
-pub struct AnswerBody {
+pub struct ResponseBody {
     incoming: Incoming,
     _connection: Connection,
 }
@@ -86,11 +88,11 @@
     }
 }
 
-impl AnswerBody {
-    /// The next bytes; `None` at the proper end.
+impl ResponseBody {
+    /// Returns the next bytes, or `None` at the end of the body.
     ///
     /// # Errors
-    /// The connection ended before the answer did.
+    /// Returns an error if the connection is closed before the end of the body.
     pub async fn next(&mut self) -> Option<Result<Bytes, DirectError>> {
         loop {
             match self.incoming.frame().await? {
@@ -99,23 +101,23 @@
                         return Some(Ok(data));
                     }
                 }
-                Err(e) => return Some(Err(unknown(&e))),
+                Err(e) => return Some(Err(unknown_error(&e))),
             }
         }
     }
 
-    /// The whole body, of `limit` bytes at most.
+    /// Reads the whole body, of `limit` bytes at most.
     ///
     /// # Errors
-    /// It is longer, or the connection ended before it did.
-    pub async fn whole(self, limit: usize) -> Result<Bytes, DirectError> {
+    /// Returns an error if the body is longer or the connection is closed before its end.
+    pub async fn collect(self, limit: usize) -> Result<Bytes, DirectError> {
         let body = Limited::new(self.incoming, limit).collect().await;
-        let body = body.map_err(|e| unknown(&*e))?;
+        let body = body.map_err(|e| unknown_error(&*e))?;
         Ok(body.to_bytes())
     }
 }
 
-/// Sends `req` to `address` and waits for the head of its answer.
+/// Sends `req` to `address` and waits for the head of the response.
 ///
 /// # Errors
 /// See [`DirectError`].
@@ -123,75 +125,79 @@
     address: SocketAddr,
     req: Request<Full<Bytes>>,
     connect_timeout: Duration,
-) -> Result<Response<AnswerBody>, DirectError> {
+) -> Result<Response<ResponseBody>, DirectError> {
     let stream = connect(address, connect_timeout).await?;
-    let shaken = http1::Builder::new()
+    let handshake = http1::Builder::new()
         .max_buf_size(READ_BUFFER_BYTES)
         .handshake(TokioIo::new(stream))
         .await;
-    let (mut sender, connection) = shaken.map_err(|e| DirectError::Unreached {
+    let (mut sender, connection) = handshake.map_err(|e| DirectError::Unreached {
         cause: e.to_string(),
     })?;
     let task = tokio::spawn(async move {
-        // What goes wrong here shows at the answer.
+        // Errors of the connection are also returned by the response.
         let _ = connection.await;
     });
     let connection = Connection(task);
-    let res = sender.send_request(req).await.map_err(|e| unknown(&e))?;
-    let answer = |incoming| AnswerBody {
+    let res = sender
+        .send_request(req)
+        .await
+        .map_err(|e| unknown_error(&e))?;
+    let body = |incoming| ResponseBody {
         incoming,
         _connection: connection,
     };
-    Ok(res.map(answer))
+    Ok(res.map(body))
 }
 
-/// How long a question may take.
+/// Time limits of a request, both from its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AskTime {
-    /// Until there is a connection.
+pub struct RequestTimeouts {
+    /// Time limit until the connection is open.
     pub connect: Duration,
-    /// Until the whole answer has come.
+    /// Time limit until the complete response has been received.
     pub answer: Duration,
 }
 
-impl From<Duration> for AskTime {
-    /// One limit for both.
-    fn from(time: Duration) -> AskTime {
-        AskTime {
-            connect: time,
-            answer: time,
+impl From<Duration> for RequestTimeouts {
+    /// Uses the same limit for both.
+    fn from(limit: Duration) -> RequestTimeouts {
+        RequestTimeouts {
+            connect: limit,
+            answer: limit,
         }
     }
 }
 
-/// Sends `req` and reads the whole answer, of `limit` bytes at most, within `time`.
+/// Sends `req` and reads the complete response, with a body of `limit` bytes at most, within
+/// `timeouts`.
 ///
 /// # Errors
 /// See [`DirectError`].
-pub async fn ask(
+pub async fn request(
     address: SocketAddr,
     req: Request<Full<Bytes>>,
-    time: impl Into<AskTime>,
+    timeouts: impl Into<RequestTimeouts>,
     limit: usize,
 ) -> Result<Response<Bytes>, DirectError> {
-    let time = time.into();
-    let asked = async {
-        let res = send(address, req, time.connect).await?;
+    let timeouts = timeouts.into();
+    let exchange = async {
+        let res = send(address, req, timeouts.connect).await?;
         let (parts, body) = res.into_parts();
-        Ok(Response::from_parts(parts, body.whole(limit).await?))
+        Ok(Response::from_parts(parts, body.collect(limit).await?))
     };
-    match timeout(time.answer, asked).await {
-        Ok(answer) => answer,
-        Err(_) => Err(DirectError::Late),
+    match timeout(timeouts.answer, exchange).await {
+        Ok(res) => res,
+        Err(_) => Err(DirectError::TimedOut),
     }
 }
 
-async fn connect(address: SocketAddr, time: Duration) -> Result<TcpStream, DirectError> {
+async fn connect(address: SocketAddr, limit: Duration) -> Result<TcpStream, DirectError> {
     let unreached = |cause: String| DirectError::Unreached { cause };
-    match timeout(time, TcpStream::connect(address)).await {
+    match timeout(limit, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => {
-            // Without it small writes wait for an acknowledgement; the connection works all the
-            // same.
+            // Without TCP_NODELAY small writes wait for an acknowledgement. The connection works
+            // even if setting it fails.
             let _ = stream.set_nodelay(true);
             Ok(stream)
         }
@@ -201,7 +207,7 @@
     }
 }
 
-fn unknown(e: &(dyn std::error::Error + 'static)) -> DirectError {
+fn unknown_error(e: &(dyn std::error::Error + 'static)) -> DirectError {
     let mut cause = e.to_string();
     let mut source = e.source();
     while let Some(s) = source {
--- a/clients/src/peer.rs
+++ b/clients/src/peer.rs
@@ -1,4 +1,4 @@
-//! Other instances, as documented in [`jacinthweir_wire::peer`]. Bodies are MessagePack.
+//! Client of other instances, as documented in [`jacinthweir_wire::peer`]. Bodies are MessagePack.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 use crate::ClientError;
 
-/// Client towards other instances.
+/// Client of other instances.
 #[derive(Clone, Debug)]
 pub struct PeerClient {
     client: reqwest::Client,
@@ -21,10 +21,10 @@
 }
 
 impl PeerClient {
-    /// A client that shows `token` and ends each call within `timeout`.
+    /// Creates a client that sends `token` as a bearer token and ends each call within `timeout`.
     ///
     /// # Errors
-    /// When the HTTP client cannot be built.
+    /// Returns an error if the HTTP client cannot be built.
     pub fn open(token: String, timeout: Duration) -> Result<PeerClient, ClientError> {
         let client = crate::pooled()?;
         Ok(PeerClient {
@@ -43,21 +43,21 @@
         Q: Serialize,
         A: DeserializeOwned,
     {
-        let body = rmp_serde::to_vec_named(msg).map_err(ClientError::bad)?;
+        let body = rmp_serde::to_vec_named(msg).map_err(ClientError::bad_answer)?;
         let url = format!("http://{peer}{path}");
         let req = self.client.post(url).bearer_auth(&self.token).body(body);
         let res = req.timeout(self.timeout).send().await?;
         if res.status() != StatusCode::OK {
-            return Err(ClientError::bad(format!(
+            return Err(ClientError::bad_answer(format!(
                 "{peer} answered {}",
                 res.status()
             )));
         }
         let bytes = res.bytes().await?;
-        rmp_serde::from_slice(&bytes).map_err(ClientError::bad)
+        rmp_serde::from_slice(&bytes).map_err(ClientError::bad_answer)
     }
 
-    /// Fetches a part of the configuration by its hash; `None`: the peer does not have it.
+    /// Fetches a part of the configuration by its hash, or `None` if the peer does not have it.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -65,7 +65,7 @@
         self.fetch(format!("http://{peer}/peer/parts/{hash}")).await
     }
 
-    /// Reads the head of the configuration in force on `peer`; `None`: it has none.
+    /// Fetches the head of the configuration in force on `peer`, or `None` if it has none.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -73,11 +73,12 @@
         let Some(bytes) = self.fetch(format!("http://{peer}/peer/head")).await? else {
             return Ok(None);
         };
-        let head = rmp_serde::from_slice(&bytes).map_err(ClientError::bad)?;
+        let head = rmp_serde::from_slice(&bytes).map_err(ClientError::bad_answer)?;
         Ok(Some(head))
     }
 
-    /// Fetches the record of a request that `peer` served; `None`: not known there.
+    /// Fetches the record of a request that `peer` served, or `None` if it does not know the
+    /// request.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -92,18 +93,18 @@
         let Some(bytes) = bytes else {
             return Ok(None);
         };
-        let record = rmp_serde::from_slice(&bytes).map_err(ClientError::bad)?;
+        let record = rmp_serde::from_slice(&bytes).map_err(ClientError::bad_answer)?;
         Ok(Some(record))
     }
 
-    /// Asks an instance for its own record.
+    /// Fetches the member record of `peer` itself.
     ///
     /// # Errors
     /// See [`ClientError`].
     pub async fn own_record(&self, peer: SocketAddr) -> Result<MemberRecord, ClientError> {
         let bytes = self.fetch(format!("http://{peer}/peer/self")).await?;
-        let bytes = bytes.ok_or_else(|| ClientError::bad("no such path"))?;
-        rmp_serde::from_slice(&bytes).map_err(ClientError::bad)
+        let bytes = bytes.ok_or_else(|| ClientError::bad_answer("no such path"))?;
+        rmp_serde::from_slice(&bytes).map_err(ClientError::bad_answer)
     }
 
     async fn fetch(&self, url: String) -> Result<Option<Bytes>, ClientError> {
@@ -112,7 +113,7 @@
         match res.status() {
             StatusCode::OK => Ok(Some(res.bytes().await?)),
             StatusCode::NOT_FOUND => Ok(None),
-            status => Err(ClientError::bad(format!("peer answered {status}"))),
+            status => Err(ClientError::bad_answer(format!("peer answered {status}"))),
         }
     }
 }
