--- a/plugins/relay/src/events.rs
+++ b/plugins/relay/src/events.rs
@@ -1,108 +1,109 @@
-//! A stream of events, cut into whole events.
+//! Splitting of a byte stream into complete events.
 //!
-//! A runner may die in the middle of an event. What it sent of that event must not reach the
-//! caller, since the run that goes on elsewhere sends the event again from its start. So bytes are
-//! held back until the event they belong to is whole.
+//! A runner may die in the middle of an event. The partial event must not reach the caller, since
+//! the run that resumes the stream sends the event again from its start. Bytes are therefore
+//! buffered until their event is complete.
 //!
-//! Events bear increasing ids. After a resume the first event must be the one behind the last that
-//! the caller has; one that the caller has is dropped, and a gap ends the stream.
+//! Event ids increase. After a resume, the next event must follow the last one that the caller has;
+//! events that the caller already has are dropped, and a gap ends the stream.
 
 use bytes::{Bytes, BytesMut};
 use derive_more::{Display, Error};
 
-/// The longest event, in bytes: far above what a token takes, and bounds what is held back.
+/// Maximum event size, in bytes. It is far above the size of a token and bounds the buffer.
 const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// A stream cannot be passed on.
+/// Reason why a stream cannot be forwarded.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum EventError {
     /// An event is missing.
     #[display("event {found} follows {last}")]
     Gap {
-        /// Last event passed on.
+        /// Id of the last forwarded event.
         last: u64,
-        /// Event that came.
+        /// Id of the event that arrived.
         found: u64,
     },
-    /// An event is longer than any may be.
+    /// An event exceeds the maximum size.
     #[display("an event is too long")]
     TooLong,
 }
 
-/// Cuts a stream into whole events.
+/// Splits a byte stream into complete events.
 #[derive(Debug, Default)]
 pub struct Events {
-    held: BytesMut,
-    /// Up to here there is no end of an event.
+    buffer: BytesMut,
+    /// Length of the prefix of the buffer that contains no end of an event.
     searched: usize,
     last: Option<u64>,
     count: u64,
-    /// Whether the next event must follow [`Events::last`]: a run was resumed.
-    joined: bool,
+    /// Whether the next event must follow [`Events::last`], because the run resumes a stream.
+    resumed: bool,
 }
 
 impl Events {
-    /// The stream's events follow `last`, which the caller has.
+    /// Returns a splitter for a stream that follows event `last`, which the caller already has.
     #[must_use]
     pub fn after(last: Option<u64>) -> Events {
         Events {
             last,
-            joined: last.is_some(),
+            resumed: last.is_some(),
             ..Events::default()
         }
     }
 
-    /// Id of the last event passed on.
+    /// Returns the id of the last forwarded event.
     #[must_use]
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Events passed on.
+    /// Returns the number of forwarded events.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// Whether part of an event is held back.
+    /// Returns whether a partial event is buffered.
     #[must_use]
     pub fn holds_part(&self) -> bool {
-        !self.held.is_empty()
+        !self.buffer.is_empty()
     }
 
-    /// Another run goes on: what is held back of the last one is dropped.
+    /// Prepares for the bytes of another run that resumes the stream; discards the buffered partial
+    /// event.
     pub fn resume(&mut self) {
-        self.held.clear();
+        self.buffer.clear();
         self.searched = 0;
-        self.joined = true;
+        self.resumed = true;
     }
 
-    /// Takes in bytes; returns the whole events that they complete, in one piece.
+    /// Adds bytes; returns the events that they complete, concatenated.
     ///
     /// # Errors
     /// See [`EventError`].
     pub fn push(&mut self, bytes: &Bytes) -> Result<Bytes, EventError> {
-        self.held.extend_from_slice(bytes);
-        let mut whole = BytesMut::new();
+        self.buffer.extend_from_slice(bytes);
+        let mut complete = BytesMut::new();
         while let Some(end) = self.next_end() {
-            let event = self.held.split_to(end);
+            let event = self.buffer.split_to(end);
             self.searched = 0;
-            if self.is_next(&event)? {
-                whole.extend_from_slice(&event);
+            if self.should_forward(&event)? {
+                complete.extend_from_slice(&event);
                 self.count += 1;
             }
         }
-        if self.held.len() > MAX_EVENT_BYTES {
+        if self.buffer.len() > MAX_EVENT_BYTES {
             return Err(EventError::TooLong);
         }
-        Ok(whole.freeze())
+        Ok(complete.freeze())
     }
 
-    /// One past the first empty line.
+    /// Returns the end of the first event in the buffer, just after its empty line.
     fn next_end(&mut self) -> Option<usize> {
         let from = self.searched.saturating_sub(3);
-        for i in from..self.held.len() {
-            let rest = &self.held[i..];
+        for i in from..self.buffer.len() {
+            let rest = &self.buffer[i..];
             if rest.starts_with(b"\n\n") {
                 return Some(i + 2);
             }
@@ -110,16 +111,16 @@
                 return Some(i + 3);
             }
         }
-        self.searched = self.held.len();
+        self.searched = self.buffer.len();
         None
     }
 
-    /// Whether an event is to be passed on.
-    fn is_next(&mut self, event: &[u8]) -> Result<bool, EventError> {
-        let Some(id) = id_of(event) else {
+    /// Returns whether an event is to be forwarded, and records its id.
+    fn should_forward(&mut self, event: &[u8]) -> Result<bool, EventError> {
+        let Some(id) = event_id(event) else {
             return Ok(true);
         };
-        if let Some(last) = self.last.filter(|_| self.joined) {
+        if let Some(last) = self.last.filter(|_| self.resumed) {
             if id <= last {
                 return Ok(false);
             }
@@ -132,7 +133,7 @@
     }
 }
 
-fn id_of(event: &[u8]) -> Option<u64> {
+fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|b| *b == b'\n');
     let id = lines.find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(id).ok()?.trim().parse().ok()
