--- a/plugins/relay/src/admit.rs
+++ b/plugins/relay/src/admit.rs
@@ -1,9 +1,9 @@
-//! Waiting for room in a chain.
+//! Admission control: the queue for room in a chain.
 //!
-//! A request waits only as long as its first event can still come in time; then it is refused at
-//! once with a time to come back, and before that if more waits ahead of it than comes free until
-//! then. Those that wait get room by priority and then in their order, so
-//! that a large one is not passed by small ones for ever.
+//! A request waits only as long as its first event can still arrive in time; then it is refused
+//! with a retry time. It is refused before that if the requests ahead of it need more tokens than
+//! are expected to become free until then. Room is granted by priority, then in order of arrival,
+//! so that small requests cannot starve a large one.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,39 +12,41 @@
 use jacinthweir_policy::relay::chain_selection;
 use tokio::time::timeout;
 
-use crate::answer::{Cause, Journal};
+use crate::answer::{Cause, SendRecord};
 use crate::live::LiveChain;
 use crate::node::Node;
 use crate::request::Proxied;
 
-/// Part of the objective that a request may wait for room. The rest is what a first event takes
-/// in a chain that is nearly full. A request that may have run already waits as long once more: it
-/// cannot be refused any more, only fail.
-const WAIT_SHARE: f64 = 0.5;
+/// Fraction of the objective that a request may wait for room. The rest is the time-to-first-token
+/// in a nearly full chain. A request that may have run already waits for the same time again, since
+/// it can no longer be refused, only fail.
+const QUEUE_TIME_FRACTION: f64 = 0.5;
 
-/// Requests that may wait at once: they take memory, and a longer queue does not get room in time.
+/// Maximum queue length. Waiting requests take memory, and a longer queue does not get room in
+/// time.
 const MAX_WAITING: usize = 64;
 
-/// Longest sleep without a look: loads of other instances change without a notice.
-const LOOK: Duration = Duration::from_millis(40);
+/// Interval at which a waiting request checks for room without a notification: changes in the load
+/// of other instances cause none.
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Tokens of a request's prompt, and expected of its answer; the usual ones of its service where
-/// the request does not say.
-pub(crate) fn declared(rq: &Proxied) -> (u32, u32) {
+/// Returns the tokens of a request's prompt and the expected tokens of its answer, with the
+/// service's usual counts if the request does not state them.
+pub(crate) fn token_counts(rq: &Proxied) -> (u32, u32) {
     let usual = || rq.engine().map_or((0, 0), |e| e.usual_tokens);
     rq.tokens.unwrap_or_else(usual)
 }
 
-/// Tokens that a request takes.
+/// Returns the number of tokens that a request occupies in a chain.
 pub(crate) fn tokens(rq: &Proxied) -> f64 {
-    let (prompt, answer) = declared(rq);
+    let (prompt, answer) = token_counts(rq);
     chain_selection::demand(prompt, answer)
 }
 
-/// Until when a request waits for room.
-pub(crate) fn until(node: &Node, rq: &Proxied, journal: Journal) -> Millis {
-    let wait = (rq.objective_ms as f64 * WAIT_SHARE) as Millis;
-    let from = if journal.may_have_run() {
+/// Returns the time until which a request waits for room.
+pub(crate) fn until(node: &Node, rq: &Proxied, send_record: SendRecord) -> Millis {
+    let wait = (rq.objective_ms as f64 * QUEUE_TIME_FRACTION) as Millis;
+    let from = if send_record.may_have_run() {
         node.now()
     } else {
         rq.received_ms
@@ -52,7 +54,7 @@
     (from + wait).min(rq.deadline_ms)
 }
 
-/// Waits for a chain with room of those that the request may take.
+/// Waits for room in one of the chains that the request may take.
 pub(crate) async fn wait(
     node: &Rc<Node>,
     rq: &Proxied,
@@ -63,51 +65,52 @@
     if node.queue.borrow().len() >= MAX_WAITING {
         return Err(Cause::NoRoom);
     }
-    let place = Place::open(node, rank(rq), tokens);
-    let mut first_look = true;
+    let position = QueuePosition::open(node, queue_rank(rq), tokens);
+    let mut first_check = true;
     loop {
         let notified = node.room.notified();
-        if place.is_first()
+        if position.is_first()
             && let Some(live) = node.choose_chain(rq, chain_selection::MAX_FILL, &may_take)
         {
             return Ok(live);
         }
         let now = node.now();
         let none = node.chains.borrow().of(&rq.service).is_empty();
-        // Without a chain nothing comes free, and one may be found in a moment: all callers of an
-        // instance that has just started come at once.
-        let in_vain = first_look && !none && place.waits_in_vain(until);
-        first_look = false;
-        if now >= until || in_vain {
+        // Without a chain no release can be estimated, and one may appear shortly: an instance that
+        // has just started gets requests from all its callers at once.
+        let hopeless = first_check && !none && position.is_hopeless(until);
+        first_check = false;
+        if now >= until || hopeless {
             return Err(if none { Cause::NoRunner } else { Cause::NoRoom });
         }
         let left = Duration::from_millis(until - now);
-        let _ = timeout(left.min(LOOK), notified).await;
+        let _ = timeout(left.min(POLL_INTERVAL), notified).await;
     }
 }
 
-/// Rank of a new request in the queue: its priority, behind streams under way.
-fn rank(rq: &Proxied) -> u32 {
+/// Returns the queue rank of a new request: its priority, behind interrupted streams, which have
+/// rank 0.
+fn queue_rank(rq: &Proxied) -> u32 {
     rq.priority.saturating_add(1)
 }
 
-/// A place in the queue, given up when dropped.
-pub(crate) struct Place {
+/// A position in the queue, released on drop.
+pub(crate) struct QueuePosition {
     node: Rc<Node>,
     key: (u32, u64),
 }
 
-impl Place {
-    /// A place before all new requests. A stream whose chain broke is late once its pause is too
-    /// long; until then the work that was done for it is worth more than new work.
-    pub(crate) fn ahead(node: &Rc<Node>) -> Place {
-        Place::open(node, 0, 0.0)
+impl QueuePosition {
+    /// Returns a position ahead of all new requests, for a stream whose chain broke. Until its gap
+    /// exceeds the limit, the work already done for it is worth more than new work.
+    pub(crate) fn ahead_of_new_requests(node: &Rc<Node>) -> QueuePosition {
+        QueuePosition::open(node, 0, 0.0)
     }
 
-    fn open(node: &Rc<Node>, rank: u32, tokens: f64) -> Place {
-        let key = (rank, node.next_sequence());
+    fn open(node: &Rc<Node>, queue_rank: u32, tokens: f64) -> QueuePosition {
+        let key = (queue_rank, node.next_sequence());
         node.queue.borrow_mut().insert(key, tokens);
-        Place {
+        QueuePosition {
             node: Rc::clone(node),
             key,
         }
@@ -118,9 +121,9 @@
         queue.first_key_value().map(|(key, _)| *key) == Some(self.key)
     }
 
-    /// Whether more waits ahead than comes free before `until`. The first in the queue always
-    /// waits: what comes free next is its own.
-    fn waits_in_vain(&self, until: Millis) -> bool {
+    /// Returns whether the requests ahead need more tokens than are expected to become free before
+    /// `until`. The first in the queue always waits, since it gets the next room that becomes free.
+    fn is_hopeless(&self, until: Millis) -> bool {
         let ahead: f64 = self
             .node
             .queue
@@ -134,7 +137,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for QueuePosition {
     fn drop(&mut self) {
         self.node.queue.borrow_mut().remove(&self.key);
         self.node.room.notify_waiters();
--- a/plugins/relay/src/answer.rs
+++ b/plugins/relay/src/answer.rs
@@ -1,7 +1,7 @@
-//! Final answers of this instance, and what may be said in them.
+//! Answers of this instance to callers.
 //!
-//! "Not run" is a promise: callers with work that must not repeat send it again on it. It is said
-//! by [`Journal::failure`] and nowhere else, from what was handed to runners.
+//! "Not run" is a guarantee: callers retry non-repeatable work when they receive it. It is stated
+//! only by [`SendRecord::failure`], which derives it from the sends to runners.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -22,70 +22,74 @@
 /// Body of an answer to a caller.
 pub(crate) struct RelayBody {
     content: Content,
-    active: Option<Active>,
+    active: Option<ActiveRequest>,
 }
 
 enum Content {
-    Whole(Option<Bytes>),
-    Stream(Pin<Box<dyn Stream<Item = Result<Bytes, Cut>>>>),
+    Complete(Option<Bytes>),
+    Stream(Pin<Box<dyn Stream<Item = Result<Bytes, StreamCut>>>>),
 }
 
 impl RelayBody {
-    pub(crate) fn whole(bytes: Bytes) -> RelayBody {
+    pub(crate) fn complete(bytes: Bytes) -> RelayBody {
         RelayBody {
-            content: Content::Whole(Some(bytes)),
+            content: Content::Complete(Some(bytes)),
             active: None,
         }
     }
 
-    pub(crate) fn stream(stream: impl Stream<Item = Result<Bytes, Cut>> + 'static) -> RelayBody {
+    pub(crate) fn stream(
+        stream: impl Stream<Item = Result<Bytes, StreamCut>> + 'static,
+    ) -> RelayBody {
         RelayBody {
             content: Content::Stream(Box::pin(stream)),
             active: None,
         }
     }
 
-    /// The request counts as active until this body is dropped.
-    pub(crate) fn hold(&mut self, active: Active) {
+    /// Keeps the request active until this body is dropped.
+    pub(crate) fn attach(&mut self, active: ActiveRequest) {
         self.active = Some(active);
     }
 }
 
-/// A request of a caller from its head to the last byte of its answer. A shutdown waits for these,
-/// not for connections: callers open some on which they send nothing.
-pub(crate) struct Active(Rc<Cell<usize>>);
+/// Guard that counts a request as active from its head to the last byte of its answer. A shutdown
+/// waits for active requests, not for connections, since callers also open connections that they
+/// never use.
+pub(crate) struct ActiveRequest(Rc<Cell<usize>>);
 
-impl Active {
-    pub(crate) fn open(node: &Node) -> Active {
+impl ActiveRequest {
+    pub(crate) fn open(node: &Node) -> ActiveRequest {
         let count = Rc::clone(&node.active);
         count.set(count.get() + 1);
-        Active(count)
+        ActiveRequest(count)
     }
 }
 
-impl Drop for Active {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 }
 
-/// A stream cannot go on: the caller's connection is closed without a proper end.
+/// A stream could not be resumed: the caller's connection is closed without a regular end of the
+/// body.
 #[derive(Clone, Debug, Display, Error)]
 #[display("cut: {cause}")]
-pub(crate) struct Cut {
+pub(crate) struct StreamCut {
     pub(crate) cause: String,
 }
 
 impl Body for RelayBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = StreamCut;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamCut>>> {
         match &mut self.get_mut().content {
-            Content::Whole(bytes) => {
+            Content::Complete(bytes) => {
                 let bytes = bytes.take().filter(|b| !b.is_empty());
                 Poll::Ready(bytes.map(|b| Ok(Frame::data(b))))
             }
@@ -98,14 +102,14 @@
 
     fn is_end_stream(&self) -> bool {
         match &self.content {
-            Content::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            Content::Complete(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
             Content::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.content {
-            Content::Whole(bytes) => {
+            Content::Complete(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
             Content::Stream(_) => SizeHint::default(),
@@ -113,73 +117,74 @@
     }
 }
 
-/// Why a request ends without a runner's answer.
+/// Reason why a request ends without a runner's answer.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub(crate) enum Cause {
-    /// No configuration that this instance can vouch for.
+    /// This instance has no confirmed configuration.
     #[display("no confirmed configuration")]
     Unconfirmed,
-    /// No chain or runner is there.
+    /// There is no chain or runner for the service.
     #[display("nothing serves it")]
     NoRunner,
-    /// There is no room.
+    /// No chain has room.
     #[display("no room")]
     NoRoom,
-    /// Every runner tried refused it.
+    /// All runners tried refused the request.
     #[display("runners refused")]
     Refused,
-    /// A runner broke off or sent what is not its answer.
+    /// A runner failed or sent an invalid answer.
     #[display("runner failed")]
     RunnerFailed,
-    /// Runners end under it.
+    /// The request is quarantined because runners crash when they run it, or this is undecided.
     #[display("its runners end under it")]
-    Held,
-    /// The time is over.
+    Quarantined,
+    /// The deadline has passed.
     #[display("out of time")]
     Timeout,
 }
 
-/// What has been handed to runners for one request.
+/// Record of the sends of one request to runners.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Journal {
+pub(crate) struct SendRecord {
     /// Sends that a runner received or may have received.
     pub(crate) sends: u32,
-    /// Sends of which nobody said that they did not run.
-    open: u32,
+    /// Sends that are not known to have not run.
+    unresolved: u32,
 }
 
-impl Journal {
-    /// A request is about to be handed to a connection.
-    pub(crate) fn hand(&mut self) {
+impl SendRecord {
+    /// Records a send that is about to begin.
+    pub(crate) fn record_send(&mut self) {
         self.sends += 1;
-        self.open += 1;
+        self.unresolved += 1;
     }
 
-    /// The last send certainly did not run: no connection came about, or the runner says so.
-    pub(crate) fn not_run(&mut self) {
-        self.open = self.open.saturating_sub(1);
+    /// Records that the last send certainly did not run: the connection failed, or the runner
+    /// states it.
+    pub(crate) fn record_not_run(&mut self) {
+        self.unresolved = self.unresolved.saturating_sub(1);
     }
 
-    /// No connection came about: the runner received nothing.
-    pub(crate) fn unreached(&mut self) {
-        self.not_run();
+    /// Records that the connection for the last send failed, so that the runner received nothing.
+    pub(crate) fn record_unreached(&mut self) {
+        self.record_not_run();
         self.sends = self.sends.saturating_sub(1);
     }
 
-    /// Whether some send may have run.
+    /// Returns whether any send may have run.
     pub(crate) fn may_have_run(&self) -> bool {
-        self.open > 0
+        self.unresolved > 0
     }
 
-    /// What a further send of the request is for.
-    pub(crate) fn need(&self) -> RetryPriority {
+    /// Returns the priority of a further send of the request.
+    pub(crate) fn retry_priority(&self) -> RetryPriority {
         match self.may_have_run() {
             true => RetryPriority::Committed,
             false => RetryPriority::Refusable,
         }
     }
 
-    /// The final answer of a request that no runner answered.
+    /// Returns the final answer of a request that no runner answered.
     pub(crate) fn failure(&self, cause: Cause, retry_after_ms: Millis) -> Response<RelayBody> {
         if self.may_have_run() {
             let status = match cause {
@@ -196,18 +201,18 @@
     }
 }
 
-/// An answer of this instance with a line of text.
+/// Returns an answer of this instance with one line of text.
 pub(crate) fn plain(status: StatusCode, text: &str) -> Response<RelayBody> {
-    whole(status, "text/plain", Bytes::from(format!("{text}\n")))
+    complete(status, "text/plain", Bytes::from(format!("{text}\n")))
 }
 
-/// A whole answer of this instance.
-pub(crate) fn whole(
+/// Returns an answer of this instance with a complete body.
+pub(crate) fn complete(
     status: StatusCode,
     content_type: &'static str,
     body: Bytes,
 ) -> Response<RelayBody> {
-    let mut res = Response::new(RelayBody::whole(body));
+    let mut res = Response::new(RelayBody::complete(body));
     *res.status_mut() = status;
     let content_type = HeaderValue::from_static(content_type);
     res.headers_mut()
--- a/plugins/relay/src/attempt.rs
+++ b/plugins/relay/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to a runner, and what its answer is worth.
+//! A single send of a request to a runner, and validation of the answer's head.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,38 +12,38 @@
 use crate::limits;
 use crate::node::Node;
 
-/// Time that a new connection to a runner may take. Runners are a millisecond away; a dropped
-/// opening packet is sent again only after seconds.
-pub(crate) const CONNECT: Duration = Duration::from_millis(250);
+/// Time limit for a new connection to a runner. The round trip takes about a millisecond, while a
+/// lost SYN is retransmitted only after seconds.
+pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What came of a send.
-pub(crate) enum Sent {
-    /// A head that belongs to the request.
+/// Outcome of a send.
+pub(crate) enum SendOutcome {
+    /// The head of an answer to this request.
     Answer(Response<AnswerBody>),
-    /// The runner says that it did not run the request.
+    /// The runner states that it did not run the request.
     NotRun {
         status: StatusCode,
-        /// The runner at fault, if it is named.
+        /// The runner at fault, if the answer names one.
         at_fault: Option<SocketAddr>,
     },
-    /// No connection.
+    /// No connection could be established.
     Unreached(DirectError),
-    /// No answer, or one that belongs to another request: it may have run.
+    /// No valid answer to this request: it may have run.
     Lost(String),
 }
 
-/// Sends to a runner and waits for the head.
+/// Sends a request to a runner and waits for the head of the answer.
 pub(crate) async fn send(
     node: &Node,
     runner: &RunnerEntry,
     id: &str,
     req: Request<Full<bytes::Bytes>>,
-) -> Sent {
+) -> SendOutcome {
     limits::sent(node, runner);
-    let res = match direct::send(runner.address, req, CONNECT).await {
+    let res = match direct::send(runner.address, req, CONNECT_TIMEOUT).await {
         Ok(res) => res,
-        Err(e) if e.is_unsent() => return Sent::Unreached(e),
-        Err(e) => return Sent::Lost(e.to_string()),
+        Err(e) if e.is_unsent() => return SendOutcome::Unreached(e),
+        Err(e) => return SendOutcome::Lost(e.to_string()),
     };
     let headers = res.headers();
     if res.status() != StatusCode::MISDIRECTED_REQUEST {
@@ -52,21 +52,22 @@
     let refused = headers.contains_key(header::NOT_RUN);
     if refused || res.status() == StatusCode::MISDIRECTED_REQUEST {
         let at_fault = header::text(headers, &header::AT_FAULT);
-        return Sent::NotRun {
+        return SendOutcome::NotRun {
             status: res.status(),
             at_fault: at_fault.and_then(|a| a.trim().parse().ok()),
         };
     }
     if header::text(headers, &header::REQUEST_ID) != Some(id) {
-        return Sent::Lost("the answer names another request".to_owned());
+        return SendOutcome::Lost("the answer names another request".to_owned());
     }
-    if res.status().is_success() && !is_whole_answer(headers) {
-        return Sent::Lost("the answer has no receipt".to_owned());
+    if res.status().is_success() && !is_valid_success(headers) {
+        return SendOutcome::Lost("the answer has no receipt".to_owned());
     }
-    Sent::Answer(res)
+    SendOutcome::Answer(res)
 }
 
-/// A success counts only with the runner's receipt, and callers take no encodings.
-fn is_whole_answer(headers: &HeaderMap) -> bool {
+/// Returns whether a successful answer is valid: it needs the runner's receipt, and no content
+/// encoding, since callers accept none.
+fn is_valid_success(headers: &HeaderMap) -> bool {
     headers.contains_key(header::RECEIPT) && !headers.contains_key(http::header::CONTENT_ENCODING)
 }
--- a/plugins/relay/src/breaks.rs
+++ b/plugins/relay/src/breaks.rs
@@ -1,4 +1,4 @@
-//! Runs that broke off: what ran where when a runner ended.
+//! Interrupted runs: records which request ran on which runners when a run failed.
 
 use std::rc::Rc;
 
@@ -10,79 +10,81 @@
 use crate::request::Proxied;
 use crate::{probe, quarantine};
 
-/// How far a run had come when it broke off.
+/// Progress of a run when it was interrupted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Progress {
-    /// Nothing had come of it: it may have waited at the runner.
-    Waited,
-    /// It had begun, and its runner wrote for so many milliseconds.
-    Ran(Millis),
+    /// Nothing had arrived: the request may still have been queued at the runner.
+    NothingReceived,
+    /// The run had begun, and the runner had sent data for this many milliseconds.
+    Received(Millis),
 }
 
 impl Progress {
     fn ran_ms(self) -> Option<Millis> {
         match self {
-            Progress::Waited => None,
-            Progress::Ran(ms) => Some(ms),
+            Progress::NothingReceived => None,
+            Progress::Received(ms) => Some(ms),
         }
     }
 }
 
-/// A run that broke off.
-pub(crate) struct BrokenOff<'a> {
+/// An interrupted run.
+pub(crate) struct InterruptedRun<'a> {
     pub(crate) rq: &'a Proxied,
-    /// Lifetimes that it passed through, the first one first.
-    pub(crate) through: Vec<Lifetime>,
+    /// Lifetimes of the runners along the chain, in order.
+    pub(crate) lifetimes: Vec<Lifetime>,
     pub(crate) sent_ms: Millis,
     pub(crate) progress: Progress,
     pub(crate) cause: &'a str,
 }
 
-/// Takes note of a run that broke off.
-pub(crate) fn note(node: &Rc<Node>, broken: BrokenOff<'_>) {
-    let BrokenOff {
+/// Logs and counts an interrupted run, has the first runner probed, and updates the quarantine
+/// state.
+pub(crate) fn record(node: &Rc<Node>, interrupted_run: InterruptedRun<'_>) {
+    let InterruptedRun {
         rq,
-        through,
+        lifetimes,
         sent_ms,
         progress,
         cause,
-    } = broken;
+    } = interrupted_run;
     log::info!(
         request = rq.id.as_ref(),
         fingerprint:% = rq.fingerprint(),
-        runner = through.first().map_or("", |l| &l.runner),
-        begun = progress != Progress::Waited,
+        runner = lifetimes.first().map_or("", |l| &l.runner),
+        begun = progress != Progress::NothingReceived,
         ran_ms:? = progress.ran_ms(),
         after_ms = node.now() - rq.received_ms,
         cause;
         "run broke off"
     );
     metrics::counter!("jacinthweir_runs_broken_total").increment(1);
-    ask_first(node, &through);
+    probe_first(node, &lifetimes);
     match progress {
-        Progress::Ran(ms) if ms >= SURVIVED_MS => quarantine::survived(node, rq),
-        Progress::Ran(_) | Progress::Waited => {
+        Progress::Received(ms) if ms >= SURVIVED_MS => quarantine::survived(node, rq),
+        Progress::Received(_) | Progress::NothingReceived => {
             node.quarantine.borrow_mut().record_broken_run(BrokenRun {
                 request: rq.fingerprint(),
-                through,
+                through: lifetimes,
                 seen_by: node.settings.name.clone(),
                 sent_ms,
-                begun: progress != Progress::Waited,
+                begun: progress != Progress::NothingReceived,
                 at_ms: node.now(),
             });
         }
     }
 }
 
-/// Asks the first runner that a broken run passed through, unless it is known already which of them ended.
-fn ask_first(node: &Rc<Node>, through: &[Lifetime]) {
+/// Probes the first runner of an interrupted run, unless one of its runners is already known to
+/// have ended.
+fn probe_first(node: &Rc<Node>, lifetimes: &[Lifetime]) {
     let is_explained = {
         let runners = node.runners.borrow();
-        through
+        lifetimes
             .iter()
             .any(|l| runners.lifetime_state(l) == LifetimeState::Ended)
     };
-    if let Some(first) = through.first().filter(|_| !is_explained) {
-        probe::broke_off(node, &first.runner, first.born_ms);
+    if let Some(first) = lifetimes.first().filter(|_| !is_explained) {
+        probe::connection_lost(node, &first.runner, first.born_ms);
     }
 }
--- a/plugins/relay/src/call.rs
+++ b/plugins/relay/src/call.rs
@@ -1,7 +1,7 @@
-//! Requests with one answer: calls of plain services.
+//! Calls: requests with a single answer, to services without layers.
 //!
-//! The answer is read whole before any of it is passed on. A runner that breaks off in the middle
-//! then costs a repeat where the call allows one, and no caller sees half an answer.
+//! The answer is read completely before any of it is forwarded. A runner that fails midway then
+//! costs a retry where the call is repeatable, and no caller gets a partial answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,41 +14,45 @@
 use tokio::time::timeout;
 
 use crate::admit;
-use crate::answer::{Cause, Journal, RelayBody};
-use crate::attempt::{self, Sent};
-use crate::breaks::{self, BrokenOff, Progress};
+use crate::answer::{Cause, RelayBody, SendRecord};
+use crate::attempt::{self, SendOutcome};
+use crate::breaks::{self, InterruptedRun, Progress};
 use crate::limits;
 use crate::node::Node;
 use crate::probe;
 use crate::quarantine;
-use crate::request::{Proxied, count};
+use crate::request::{Proxied, count_outcome};
 
-/// The longest answer, in bytes: it is held in memory.
-const ANSWER_BYTES: usize = 8 << 20;
+/// Maximum answer size, in bytes: the answer is buffered in memory.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// Runners that may be tried without reaching them.
+/// Maximum number of failed connections of one call.
 const MAX_UNREACHED: u32 = 3;
 
-/// How long a runner that said it is another one, or full, is passed over, in milliseconds.
-const MISDIRECTED_MS: Millis = 1_000;
-const FULL_MS: Millis = 100;
+/// How long a runner is avoided after it answered that it is not the addressed one, in
+/// milliseconds.
+const MISDIRECTED_AVOID_MS: Millis = 1_000;
 
-/// How long a runner to which no connection came about is passed over, in milliseconds: in most cases
-/// it is known by then whether it is dead.
-const NOT_REACHED_MS: Millis = 250;
+/// How long a runner is avoided after it refused a call because it is full, in milliseconds.
+const FULL_AVOID_MS: Millis = 100;
 
-/// When to come back after a refusal, in milliseconds: a call takes some 60.
-const COME_BACK_MS: Millis = 300;
+/// How long a runner is avoided after a failed connection, in milliseconds. By then probes have
+/// usually shown whether it is dead.
+const UNREACHED_AVOID_MS: Millis = 250;
 
-/// What is added to that at the most, so that those refused together do not return together.
-const COME_BACK_SPREAD_MS: f64 = 200.0;
+/// Minimum `Retry-After` of a refusal, in milliseconds. A call takes about 60 ms.
+const RETRY_AFTER_MS: Millis = 300;
 
-/// What came of one attempt.
-enum Ended {
+/// Maximum jitter added to it, so that callers refused together do not retry together.
+const RETRY_AFTER_JITTER_MS: f64 = 200.0;
+
+/// Outcome of one attempt.
+enum CallOutcome {
     Answered(Response<RelayBody>),
     NotRun,
     Unreached,
-    /// The runner failed it: its own word, to be passed on if nothing better comes.
+    /// The runner failed the call. Its own answer, if any, is forwarded if no other attempt
+    /// succeeds.
     Failed(Option<Response<RelayBody>>),
     Timeout,
 }
@@ -56,63 +60,63 @@
 /// Serves a call.
 pub(crate) async fn serve(node: &Rc<Node>, rq: Proxied) -> Response<RelayBody> {
     node.count_request(&rq.service);
-    let mut journal = Journal::default();
+    let mut send_record = SendRecord::default();
     let mut tried: Vec<Name> = Vec::new();
     let mut last: Option<Response<RelayBody>> = None;
     let mut cause = Cause::NoRunner;
     let mut unreached = 0;
     loop {
-        let until = admit::until(node, &rq, journal);
+        let until = admit::until(node, &rq, send_record);
         if let Some(held_ms) = quarantine::held_ms(node, &rq, until).await {
-            return rq.not_answered(node, journal, Cause::Held, held_ms);
+            return rq.unanswered_response(node, send_record, Cause::Quarantined, held_ms);
         }
-        if rq.left_ms(node) == 0 {
+        if rq.remaining_ms(node) == 0 {
             cause = Cause::Timeout;
             break;
         }
-        if journal.sends >= rq.max_attempts || unreached >= MAX_UNREACHED {
+        if send_record.sends >= rq.max_attempts || unreached >= MAX_UNREACHED {
             break;
         }
         let Some(runner) = next_runner(node, &rq, &tried) else {
             break;
         };
-        if journal.sends > 0 && !node.take_repeat(&rq.service, journal.need()) {
+        if send_record.sends > 0 && !node.take_repeat(&rq.service, send_record.retry_priority()) {
             break;
         }
         tried.push(runner.id.clone());
-        journal.hand();
-        let repeatable = rq.class.repeatable() && journal.sends < rq.max_attempts;
+        send_record.record_send();
+        let repeatable = rq.class.repeatable() && send_record.sends < rq.max_attempts;
         match attempt(node, &rq, &runner, repeatable).await {
-            Ended::Answered(res) => {
+            CallOutcome::Answered(res) => {
                 log_end(node, &rq, &runner, "answered", res.status().as_u16());
                 return res;
             }
-            Ended::NotRun => {
-                journal.not_run();
+            CallOutcome::NotRun => {
+                send_record.record_not_run();
                 cause = Cause::Refused;
             }
-            Ended::Unreached => {
-                journal.unreached();
+            CallOutcome::Unreached => {
+                send_record.record_unreached();
                 unreached += 1;
             }
-            Ended::Failed(res) => {
+            CallOutcome::Failed(res) => {
                 last = res.or(last);
                 cause = Cause::RunnerFailed;
             }
-            Ended::Timeout => cause = Cause::Timeout,
+            CallOutcome::Timeout => cause = Cause::Timeout,
         }
-        if journal.may_have_run() && !rq.class.repeatable() {
+        if send_record.may_have_run() && !rq.class.repeatable() {
             break;
         }
     }
     match last {
-        Some(res) if journal.may_have_run() => {
-            count("runner_failed");
+        Some(res) if send_record.may_have_run() => {
+            count_outcome("runner_failed");
             res
         }
         _ => {
-            let spread_ms = (node.draw() * COME_BACK_SPREAD_MS) as Millis;
-            rq.not_answered(node, journal, cause, COME_BACK_MS + spread_ms)
+            let jitter_ms = (node.draw() * RETRY_AFTER_JITTER_MS) as Millis;
+            rq.unanswered_response(node, send_record, cause, RETRY_AFTER_MS + jitter_ms)
         }
     }
 }
@@ -126,25 +130,30 @@
     untried.find(|e| limits::allows(node, e)).cloned()
 }
 
-async fn attempt(node: &Rc<Node>, rq: &Proxied, runner: &RunnerEntry, repeatable: bool) -> Ended {
-    let _busy = Busy::open(node, &runner.id);
+async fn attempt(
+    node: &Rc<Node>,
+    rq: &Proxied,
+    runner: &RunnerEntry,
+    repeatable: bool,
+) -> CallOutcome {
+    let _in_flight = InFlightGuard::open(node, &runner.id);
     let sent_ms = node.now();
-    let left = rq.left_ms(node);
-    // Where another attempt is left, the first gets the objective's time: a runner that hangs
-    // would else take all of it.
+    let left = rq.remaining_ms(node);
+    // If another attempt is possible, this one is limited to the objective: a hanging runner would
+    // otherwise use up the whole deadline.
     let time = if repeatable {
         left.min(rq.objective_ms.max(1))
     } else {
         left
     };
     let sent = async {
-        let req = rq.to_send(node, &runner.id);
+        let req = rq.runner_request(node, &runner.id);
         match attempt::send(node, runner, &rq.id, req).await {
-            Sent::Answer(res) => {
+            SendOutcome::Answer(res) => {
                 let (parts, body) = res.into_parts();
-                match body.whole(ANSWER_BYTES).await {
+                match body.whole(MAX_ANSWER_BYTES).await {
                     Ok(bytes) => Ok(Response::from_parts(parts, bytes)),
-                    Err(e) => Err(Sent::Lost(e.to_string())),
+                    Err(e) => Err(SendOutcome::Lost(e.to_string())),
                 }
             }
             other => Err(other),
@@ -160,67 +169,67 @@
                 log_attempt(rq, runner, "failed", res.status().as_str());
             }
             quarantine::survived(node, rq);
-            let res = passed_on(res);
+            let res = to_caller(res);
             if failed {
-                Ended::Failed(Some(res))
+                CallOutcome::Failed(Some(res))
             } else {
-                Ended::Answered(res)
+                CallOutcome::Answered(res)
             }
         }
-        Ok(Err(sent)) => not_answered(node, rq, runner, sent, sent_ms),
+        Ok(Err(sent)) => handle_unanswered(node, rq, runner, sent, sent_ms),
         Err(_) => {
             node.runners
                 .borrow_mut()
                 .record_outcome(&runner.id, true, node.now());
             log_attempt(rq, runner, "timeout", "");
-            Ended::Timeout
+            CallOutcome::Timeout
         }
     }
 }
 
-fn not_answered(
+fn handle_unanswered(
     node: &Rc<Node>,
     rq: &Proxied,
     runner: &RunnerEntry,
-    sent: Sent,
+    sent: SendOutcome,
     sent_ms: Millis,
-) -> Ended {
+) -> CallOutcome {
     match sent {
-        Sent::NotRun { status, .. } => {
+        SendOutcome::NotRun { status, .. } => {
             log_attempt(rq, runner, "not run", status.as_str());
             let pause = match status {
-                StatusCode::MISDIRECTED_REQUEST => MISDIRECTED_MS,
-                _ => FULL_MS,
+                StatusCode::MISDIRECTED_REQUEST => MISDIRECTED_AVOID_MS,
+                _ => FULL_AVOID_MS,
             };
             avoid_for(node, runner, pause);
-            Ended::NotRun
+            CallOutcome::NotRun
         }
-        Sent::Unreached(e) => {
+        SendOutcome::Unreached(e) => {
             log_attempt(rq, runner, "not reached", &e.to_string());
-            avoid_for(node, runner, NOT_REACHED_MS);
-            probe::not_reached(node, runner, &e);
-            Ended::Unreached
+            avoid_for(node, runner, UNREACHED_AVOID_MS);
+            probe::connection_failed(node, runner, &e);
+            CallOutcome::Unreached
         }
-        Sent::Lost(cause) => {
+        SendOutcome::Lost(cause) => {
             log_attempt(rq, runner, "lost", &cause);
-            let broken = BrokenOff {
+            let interrupted_run = InterruptedRun {
                 rq,
-                through: vec![quarantine::lifetime(runner)],
+                lifetimes: vec![quarantine::lifetime(runner)],
                 sent_ms,
-                progress: Progress::Waited,
+                progress: Progress::NothingReceived,
                 cause: &cause,
             };
-            breaks::note(node, broken);
+            breaks::record(node, interrupted_run);
             node.runners
                 .borrow_mut()
                 .record_outcome(&runner.id, true, node.now());
-            Ended::Failed(None)
+            CallOutcome::Failed(None)
         }
-        Sent::Answer(_) => Ended::Failed(None),
+        SendOutcome::Answer(_) => CallOutcome::Failed(None),
     }
 }
 
-/// Nothing new goes to a runner for `ms` milliseconds.
+/// Excludes a runner from new attempts for `ms` milliseconds.
 fn avoid_for(node: &Node, runner: &RunnerEntry, ms: Millis) {
     let until = node.now() + ms;
     if let Some(s) = node.runners.borrow_mut().health_mut(&runner.id) {
@@ -228,9 +237,9 @@
     }
 }
 
-fn passed_on(res: Response<Bytes>) -> Response<RelayBody> {
+fn to_caller(res: Response<Bytes>) -> Response<RelayBody> {
     let (parts, body) = res.into_parts();
-    let mut out = Response::new(RelayBody::whole(body));
+    let mut out = Response::new(RelayBody::complete(body));
     *out.status_mut() = parts.status;
     *out.headers_mut() = header::passed_on(&parts.headers);
     out
@@ -248,7 +257,7 @@
 
 fn log_end(node: &Node, rq: &Proxied, runner: &RunnerEntry, outcome: &'static str, status: u16) {
     let after_ms = node.now() - rq.received_ms;
-    count(outcome);
+    count_outcome(outcome);
     metrics::histogram!("jacinthweir_call_seconds").record(after_ms as f64 / 1e3);
     log::info!(
         request = rq.id.as_ref(),
@@ -260,25 +269,25 @@
     );
 }
 
-/// Counts a request at a runner while it lasts.
-struct Busy {
+/// Counts a request as in flight at a runner until dropped.
+struct InFlightGuard {
     node: Rc<Node>,
     runner: Name,
 }
 
-impl Busy {
-    fn open(node: &Rc<Node>, runner: &Name) -> Busy {
+impl InFlightGuard {
+    fn open(node: &Rc<Node>, runner: &Name) -> InFlightGuard {
         if let Some(s) = node.runners.borrow_mut().health_mut(runner) {
             s.in_flight += 1;
         }
-        Busy {
+        InFlightGuard {
             node: Rc::clone(node),
             runner: runner.clone(),
         }
     }
 }
 
-impl Drop for Busy {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         if let Some(s) = self.node.runners.borrow_mut().health_mut(&self.runner) {
             s.in_flight = s.in_flight.saturating_sub(1);
--- a/plugins/relay/src/probe.rs
+++ b/plugins/relay/src/probe.rs
@@ -1,5 +1,5 @@
-//! Asks the parts of a silent chain, to find the one that is dead, and dead runners whether they are
-//! back.
+//! Failure detector for runners: probes the stages of silent chains, exchanges failure reports with
+//! other instances, and probes dead and slow runners for recovery.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,114 +19,117 @@
 use crate::live::LiveChain;
 use crate::node::Node;
 use crate::peers;
-use crate::question::{self, Asked, Finding, Suspect, TRIES};
+use crate::question::{self, MAX_PROBES, ProbeResult, ProbeTarget, Suspect};
 
-/// Least and longest time between two looks for silent chains, in milliseconds. Looked for every few
-/// milliseconds, they cost an instance more than its callers' events.
-const LOOK_MS: Millis = 8;
-const LONGEST_LOOK_MS: Millis = 100;
+/// Minimum time between two checks for silent chains, in milliseconds. With checks every few
+/// milliseconds an instance spends more time on them than on its callers' events.
+const MIN_CHECK_INTERVAL_MS: Millis = 8;
 
-/// Period of looking which dead runners are to be asked whether they are back.
-const REVIVE: Duration = Duration::from_millis(350);
+/// Maximum time between two checks for silent chains, in milliseconds.
+const MAX_CHECK_INTERVAL_MS: Millis = 100;
 
-/// Starts looking.
+/// Interval between two rounds of recovery probes.
+const RECOVERY_INTERVAL: Duration = Duration::from_millis(350);
+
+/// Starts the tasks of the failure detector.
 pub(crate) fn spawn(node: &Rc<Node>) {
-    let looking = Rc::clone(node);
+    let detecting = Rc::clone(node);
     tokio::task::spawn_local(async move {
-        let stop = looking.stop.clone();
-        let _ = stop.run_until_cancelled(look(&looking)).await;
+        let stop = detecting.stop.clone();
+        let _ = stop.run_until_cancelled(detect(&detecting)).await;
     });
-    let reviving = Rc::clone(node);
+    let recovering = Rc::clone(node);
     tokio::task::spawn_local(async move {
-        let stop = reviving.stop.clone();
-        let _ = stop.run_until_cancelled(revive(&reviving)).await;
+        let stop = recovering.stop.clone();
+        let _ = stop.run_until_cancelled(recovery_loop(&recovering)).await;
     });
 }
 
-async fn look(node: &Rc<Node>) {
+async fn detect(node: &Rc<Node>) {
     loop {
-        wait_for_look(node).await;
+        wait_for_check(node).await;
         let now = node.now();
         let expired = node.runners.borrow_mut().expire_lapsed(now);
         if expired {
-            log::info!("runners whose entries lapsed did not come back");
+            log::info!("runners did not return after their store entries lapsed");
             node.rebuild_chains();
         }
-        let suspect: Vec<Rc<LiveChain>> = {
+        let silent_chains: Vec<Rc<LiveChain>> = {
             let chains = node.chains.borrow();
             let alive = chains.all().filter(|l| !l.broken.is_cancelled());
             alive.filter(|l| l.should_ask(now)).cloned().collect()
         };
-        for live in suspect {
-            tokio::task::spawn_local(ask_parts(Rc::clone(node), live));
+        for live in silent_chains {
+            tokio::task::spawn_local(probe_stages(Rc::clone(node), live));
         }
     }
 }
 
-/// Waits until some chain may be found silent.
-async fn wait_for_look(node: &Node) {
+/// Waits until a chain may have become silent.
+async fn wait_for_check(node: &Node) {
     let now = node.now();
-    let next = next_look_ms(node, now);
+    let next = next_check_ms(node, now);
     node.next_look_ms.set(next);
     tokio::select! {
-        () = sleep(Duration::from_millis(next - now)) => log_held_up(node.now().saturating_sub(next)),
-        () = node.look.notified() => sleep(Duration::from_millis(LOOK_MS)).await,
+        () = sleep(Duration::from_millis(next - now)) => log_late_check(node.now().saturating_sub(next)),
+        () = node.look.notified() => sleep(Duration::from_millis(MIN_CHECK_INTERVAL_MS)).await,
     }
 }
 
-fn next_look_ms(node: &Node, now: Millis) -> Millis {
+fn next_check_ms(node: &Node, now: Millis) -> Millis {
     let chains = node.chains.borrow();
     let alive = chains.all().filter(|l| !l.broken.is_cancelled());
     let due = alive.filter_map(|l| l.due_ms()).min();
-    let longest = now + LONGEST_LOOK_MS;
-    due.unwrap_or(longest).clamp(now + LOOK_MS, longest)
+    let longest = now + MAX_CHECK_INTERVAL_MS;
+    due.unwrap_or(longest)
+        .clamp(now + MIN_CHECK_INTERVAL_MS, longest)
 }
 
-/// Time after a look was due from which on the instance was held up, in milliseconds: by its own work,
-/// or without processor.
-const HELD_UP_MS: Millis = 32;
+/// Delay of a check from which on it is logged, in milliseconds. The cause is the instance's own
+/// work or a lack of CPU time.
+const LATE_CHECK_MS: Millis = 32;
 
-fn log_held_up(late_ms: Millis) {
+fn log_late_check(late_ms: Millis) {
     metrics::histogram!("jacinthweir_look_seconds").record(late_ms as f64 / 1e3);
-    if late_ms >= HELD_UP_MS {
-        log::info!(late_ms; "held up");
+    if late_ms >= LATE_CHECK_MS {
+        log::info!(late_ms; "check for silent chains was delayed");
     }
 }
 
-async fn ask_parts(node: Rc<Node>, live: Rc<LiveChain>) {
+async fn probe_stages(node: Rc<Node>, live: Rc<LiveChain>) {
     log_silence(&node, &live);
     let began = node.now();
     let stages = live.chain.stages.iter();
     let mut open: FuturesUnordered<_> = stages
         .map(|s| {
-            let asked = Asked::of(&node, &s.runner);
-            async move { (&s.runner, question::ask(asked, TRIES).await) }
+            let target = ProbeTarget::of(&node, &s.runner);
+            async move { (&s.runner, question::probe(target, MAX_PROBES).await) }
         })
         .collect();
     let mut round = ProbeRound::new(open.len());
-    let mut silent: Vec<&RunnerEntry> = Vec::new();
+    let mut silent_runners: Vec<&RunnerEntry> = Vec::new();
     let mut unanswered = 0;
     while let Some((runner, found)) = open.next().await {
         let passed = node.now() - began;
         let RunnerEntry { id, born_ms, .. } = runner;
-        if found.is_heard() {
+        if found.is_response() {
             round.answered(passed);
         }
         match found {
-            Finding::Report(report) => take_report(&node, id, *born_ms, &report),
-            Finding::Listens => hear_it(&node, id, *born_ms),
-            Finding::Gone => name_dead(&node, id, *born_ms, REFUSED),
-            Finding::NoReport(_) | Finding::Silent(_) => {
+            ProbeResult::Report(report) => process_report(&node, id, *born_ms, &report),
+            ProbeResult::Listening => record_answer(&node, id, *born_ms),
+            ProbeResult::Refused => report_dead(&node, id, *born_ms, REFUSED_EVIDENCE),
+            ProbeResult::NoReport(_) | ProbeResult::Silent(_) => {
                 unanswered += 1;
-                silent.push(runner);
+                silent_runners.push(runner);
             }
         }
         if round.indicates_dead(passed) {
-            let suspects = silent.drain(..).map(|r| Suspect::of(&node, r));
+            let suspects = silent_runners.drain(..).map(|r| Suspect::of(&node, r));
             suspects.for_each(|s| examine(&node, s, 1));
         }
     }
-    silent
+    silent_runners
         .into_iter()
         .for_each(|r| examine(&node, Suspect::of(&node, r), 0));
     log::info!(
@@ -153,58 +156,60 @@
     );
 }
 
-/// A connection to a runner did not come about: that is looked into, or shows by itself that nobody
-/// listens there.
-pub(crate) fn not_reached(node: &Rc<Node>, runner: &RunnerEntry, error: &DirectError) {
+/// Handles a failed connection to a runner. Without any response the runner is probed; any other
+/// error shows that nothing listens there, and the runner is reported dead.
+pub(crate) fn connection_failed(node: &Rc<Node>, runner: &RunnerEntry, error: &DirectError) {
     if error.is_silence() {
         examine(node, Suspect::of(node, runner), 0);
     } else {
-        name_dead(node, &runner.id, runner.born_ms, &error.to_string());
+        report_dead(node, &runner.id, runner.born_ms, &error.to_string());
     }
 }
 
-/// A connection to a runner broke: it may have ended, which one question shows at once. Its silence is looked
-/// into like any other.
-pub(crate) fn broke_off(node: &Rc<Node>, id: &Name, born_ms: u64) {
-    let Some(suspect) = due_suspect(node, id, born_ms) else {
+/// Handles a broken connection to a runner. A single probe shows at once whether it has ended; if
+/// there is no report, the runner is examined like any other silent one.
+pub(crate) fn connection_lost(node: &Rc<Node>, id: &Name, born_ms: u64) {
+    let Some(suspect) = suspect_if_due(node, id, born_ms) else {
         return;
     };
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
         let Suspect { id, born_ms, .. } = &suspect;
-        match question::ask(suspect.asked, 1).await {
-            Finding::Report(report) => take_report(&node, id, *born_ms, &report),
-            Finding::Listens => hear_it(&node, id, *born_ms),
-            Finding::Gone => name_dead(&node, id, *born_ms, REFUSED),
-            Finding::NoReport(_) | Finding::Silent(_) => examine(&node, suspect, 0),
+        match question::probe(suspect.target, 1).await {
+            ProbeResult::Report(report) => process_report(&node, id, *born_ms, &report),
+            ProbeResult::Listening => record_answer(&node, id, *born_ms),
+            ProbeResult::Refused => report_dead(&node, id, *born_ms, REFUSED_EVIDENCE),
+            ProbeResult::NoReport(_) | ProbeResult::Silent(_) => examine(&node, suspect, 0),
         }
     });
 }
 
-/// Has a runner asked beside witnesses that was silent `strikes` times, if it is not asked so already.
-fn examine(node: &Rc<Node>, suspect: Suspect, strikes: u32) {
+/// Starts an examination of a runner with witnesses, unless one is in progress. It was silent
+/// `silent_rounds` times already.
+fn examine(node: &Rc<Node>, suspect: Suspect, silent_rounds: u32) {
     let lifetime = (suspect.id.clone(), suspect.born_ms);
     if !node.examined.borrow_mut().insert(lifetime.clone()) {
         return;
     }
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
-        question::examine(Rc::clone(&node), suspect, strikes).await;
+        question::examine(Rc::clone(&node), suspect, silent_rounds).await;
         node.examined.borrow_mut().remove(&lifetime);
     });
 }
 
-/// A runner was heard: what others said of its end is void.
-pub(crate) fn hear_it(node: &Node, id: &Name, born_ms: u64) {
+/// Records that a runner answered, which refutes the failure reports on it.
+pub(crate) fn record_answer(node: &Node, id: &Name, born_ms: u64) {
     node.words.borrow_mut().refute(id, born_ms, node.now());
 }
 
-/// What a runner's report says of itself, and of others that requests wait for there.
-pub(crate) fn take_report(node: &Node, id: &Name, born_ms: u64, report: &Report) {
+/// Processes a runner's report: its lifetime, its pace, and the runners that its requests are
+/// stalled on.
+pub(crate) fn process_report(node: &Node, id: &Name, born_ms: u64, report: &Report) {
     if !report.is_of(born_ms) {
-        return name_dead(node, id, born_ms, "started anew");
+        return report_dead(node, id, born_ms, "runner has restarted");
     }
-    hear_it(node, id, born_ms);
+    record_answer(node, id, born_ms);
     let mut changed = set_pace(node, id, report.pace, node.now());
     for address in report.stalled.values() {
         changed |= mark_dead_at(node, *address);
@@ -215,18 +220,18 @@
     }
 }
 
-/// Evidence that nobody listens at a runner's address.
-pub(crate) const REFUSED: &str = "connection refused";
+/// Evidence that nothing listens at a runner's address.
+pub(crate) const REFUSED_EVIDENCE: &str = "connection refused";
 
-/// One lifetime of a runner is over: the other instances hear so at once.
-pub(crate) fn name_dead(node: &Node, id: &Name, born_ms: u64, evidence: &str) {
-    if find_dead(node, id, born_ms, evidence) {
+/// Declares a lifetime of a runner dead and notifies the other instances at once.
+pub(crate) fn report_dead(node: &Node, id: &Name, born_ms: u64, evidence: &str) {
+    if mark_dead_and_report(node, id, born_ms, evidence) {
         node.news.notify_one();
         node.rebuild_chains();
     }
 }
 
-/// A runner's pace as it was at `at_ms`; whether chains depend on the change.
+/// Records a runner's pace as of `at_ms`. Returns whether the chains have to be rebuilt.
 pub(crate) fn set_pace(node: &Node, id: &Name, pace: f64, at_ms: Millis) -> bool {
     let mut runners = node.runners.borrow_mut();
     let changed = runners
@@ -238,16 +243,17 @@
     changed
 }
 
-/// This instance found one lifetime of a runner dead.
-fn find_dead(node: &Node, id: &Name, born_ms: u64, evidence: &str) -> bool {
+/// Marks a lifetime of a runner as dead and records a failure report of this instance. Returns
+/// whether it was not marked before.
+fn mark_dead_and_report(node: &Node, id: &Name, born_ms: u64, evidence: &str) -> bool {
     let found = mark_dead(node, id, born_ms, evidence);
     if found {
-        let word = FailureReport {
+        let report = FailureReport {
             runner: id.clone(),
             born_ms,
             reporters: [node.settings.name.clone()].into(),
         };
-        node.words.borrow_mut().record(&word, node.now());
+        node.words.borrow_mut().record(&report, node.now());
         if let Some(health) = node.runners.borrow_mut().health_mut(id) {
             health.found_locally = true;
         }
@@ -255,7 +261,8 @@
     found
 }
 
-/// Marks one lifetime of a runner as dead, for the reason that `evidence` tells.
+/// Marks a lifetime of a runner as dead because of `evidence`. Returns whether it was not marked
+/// before.
 fn mark_dead(node: &Node, id: &Name, born_ms: u64, evidence: &str) -> bool {
     let now = node.now();
     let mut runners = node.runners.borrow_mut();
@@ -280,55 +287,62 @@
         runners.at(address).map(|e| (e.id.clone(), e.born_ms))
     };
     found.is_some_and(|(id, born_ms)| {
-        find_dead(node, &id, born_ms, "requests wait for it elsewhere")
+        mark_dead_and_report(
+            node,
+            &id,
+            born_ms,
+            "requests at another runner are stalled on it",
+        )
     })
 }
 
-/// Other instances found runners dead. The word of one is not enough: whoever gave it may hear nobody,
-/// and what made the runner silent there may make it silent here.
-pub(crate) fn hear_words(node: &Rc<Node>, words: &[FailureReport]) {
-    let mut is_news = false;
-    for word in words {
-        if is_in_doubt(node, &word.runner, word.born_ms) {
-            is_news |= node.words.borrow_mut().record(word, node.now());
+/// Merges failure reports of other instances. A single reporter is not enough: it may be unable to
+/// reach anyone, and the cause of the silence there may make the runner silent here as well.
+pub(crate) fn hear_words(node: &Rc<Node>, reports: &[FailureReport]) {
+    let mut is_new = false;
+    for report in reports {
+        if is_presumed_alive(node, &report.runner, report.born_ms) {
+            is_new |= node.words.borrow_mut().record(report, node.now());
         }
     }
-    follow_words(node);
-    if is_news {
+    apply_failure_reports(node);
+    if is_new {
         node.news.notify_one();
     }
 }
 
-/// Whether a lifetime of a runner goes on as far as is known here.
-fn is_in_doubt(node: &Node, id: &Name, born_ms: u64) -> bool {
+/// Returns whether a lifetime of a runner is current and not marked as dead here.
+fn is_presumed_alive(node: &Node, id: &Name, born_ms: u64) -> bool {
     let runners = node.runners.borrow();
     let health = runners.health(id);
     health.born_ms == born_ms && !health.dead
 }
 
-/// Believes, or asks about, runners that others found dead.
-fn follow_words(node: &Rc<Node>) {
+/// Marks runners that other instances reported as dead, or probes them, as the reports require.
+fn apply_failure_reports(node: &Rc<Node>) {
     let now = node.now();
     let instances = node.instances();
     let named: Vec<(Name, u64)> = {
-        let words = node.words.borrow();
-        words
+        let reports = node.words.borrow();
+        reports
             .runners()
             .map(|(id, born)| (id.clone(), born))
             .collect()
     };
     let mut changed = false;
     for (id, born_ms) in named {
-        if !is_in_doubt(node, &id, born_ms) {
+        if !is_presumed_alive(node, &id, born_ms) {
             continue;
         }
-        let concerned = passes_through(node, &id);
-        let words = node.words.borrow();
-        let advice = words.advice(&id, born_ms, concerned, instances, now);
-        drop(words);
+        let is_affected = passes_through(node, &id);
+        let reports = node.words.borrow();
+        let advice = reports.advice(&id, born_ms, is_affected, instances, now);
+        drop(reports);
         match advice {
-            Advice::MarkDead => changed |= mark_dead(node, &id, born_ms, "others found it dead"),
-            Advice::Probe => ask_about(node, &id, born_ms),
+            Advice::MarkDead => {
+                changed |= mark_dead(node, &id, born_ms, "reported dead by other instances");
+            }
+            Advice::Probe => probe_reported(node, &id, born_ms),
             Advice::Wait => {}
         }
     }
@@ -338,22 +352,22 @@
     }
 }
 
-/// Whether requests of this instance pass through a runner.
+/// Returns whether requests of this instance pass through a runner.
 fn passes_through(node: &Node, id: &str) -> bool {
     let chains = node.chains.borrow();
     let mut busy = chains.all().filter(|l| l.silence.borrow().waiting() > 0);
     busy.any(|l| l.chain.has(id))
 }
 
-/// Asks a runner that somebody else found dead.
-fn ask_about(node: &Rc<Node>, id: &Name, born_ms: u64) {
-    if let Some(suspect) = due_suspect(node, id, born_ms) {
+/// Probes a runner that another instance reported dead, if a probe is due.
+fn probe_reported(node: &Rc<Node>, id: &Name, born_ms: u64) {
+    if let Some(suspect) = suspect_if_due(node, id, born_ms) {
         examine(node, suspect, 0);
     }
 }
 
-/// A lifetime of a runner that is in doubt, if it is due to be asked.
-fn due_suspect(node: &Node, id: &Name, born_ms: u64) -> Option<Suspect> {
+/// Returns a runner as a suspect if this lifetime is not marked as dead and a probe is due.
+fn suspect_if_due(node: &Node, id: &Name, born_ms: u64) -> Option<Suspect> {
     let mut runners = node.runners.borrow_mut();
     let entry = runners.entry(id).filter(|e| e.born_ms == born_ms);
     let suspect = entry.map(|r| Suspect::of(node, r));
@@ -362,8 +376,10 @@
     suspect.filter(|_| due)
 }
 
-/// A runner answers an instance of a failure domain again. An instance that only believed it dead believes
-/// a neighbour; one that found it dead by itself may be cut off from it alone, and asks.
+/// Handles the message that a runner answers an instance of `domain` again. Returns whether it was
+/// marked as recovered. An instance that accepted the failure reports of others also accepts the
+/// recovery from its own failure domain. One that found the runner dead itself may be the only one
+/// cut off, so it probes.
 pub(crate) fn hear_alive(node: &Node, id: &Name, born_ms: u64, domain: &str) -> bool {
     let near = *domain == *node.settings.failure_domain;
     let now = node.now();
@@ -372,60 +388,60 @@
     let Some(health) = health.filter(|s| s.dead && s.born_ms == born_ms) else {
         return false;
     };
-    let believes = near && !health.found_locally;
-    if believes {
+    let is_accepted = near && !health.found_locally;
+    if is_accepted {
         health.mark_recovered(now);
         node.words.borrow_mut().refute(id, born_ms, node.now());
-        log::info!(runner = id.as_ref(); "runner answers a neighbour again");
+        log::info!(runner = id.as_ref(); "runner answers another instance of the failure domain again");
     } else {
         health.probe_soon();
     }
-    believes
+    is_accepted
 }
 
-/// Doubted runners that are due to be asked.
-fn doubted(node: &Node) -> Vec<Suspect> {
+/// Returns the dead and slow runners that are due for a probe.
+fn due_recovery_probes(node: &Node) -> Vec<Suspect> {
     let now = node.now();
-    // What one instance hears it tells the others, so that each need ask less often where there are many.
-    let pause = store_watch::scaled_interval_ms(PROBE_INTERVAL_MS, node.instances());
+    // Instances share the results, so in a large fleet each may probe less often.
+    let interval_ms = store_watch::scaled_interval_ms(PROBE_INTERVAL_MS, node.instances());
     let mut runners = node.runners.borrow_mut();
-    let all: Vec<Suspect> = {
-        let is_doubted = |s: &RunnerHealth| s.dead || s.is_slow();
-        let doubted = runners
+    let suspects: Vec<Suspect> = {
+        let is_unhealthy = |s: &RunnerHealth| s.dead || s.is_slow();
+        let unhealthy = runners
             .entries()
-            .filter(|e| is_doubted(&runners.health(&e.id)));
-        doubted.map(|r| Suspect::of(node, r)).collect()
+            .filter(|e| is_unhealthy(&runners.health(&e.id)));
+        unhealthy.map(|r| Suspect::of(node, r)).collect()
     };
     let neighbours = peers::neighbours(node);
     let mut due = |id: &Name| {
-        let asks = failure_reports::is_prober(&node.settings.name, neighbours.iter(), id);
+        let is_prober = failure_reports::is_prober(&node.settings.name, neighbours.iter(), id);
         let health = runners.health_mut(id);
-        health.is_some_and(|s| match asks || s.found_locally {
-            true => s.should_probe(now, pause),
+        health.is_some_and(|s| match is_prober || s.found_locally {
+            true => s.should_probe(now, interval_ms),
             false => s.should_probe_rarely(now),
         })
     };
-    all.into_iter().filter(|s| due(&s.id)).collect()
+    suspects.into_iter().filter(|s| due(&s.id)).collect()
 }
 
-/// Brings back runners that answer again in the same lifetime, as a cut healed, and asks slow ones
-/// whether they still are.
-async fn revive(node: &Rc<Node>) {
+/// Probes dead and slow runners periodically. Dead ones that answer in the same lifetime, for
+/// example after a partition, are marked as recovered; slow ones get their current pace.
+async fn recovery_loop(node: &Rc<Node>) {
     loop {
-        sleep(REVIVE).await;
-        follow_words(node);
-        let dead = doubted(node);
-        let found = join_all(dead.iter().map(|s| question::ask(s.asked, 1))).await;
+        sleep(RECOVERY_INTERVAL).await;
+        apply_failure_reports(node);
+        let suspects = due_recovery_probes(node);
+        let found = join_all(suspects.iter().map(|s| question::probe(s.target, 1))).await;
         let mut changed = false;
-        for (Suspect { id, born_ms, .. }, found) in dead.iter().zip(found) {
+        for (Suspect { id, born_ms, .. }, found) in suspects.iter().zip(found) {
             match found {
-                Finding::Report(report) if report.is_of(*born_ms) => {
+                ProbeResult::Report(report) if report.is_of(*born_ms) => {
                     changed |= set_pace(node, id, report.pace, node.now());
                 }
-                Finding::Listens => {}
+                ProbeResult::Listening => {}
                 _ => continue,
             }
-            changed |= answers_again(node, id, *born_ms);
+            changed |= mark_recovered_if_dead(node, id, *born_ms);
         }
         if changed {
             node.news.notify_one();
@@ -434,14 +450,14 @@
     }
 }
 
-/// A runner was heard again; whether it counted as dead.
-fn answers_again(node: &Node, id: &Name, born_ms: u64) -> bool {
+/// Marks a dead runner that answered as recovered. Returns whether it was marked as dead.
+fn mark_recovered_if_dead(node: &Node, id: &Name, born_ms: u64) -> bool {
     let mut runners = node.runners.borrow_mut();
     let Some(health) = runners.health_mut(id).filter(|s| s.dead) else {
         return false;
     };
     health.mark_recovered(node.now());
-    hear_it(node, id, born_ms);
+    record_answer(node, id, born_ms);
     log::info!(runner = id.as_ref(); "runner answers again");
     true
 }
--- a/plugins/relay/src/question.rs
+++ b/plugins/relay/src/question.rs
@@ -1,10 +1,10 @@
-//! Asking one runner for its report, and what its silence is worth.
+//! Probes of a single runner, and confirmation of its silence with witnesses.
 //!
-//! A runner's report needs no slot and is answered however long its queue is, so one that does not
-//! answer several times is dead or cut off, not busy. Or it is this instance that hears nobody: its
-//! link may be full of something else. So silence is not believed by itself. Runners that nobody
-//! doubts are asked at the same time as [witnesses](ProbeRound), and a runner is dead only if it stays
-//! silent for far longer than they take to answer.
+//! A runner's report needs no slot and is sent however long its queue is, so a runner that
+//! repeatedly does not answer is dead or cut off, not busy. But the cause may also be the link of
+//! this instance, for example if other traffic fills it. Silence alone is therefore no proof.
+//! Healthy runners are probed at the same time as [witnesses](ProbeRound), and a runner is declared
+//! dead only if it stays silent for far longer than they take to answer.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,121 +22,130 @@
 use tokio::time::{sleep, timeout};
 
 use crate::node::Node;
-use crate::probe;
+use crate::probe as detector;
 
-/// Time that a question has. A runner that is there takes a connection within two round trips of a
-/// millisecond or less, however slow it is. One that runs at a tenth of its pace takes ten times as
-/// long to answer, and would count as dead if the whole answer had the connection's time.
-pub(crate) const QUESTION: AskTime = AskTime {
+/// Time limits of a probe. A live runner accepts a connection within two round trips of at most a
+/// millisecond each, however slow it is. One that runs at a tenth of its pace takes ten times as
+/// long to answer, and would be declared dead if the connection's limit applied to the whole
+/// answer.
+pub(crate) const PROBE_TIMEOUTS: AskTime = AskTime {
     connect: Duration::from_millis(14),
     answer: Duration::from_millis(250),
 };
 
-/// Times that a runner is asked before it counts as silent: a packet lost in each of four questions
-/// is rare even on a link that loses one in forty.
-pub(crate) const TRIES: usize = 4;
+/// Number of probes after which a runner counts as silent. A lost packet in each of four probes is
+/// rare even on a link that loses one packet in forty.
+pub(crate) const MAX_PROBES: usize = 4;
 
-/// The same where it was silent a moment ago.
-const TRIES_AGAIN: usize = 2;
+/// Number of probes if the runner was already silent shortly before.
+const MAX_REPEAT_PROBES: usize = 2;
 
-/// Time after which the next question begins while the one before is open. A runner that is dark costs
-/// 30 milliseconds.
-const STAGGER: Duration = Duration::from_millis(5);
+/// Time after which the next probe starts while the previous one is pending (hedging). An
+/// unreachable runner costs 30 ms.
+const HEDGE_DELAY: Duration = Duration::from_millis(5);
 
-/// Witnesses that are asked at a time: two that answer are enough, and half of the fleet may be dark.
+/// Number of witnesses probed at a time. Two answers are enough, and half of the fleet may be
+/// unreachable.
 const WITNESSES: usize = 5;
 
-/// Number of witnesses of which half, two, must answer; of fewer that there are, half as well.
-const QUORUM_OF: usize = 4;
+/// Upper bound of the round size that the quorum is computed from: half of it, two, must answer.
+/// With fewer witnesses it is half of those.
+const MAX_ROUND_SIZE: usize = 4;
 
-/// Times that a runner must be silent beside witnesses to be dead: this instance's link may fill up
-/// between their answers and its own.
-const STRIKES: u32 = 2;
+/// Number of rounds with answering witnesses in which a runner must be silent to be declared dead.
+/// One is not enough, since the link of this instance may fill up between their answers and the
+/// runner's.
+const MIN_SILENT_ROUNDS: u32 = 2;
 
-/// Longest wait for witnesses, after which others are asked, in milliseconds.
-const WITNESS_MS: Millis = 150;
+/// Maximum wait for witnesses, after which others are probed, in milliseconds.
+const WITNESS_TIMEOUT_MS: Millis = 150;
 
-/// Period of looking whether the witnesses speak against a runner, in milliseconds.
-const LOOK_MS: Millis = 8;
+/// Interval at which a round of probes is evaluated, in milliseconds.
+const EVALUATION_INTERVAL_MS: Millis = 8;
 
-/// Time for which a runner that takes connections must give no report to count as dead, and pause
-/// between questions to it, in milliseconds: it may have too many connections for a moment.
-const NO_REPORT_MS: Millis = 250;
+/// Time after which a runner that accepts connections but sends no report is declared dead, in
+/// milliseconds. It may have too many connections for a moment.
+const NO_REPORT_TIMEOUT_MS: Millis = 250;
+
+/// Pause between two rounds of probes to such a runner, in milliseconds.
 const NO_REPORT_PAUSE_MS: Millis = 60;
 
-/// The longest that a runner is asked beside witnesses, in milliseconds: callers wait for two seconds.
-const LONGEST_MS: Millis = 1_000;
+/// Maximum duration of an examination with witnesses, in milliseconds. Callers wait for two
+/// seconds.
+const MAX_EXAMINATION_MS: Millis = 1_000;
 
-/// What questions showed of a runner.
+/// Result of the probes of a runner.
 #[derive(Debug)]
-pub(crate) enum Finding {
-    /// Its report.
+pub(crate) enum ProbeResult {
+    /// The runner sent its report.
     Report(Report),
-    /// Its machine says that nobody listens there.
-    Gone,
-    /// It takes connections, and need not give reports.
-    Listens,
-    /// A connection came about, and no report: it was broken off, or something else came.
+    /// Its machine refused the connection: nothing listens there.
+    Refused,
+    /// It accepts connections; runners of its service send no reports.
+    Listening,
+    /// It accepted a connection but sent no valid report.
     NoReport(String),
-    /// Nothing was heard.
+    /// There was no response at all.
     Silent(String),
 }
 
-/// Whom a question goes to.
+/// Target of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Asked {
+pub(crate) struct ProbeTarget {
     address: SocketAddr,
-    gives_reports: bool,
+    sends_reports: bool,
 }
 
-impl Asked {
-    pub(crate) fn of(node: &Node, e: &RunnerEntry) -> Asked {
-        Asked {
+impl ProbeTarget {
+    pub(crate) fn of(node: &Node, e: &RunnerEntry) -> ProbeTarget {
+        ProbeTarget {
             address: e.address,
-            gives_reports: node.holds_layers(&e.service),
+            sends_reports: node.holds_layers(&e.service),
         }
     }
 }
 
-impl Finding {
-    fn of(answer: Result<Report, RunnerError>, asked: Asked) -> Finding {
+impl ProbeResult {
+    fn of(answer: Result<Report, RunnerError>, target: ProbeTarget) -> ProbeResult {
         match answer {
-            Ok(report) => Finding::Report(report),
-            Err(RunnerError::NoAnswer(DirectError::Refused)) => Finding::Gone,
-            Err(RunnerError::NoAnswer(e)) if e.is_silence() => Finding::Silent(e.to_string()),
-            Err(_) if !asked.gives_reports => Finding::Listens,
-            Err(e) => Finding::NoReport(e.to_string()),
+            Ok(report) => ProbeResult::Report(report),
+            Err(RunnerError::NoAnswer(DirectError::Refused)) => ProbeResult::Refused,
+            Err(RunnerError::NoAnswer(e)) if e.is_silence() => ProbeResult::Silent(e.to_string()),
+            Err(_) if !target.sends_reports => ProbeResult::Listening,
+            Err(e) => ProbeResult::NoReport(e.to_string()),
         }
     }
 
-    /// Whether this instance heard anything.
-    pub(crate) fn is_heard(&self) -> bool {
-        !matches!(self, Finding::Silent(_))
+    /// Returns whether there was any response.
+    pub(crate) fn is_response(&self) -> bool {
+        !matches!(self, ProbeResult::Silent(_))
     }
 }
 
-/// Asks a runner for its report up to `tries` times, the next time as soon as one failed or took long.
-pub(crate) async fn ask(asked: Asked, tries: usize) -> Finding {
+/// Probes a runner up to `max_probes` times. The next probe starts as soon as one fails or takes long.
+pub(crate) async fn probe(target: ProbeTarget, max_probes: usize) -> ProbeResult {
     let mut open = FuturesUnordered::new();
-    let mut left = tries;
-    let mut found = Finding::Silent("not asked".to_owned());
+    let mut left = max_probes;
+    let mut found = ProbeResult::Silent("not asked".to_owned());
     loop {
         if left > 0 {
             metrics::counter!("jacinthweir_probes_total").increment(1);
-            open.push(runner::report(asked.address, QUESTION));
+            open.push(runner::report(target.address, PROBE_TIMEOUTS));
             left -= 1;
         }
         let next = async {
             match left {
                 0 => open.next().await,
-                _ => timeout(STAGGER, open.next()).await.unwrap_or(None),
+                _ => timeout(HEDGE_DELAY, open.next()).await.unwrap_or(None),
             }
         };
-        match next.await.map(|answer| Finding::of(answer, asked)) {
-            Some(settled @ (Finding::Report(_) | Finding::Listens | Finding::Gone)) => {
+        match next.await.map(|answer| ProbeResult::of(answer, target)) {
+            Some(
+                settled @ (ProbeResult::Report(_) | ProbeResult::Listening | ProbeResult::Refused),
+            ) => {
                 return settled;
             }
-            Some(Finding::Silent(_)) if found.is_heard() => {}
+            Some(ProbeResult::Silent(_)) if found.is_response() => {}
             Some(failed) => found = failed,
             None => {}
         }
@@ -146,12 +155,12 @@
     }
 }
 
-/// One lifetime of a runner that is asked.
+/// A lifetime of a runner that may be dead.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Suspect {
     pub(crate) id: Name,
     pub(crate) born_ms: u64,
-    pub(crate) asked: Asked,
+    pub(crate) target: ProbeTarget,
 }
 
 impl Suspect {
@@ -159,106 +168,127 @@
         Suspect {
             id: e.id.clone(),
             born_ms: e.born_ms,
-            asked: Asked::of(node, e),
+            target: ProbeTarget::of(node, e),
         }
     }
 }
 
-/// Whose answer came.
-enum Answer {
-    Suspect(Finding),
-    Witness(Finding),
+/// Result of a probe in a round, by its target's role.
+enum RoundResult {
+    Suspect(ProbeResult),
+    Witness(ProbeResult),
 }
 
-/// Time that an instance watched a round of questions, in milliseconds. While it is held up itself
-/// it hears nobody, so that time does not count.
-struct Watched {
-    looked_ms: Millis,
-    passed_ms: Millis,
+/// Time for which this instance observed a round of probes. Time in which the instance itself was
+/// delayed does not count, since it cannot receive answers then.
+struct ObservedTime {
+    last_ms: Millis,
+    observed_ms: Millis,
 }
 
-impl Watched {
-    fn begin(now: Millis) -> Watched {
-        Watched {
-            looked_ms: now,
-            passed_ms: 0,
+impl ObservedTime {
+    fn begin(now: Millis) -> ObservedTime {
+        ObservedTime {
+            last_ms: now,
+            observed_ms: 0,
         }
     }
 
-    fn look(&mut self, now: Millis) -> Millis {
-        self.passed_ms += (now - self.looked_ms).min(2 * LOOK_MS);
-        self.looked_ms = now;
-        self.passed_ms
+    fn advance(&mut self, now: Millis) -> Millis {
+        self.observed_ms += (now - self.last_ms).min(2 * EVALUATION_INTERVAL_MS);
+        self.last_ms = now;
+        self.observed_ms
     }
 }
 
-/// Asks a runner that was silent `strikes` times beside witnesses, until it answers or is dead. Neither
-/// shows while this instance's link is full; then nothing is said of it.
-pub(crate) async fn examine(node: Rc<Node>, s: Suspect, mut strikes: u32) {
+/// Probes a runner together with witnesses until it answers or is declared dead. It was silent
+/// `silent_rounds` times already. While the link of this instance is full neither can be
+/// determined; the examination then ends after [`MAX_EXAMINATION_MS`] without a result.
+pub(crate) async fn examine(node: Rc<Node>, s: Suspect, mut silent_rounds: u32) {
     let began = node.now();
-    let mut tries = if strikes == 0 { TRIES } else { TRIES_AGAIN };
-    while node.now() < began + LONGEST_MS {
-        let (found, witnessed) = ask_beside_witnesses(&node, &s, tries).await;
-        tries = TRIES_AGAIN;
-        strikes += u32::from(witnessed);
-        let is_certain = witnessed && strikes >= STRIKES;
+    let mut max_probes = if silent_rounds == 0 {
+        MAX_PROBES
+    } else {
+        MAX_REPEAT_PROBES
+    };
+    while node.now() < began + MAX_EXAMINATION_MS {
+        let (found, witnessed) = probe_with_witnesses(&node, &s, max_probes).await;
+        max_probes = MAX_REPEAT_PROBES;
+        silent_rounds += u32::from(witnessed);
+        let is_certain = witnessed && silent_rounds >= MIN_SILENT_ROUNDS;
         let passed = node.now() - began;
         let (cause, pause) = match found {
-            Finding::Report(report) => return probe::take_report(&node, &s.id, s.born_ms, &report),
-            Finding::Listens => return probe::hear_it(&node, &s.id, s.born_ms),
-            Finding::Gone => return probe::name_dead(&node, &s.id, s.born_ms, probe::REFUSED),
-            Finding::Silent(cause) if is_certain => (Some(cause), 0),
-            Finding::NoReport(cause) if is_certain && passed >= NO_REPORT_MS => (Some(cause), 0),
-            Finding::NoReport(_) => (None, NO_REPORT_PAUSE_MS),
-            Finding::Silent(_) => (None, LOOK_MS),
+            ProbeResult::Report(report) => {
+                return detector::process_report(&node, &s.id, s.born_ms, &report);
+            }
+            ProbeResult::Listening => return detector::record_answer(&node, &s.id, s.born_ms),
+            ProbeResult::Refused => {
+                return detector::report_dead(&node, &s.id, s.born_ms, detector::REFUSED_EVIDENCE);
+            }
+            ProbeResult::Silent(cause) if is_certain => (Some(cause), 0),
+            ProbeResult::NoReport(cause) if is_certain && passed >= NO_REPORT_TIMEOUT_MS => {
+                (Some(cause), 0)
+            }
+            ProbeResult::NoReport(_) => (None, NO_REPORT_PAUSE_MS),
+            ProbeResult::Silent(_) => (None, EVALUATION_INTERVAL_MS),
         };
         if let Some(cause) = cause {
-            let evidence = format!("{cause}, and witnesses answer");
-            return probe::name_dead(&node, &s.id, s.born_ms, &evidence);
+            let evidence = format!("{cause}, while witnesses answer");
+            return detector::report_dead(&node, &s.id, s.born_ms, &evidence);
         }
         sleep(Duration::from_millis(pause)).await;
     }
-    log::info!(runner = s.id.as_ref(), strikes; "too few are heard, the runner is not taken for dead");
+    log::info!(runner = s.id.as_ref(), strikes = silent_rounds; "too few witnesses answer, runner is not declared dead");
 }
 
-/// What questions to a runner brought, and whether witnesses that were asked at the same time answered
-/// while it did not.
-async fn ask_beside_witnesses(node: &Node, s: &Suspect, tries: usize) -> (Finding, bool) {
+/// Probes a runner and witnesses at the same time. Returns the result for the runner, and whether
+/// enough witnesses answered while it did not.
+async fn probe_with_witnesses(node: &Node, s: &Suspect, max_probes: usize) -> (ProbeResult, bool) {
     let witnesses = witnesses(node, s);
-    let mut open: FuturesUnordered<LocalBoxFuture<'_, Answer>> = FuturesUnordered::new();
-    open.push(ask(s.asked, tries).map(Answer::Suspect).boxed_local());
-    let mut round = ProbeRound::new(QUORUM_OF.min(witnesses.len()));
+    let mut open: FuturesUnordered<LocalBoxFuture<'_, RoundResult>> = FuturesUnordered::new();
+    open.push(
+        probe(s.target, max_probes)
+            .map(RoundResult::Suspect)
+            .boxed_local(),
+    );
+    let mut round = ProbeRound::new(MAX_ROUND_SIZE.min(witnesses.len()));
     for witness in witnesses {
-        open.push(ask(witness, 1).map(Answer::Witness).boxed_local());
+        open.push(probe(witness, 1).map(RoundResult::Witness).boxed_local());
     }
-    let mut watched = Watched::begin(node.now());
+    let mut observed = ObservedTime::begin(node.now());
     let mut found = None;
     loop {
-        let next = timeout(Duration::from_millis(LOOK_MS), open.next()).await;
-        let passed = watched.look(node.now());
+        let next = timeout(Duration::from_millis(EVALUATION_INTERVAL_MS), open.next()).await;
+        let passed = observed.advance(node.now());
         match next {
-            Ok(Some(Answer::Suspect(
-                settled @ (Finding::Report(_) | Finding::Listens | Finding::Gone),
+            Ok(Some(RoundResult::Suspect(
+                settled @ (ProbeResult::Report(_) | ProbeResult::Listening | ProbeResult::Refused),
             ))) => return (settled, false),
-            Ok(Some(Answer::Suspect(failed))) => found = Some(failed),
-            Ok(Some(Answer::Witness(heard))) if heard.is_heard() => round.answered(passed),
-            // Nobody is awaited any more: only time may still speak.
-            Ok(None) => sleep(Duration::from_millis(LOOK_MS)).await,
-            Ok(Some(Answer::Witness(_))) | Err(_) => {}
+            Ok(Some(RoundResult::Suspect(failed))) => found = Some(failed),
+            Ok(Some(RoundResult::Witness(result))) if result.is_response() => {
+                round.answered(passed);
+            }
+            // No probe is pending any more; only the passing of time can still decide the round.
+            Ok(None) => sleep(Duration::from_millis(EVALUATION_INTERVAL_MS)).await,
+            Ok(Some(RoundResult::Witness(_))) | Err(_) => {}
         }
-        let speaks = round.indicates_dead(passed);
-        if let Some(failed) = found.take_if(|_| speaks || passed >= WITNESS_MS) {
-            return (failed, speaks);
+        let is_confirmed = round.indicates_dead(passed);
+        if let Some(failed) = found.take_if(|_| is_confirmed || passed >= WITNESS_TIMEOUT_MS) {
+            return (failed, is_confirmed);
         }
     }
 }
 
-/// Runners that nobody doubts, of all services and domains.
-fn witnesses(node: &Node, suspect: &Suspect) -> Vec<Asked> {
+/// Returns a random sample of healthy runners, of all services and failure domains.
+fn witnesses(node: &Node, suspect: &Suspect) -> Vec<ProbeTarget> {
     let runners = node.runners.borrow();
-    let sound = runners.entries().filter(|e| {
-        let doubted = e.draining || runners.health(&e.id).dead;
-        !doubted && e.address != suspect.asked.address
+    let healthy = runners.entries().filter(|e| {
+        let is_unhealthy = e.draining || runners.health(&e.id).dead;
+        !is_unhealthy && e.address != suspect.target.address
     });
-    node.with_rng(|rng| sound.map(|e| Asked::of(node, e)).sample(rng, WITNESSES))
+    node.with_rng(|rng| {
+        healthy
+            .map(|e| ProbeTarget::of(node, e))
+            .sample(rng, WITNESSES)
+    })
 }
--- a/plugins/relay/src/request.rs
+++ b/plugins/relay/src/request.rs
@@ -1,4 +1,4 @@
-//! What a request is, whose it is, and where it may go.
+//! Requests of callers: authorisation, routing and dispatch.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -15,22 +15,24 @@
 use jacinthweir_policy::relay::intent::{CallClass, Engine, Intent, Route};
 use tokio::time::{sleep, timeout};
 
-use crate::answer::{Active, Cause, Journal, RelayBody, plain};
+use crate::answer::{ActiveRequest, Cause, RelayBody, SendRecord, plain};
 use crate::node::Node;
 use crate::{call, stream};
 
-/// Priority of requests whose route names none that a runner knows.
-const LEAST_URGENT: u32 = 9;
+/// Lowest priority that runners know. Lower priorities of a route or an organisation are sent as
+/// this one.
+const LOWEST_PRIORITY: u32 = 9;
 
-/// Age of the configuration's confirmation up to which "no such route" and "no such key" are said,
-/// in milliseconds. Later a newer configuration may know them: the caller is asked to come back.
-const DENY_AGE_MS: Millis = 2_800;
+/// Maximum age of the configuration's confirmation for a final "no such route" or "no such key", in
+/// milliseconds. With an older confirmation a newer configuration may contain them, so the caller
+/// is asked to retry.
+const MAX_DENIAL_AGE_MS: Millis = 2_800;
 
-/// When to come back to an instance that cannot vouch for its configuration, in milliseconds.
-/// Another instance may serve at once.
-const ELSEWHERE_MS: Millis = 400;
+/// `Retry-After` of an instance without a confirmed configuration, in milliseconds. Another
+/// instance may serve the request at once.
+const UNCONFIRMED_RETRY_MS: Millis = 400;
 
-/// A request that is to be served.
+/// An admitted request.
 pub(crate) struct Proxied {
     pub(crate) id: Name,
     pub(crate) route: Name,
@@ -39,11 +41,12 @@
     intent: Rc<Intent>,
     pub(crate) received_ms: Millis,
     pub(crate) objective_ms: Millis,
-    /// Longest pause of a stream that its caller still takes for timely, in milliseconds.
+    /// Longest gap between two events of a stream that is still in time for the caller, in
+    /// milliseconds.
     pub(crate) pause_ms: Millis,
-    /// Time without an event after which its caller gives it up, in milliseconds.
-    pub(crate) patience_ms: Millis,
-    /// When the caller or the route's time-out ends it.
+    /// Time without an event after which the caller abandons the request, in milliseconds.
+    pub(crate) abandon_after_ms: Millis,
+    /// The earlier of the caller's deadline and the route's timeout.
     pub(crate) deadline_ms: Millis,
     pub(crate) max_attempts: u32,
     pub(crate) priority: u32,
@@ -59,19 +62,19 @@
 }
 
 impl Proxied {
-    /// The engine of its service, where runners hold layers.
+    /// Returns the engine of the service if its runners hold layers.
     pub(crate) fn engine(&self) -> Option<&Engine> {
         let service = self.intent.services.get(&self.service)?;
         service.engine.as_ref().filter(|e| e.layers > 0)
     }
 
-    /// Version of the configuration that it is served by.
+    /// Returns the version of the configuration that the request is served under.
     pub(crate) fn version(&self) -> u64 {
         self.intent.version
     }
 
-    /// What it has in common with other attempts of the same request. Worked out when it is first needed:
-    /// most requests end well.
+    /// Returns the fingerprint, which all attempts of the same request share. It is computed on
+    /// first use, since most requests succeed and never need it.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let path = self.uri.path();
@@ -79,31 +82,31 @@
         })
     }
 
-    /// Time left, in milliseconds.
-    pub(crate) fn left_ms(&self, node: &Node) -> Millis {
+    /// Returns the time until the deadline, in milliseconds.
+    pub(crate) fn remaining_ms(&self, node: &Node) -> Millis {
         self.deadline_ms.saturating_sub(node.now())
     }
 
-    /// The final answer of a request that no runner answered, logged and counted.
-    pub(crate) fn not_answered(
+    /// Logs and counts a request that no runner answered, and returns its final answer.
+    pub(crate) fn unanswered_response(
         &self,
         node: &Node,
-        journal: Journal,
+        send_record: SendRecord,
         cause: Cause,
         retry_after_ms: Millis,
     ) -> Response<RelayBody> {
-        let res = journal.failure(cause, retry_after_ms);
+        let res = send_record.failure(cause, retry_after_ms);
         log::info!(
             request = self.id.as_ref(),
             route = self.route.as_ref(),
             version = self.version(),
             cause:% = cause,
-            sends = journal.sends,
+            sends = send_record.sends,
             status = res.status().as_u16(),
             after_ms = node.now() - self.received_ms;
             "not answered"
         );
-        count(if journal.may_have_run() {
+        count_outcome(if send_record.may_have_run() {
             "failed"
         } else {
             "refused"
@@ -111,8 +114,8 @@
         res
     }
 
-    /// The request as it is sent to a runner, with the time that is left.
-    pub(crate) fn to_send(&self, node: &Node, runner: &str) -> Request<Full<Bytes>> {
+    /// Returns the request as sent to `runner`, with the remaining time as its deadline.
+    pub(crate) fn runner_request(&self, node: &Node, runner: &str) -> Request<Full<Bytes>> {
         let mut req = Request::new(Full::new(self.body.clone()));
         *req.method_mut() = self.method.clone();
         *req.uri_mut() = self.uri.clone();
@@ -121,16 +124,16 @@
         if let Some(value) = header::value(runner) {
             headers.insert(header::EXPECT_RUNNER, value);
         }
-        let left = self.left_ms(node).max(1);
+        let left = self.remaining_ms(node).max(1);
         headers.insert(header::DEADLINE_MS, left.into());
         req
     }
 }
 
-/// Serves one request of a caller.
+/// Serves a request of a caller.
 pub(crate) async fn serve(node: &Rc<Node>, req: Request<Incoming>) -> Response<RelayBody> {
     let received_ms = node.now();
-    let active = Active::open(node);
+    let active = ActiveRequest::open(node);
     let (parts, body) = req.into_parts();
     let mut res = match admit(node, parts, body, received_ms).await {
         Ok(rq) if rq.engine().is_some() => stream::serve(node, rq).await,
@@ -141,7 +144,7 @@
         let close = http::HeaderValue::from_static("close");
         res.headers_mut().insert(http::header::CONNECTION, close);
     }
-    res.body_mut().hold(active);
+    res.body_mut().attach(active);
     res
 }
 
@@ -153,7 +156,7 @@
 ) -> Result<Proxied, Response<RelayBody>> {
     let id = header::text(&parts.headers, &header::REQUEST_ID).unwrap_or("-");
     let id = Name::from(id);
-    wait_at_start(node).await;
+    wait_for_configuration(node).await;
     let Some(intent) = node.intent() else {
         return Err(unconfirmed(node, &id));
     };
@@ -190,7 +193,7 @@
         .as_ref()
         .and_then(|o| o.priority)
         .unwrap_or(route.priority);
-    headers.insert(header::PRIORITY, priority.min(LEAST_URGENT).into());
+    headers.insert(header::PRIORITY, priority.min(LOWEST_PRIORITY).into());
     Ok(Proxied {
         id,
         route: route.name.clone(),
@@ -199,8 +202,8 @@
         received_ms,
         objective_ms: route.objective_ms,
         pause_ms: route.max_gap_ms(),
-        patience_ms: route.abandon_after_ms(),
-        deadline_ms: received_ms + time_ms(&parts.headers, &route),
+        abandon_after_ms: route.abandon_after_ms(),
+        deadline_ms: received_ms + time_limit_ms(&parts.headers, &route),
         max_attempts: route.max_attempts,
         priority,
         tokens: header::tokens(&parts.headers),
@@ -210,30 +213,32 @@
         fingerprint: OnceCell::new(),
         intent,
         method: parts.method,
-        uri: path_only(&parts.uri),
+        uri: origin_form(&parts.uri),
         headers,
         body,
     })
 }
 
-/// The longest that a request waits for the first configuration, in milliseconds: half of the time
+/// Maximum time that a request waits for the first configuration, in milliseconds: half of the time
 /// in which callers expect an answer.
-const START_WAIT_MS: Millis = 250;
+const STARTUP_WAIT_MS: Millis = 250;
 
-/// Period of looking whether the first configuration has come.
-const START_LOOK: Duration = Duration::from_millis(10);
+/// Interval at which a waiting request checks for the first configuration.
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-async fn wait_at_start(node: &Node) {
-    let until = node.now() + START_WAIT_MS;
+async fn wait_for_configuration(node: &Node) {
+    let until = node.now() + STARTUP_WAIT_MS;
     while node.now() < until && node.vouch.borrow().is_starting(node.now()) {
-        sleep(START_LOOK).await;
+        sleep(STARTUP_POLL_INTERVAL).await;
     }
 }
 
-/// The least of what the caller and the route allow.
-fn time_ms(headers: &HeaderMap, route: &Route) -> Millis {
-    let callers = header::number(headers, &header::DEADLINE_MS);
-    callers.unwrap_or(route.timeout_ms).min(route.timeout_ms)
+/// Returns the smaller of the caller's and the route's time limit, in milliseconds.
+fn time_limit_ms(headers: &HeaderMap, route: &Route) -> Millis {
+    let requested_ms = header::number(headers, &header::DEADLINE_MS);
+    requested_ms
+        .unwrap_or(route.timeout_ms)
+        .min(route.timeout_ms)
 }
 
 fn host(parts: &Parts) -> &str {
@@ -242,7 +247,7 @@
     named.rsplit_once(':').map_or(named, |(host, _)| host)
 }
 
-fn path_only(uri: &Uri) -> Uri {
+fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().map_or("/", |p| p.as_str());
     path.parse().unwrap_or_default()
 }
@@ -259,7 +264,7 @@
         log::info!(request = id.as_ref(); "body too large");
         return Err(plain(StatusCode::PAYLOAD_TOO_LARGE, "body too large"));
     }
-    // A caller that sends nothing for this long holds memory for no work.
+    // A slow body occupies memory while no work is done for it.
     let time = Duration::from_millis(limits.idle_timeout_ms);
     match timeout(time, Limited::new(body, limits.body_bytes).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
@@ -281,22 +286,23 @@
 fn unconfirmed(node: &Node, id: &Name) -> Response<RelayBody> {
     let age_ms = node.vouch.borrow().age_ms(node.now());
     log::info!(request = id.as_ref(), age_ms:? = age_ms; "refused: no confirmed configuration");
-    count("unconfirmed");
-    Journal::default().failure(Cause::Unconfirmed, ELSEWHERE_MS)
+    count_outcome("unconfirmed");
+    SendRecord::default().failure(Cause::Unconfirmed, UNCONFIRMED_RETRY_MS)
 }
 
-/// Says that the configuration does not allow a request, if this instance can vouch for it.
+/// Denies a request, or answers "unconfirmed" if the configuration's confirmation is too old for a
+/// denial.
 fn deny(node: &Node, id: &Name, status: StatusCode, why: &str) -> Response<RelayBody> {
     let age = node.vouch.borrow().age_ms(node.now());
-    if age.is_none_or(|age| age > DENY_AGE_MS) {
+    if age.is_none_or(|age| age > MAX_DENIAL_AGE_MS) {
         return unconfirmed(node, id);
     }
     let version = node.intent().map_or(0, |i| i.version);
     log::info!(request = id.as_ref(), status = status.as_u16(), version, why; "denied");
-    count("denied");
+    count_outcome("denied");
     plain(status, why)
 }
 
-pub(crate) fn count(outcome: &'static str) {
+pub(crate) fn count_outcome(outcome: &'static str) {
     metrics::counter!("jacinthweir_requests_total", "outcome" => outcome).increment(1);
 }
--- a/plugins/relay/src/server.rs
+++ b/plugins/relay/src/server.rs
@@ -1,4 +1,4 @@
-//! Listeners: callers, the platform's checks, entry answers, other instances, operators.
+//! Listeners for callers, readiness checks, entry requests, peers and operators.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -22,26 +22,27 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::answer::{RelayBody, plain, whole};
+use crate::answer::{RelayBody, complete, plain};
 use crate::node::Node;
 use crate::{RelayError, dump, peers, request};
 
-/// The most addresses in an entry answer; callers draw one at random.
-const MAX_ADDRESSES: usize = 64;
+/// Maximum number of addresses in an entry answer. Callers pick one at random.
+const MAX_ENTRY_ADDRESSES: usize = 64;
 
-/// Pause after a failed accept: descriptors are used up, and the next try would fail as well.
+/// Pause after a failed accept. File descriptors are exhausted, so an immediate retry would fail
+/// too.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// The least read buffer of a connection that the library allows, in bytes. The largest head that
-/// callers may send has to fit into the buffer.
-const LEAST_BUFFER_BYTES: usize = 8 << 10;
+/// Minimum read buffer of a connection that hyper allows, in bytes. The buffer has to hold the
+/// largest head that callers may send.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// The most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 100;
 
-/// A listener, by whom it is for.
+/// Kind of a listener, by its clients.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
-enum Face {
+enum ListenerKind {
     #[display("callers")]
     Callers,
     #[display("readiness")]
@@ -54,13 +55,13 @@
     Operators,
 }
 
-/// The listeners of a process.
+/// Shutdown controls of the listeners.
 pub(crate) struct Servers {
-    /// Cancelled: new connections are refused.
+    /// Cancelled to stop accepting connections from callers.
     pub(crate) refuse: CancellationToken,
-    /// Cancelled: connections are closed once their request in progress has ended.
+    /// Cancelled to close each caller's connection once its request in progress has ended.
     pub(crate) finish: CancellationToken,
-    /// Connections of callers.
+    /// Open connections of callers.
     pub(crate) callers: TaskTracker,
 }
 
@@ -72,37 +73,37 @@
         callers: TaskTracker::new(),
     };
     let listen = &node.settings.listen;
-    let faces = [
-        (Face::Callers, listen.callers),
-        (Face::Ready, listen.ready),
-        (Face::Entry, listen.entry),
-        (Face::Peers, listen.peers),
-        (Face::Operators, listen.operators),
+    let listeners = [
+        (ListenerKind::Callers, listen.callers),
+        (ListenerKind::Ready, listen.ready),
+        (ListenerKind::Entry, listen.entry),
+        (ListenerKind::Peers, listen.peers),
+        (ListenerKind::Operators, listen.operators),
     ];
-    for (face, address) in faces {
+    for (kind, address) in listeners {
         let listener = match TcpListener::bind(address).await {
             Ok(listener) => listener,
-            // Its port stands in the deploy file and may be taken on some machine. Callers are
-            // served all the same.
-            Err(cause) if face == Face::Operators => {
-                log::error!(address:% = address, cause:% = cause; "no metrics and no dump");
+            // The deploy file fixes this port, and it may be in use on some machine. Callers are
+            // served without it.
+            Err(cause) if kind == ListenerKind::Operators => {
+                log::error!(address:% = address, cause:% = cause; "operators' listener unavailable: no metrics and no dump");
                 continue;
             }
             Err(cause) => {
                 return Err(RelayError::Bind {
-                    face: face.to_string(),
+                    face: kind.to_string(),
                     address,
                     cause,
                 });
             }
         };
-        let stop = match face {
-            Face::Callers => servers.refuse.clone(),
+        let stop = match kind {
+            ListenerKind::Callers => servers.refuse.clone(),
             _ => node.stop.clone(),
         };
         let accepting = accept(
             Rc::clone(node),
-            face,
+            kind,
             listener,
             servers.finish.clone(),
             servers.callers.clone(),
@@ -116,7 +117,7 @@
 
 async fn accept(
     node: Rc<Node>,
-    face: Face,
+    kind: ListenerKind,
     listener: TcpListener,
     finish: CancellationToken,
     callers: TaskTracker,
@@ -125,43 +126,48 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                log::warn!(face:% = face, cause:% = e; "accept failed");
+                log::warn!(face:% = kind, cause:% = e; "accept failed");
                 sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
-        // Without it an event waits for the acknowledgement of the one before; it comes all the
-        // same.
+        // With Nagle's algorithm an event waits for the acknowledgement of the previous one. A
+        // failure only delays events.
         let _ = stream.set_nodelay(true);
-        if face == Face::Callers {
+        if kind == ListenerKind::Callers {
             if callers.len() >= node.settings.limits.connections {
                 log::warn!(connections = callers.len(); "too many connections");
                 continue;
             }
-            let connection = connection(Rc::clone(&node), face, stream, finish.clone());
+            let connection = serve_connection(Rc::clone(&node), kind, stream, finish.clone());
             callers.spawn_local(connection);
         } else {
             let none = CancellationToken::new();
-            tokio::task::spawn_local(connection(Rc::clone(&node), face, stream, none));
+            tokio::task::spawn_local(serve_connection(Rc::clone(&node), kind, stream, none));
         }
     }
 }
 
-async fn connection(node: Rc<Node>, face: Face, stream: TcpStream, finish: CancellationToken) {
+async fn serve_connection(
+    node: Rc<Node>,
+    kind: ListenerKind,
+    stream: TcpStream,
+    finish: CancellationToken,
+) {
     let limits = node
         .intent()
         .map_or_else(CallerLimits::default, |i| i.limits);
     let service = service_fn(|req| {
         let node = Rc::clone(&node);
-        async move { Ok::<_, Infallible>(route(&node, face, req).await) }
+        async move { Ok::<_, Infallible>(route(&node, kind, req).await) }
     });
     let mut builder = http1::Builder::new();
-    // The timer also runs while a kept connection is idle, and callers use one that was idle for
-    // most of the time that the configuration names.
+    // The header timer also runs while a keep-alive connection is idle, and callers reuse
+    // connections that were idle for most of the configured time.
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(limits.idle_timeout_ms))
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER_BYTES))
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
         .max_headers(MAX_HEADERS);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
@@ -173,24 +179,24 @@
         }
     };
     if let Err(e) = ended {
-        log::debug!(face:% = face, cause:% = e; "connection ended");
+        log::debug!(face:% = kind, cause:% = e; "connection ended");
     }
 }
 
-async fn route(node: &Rc<Node>, face: Face, req: Request<Incoming>) -> Response<RelayBody> {
-    match face {
-        Face::Callers => request::serve(node, req).await,
-        Face::Ready if req.uri().path() == entry::READY_PATH => ready(node),
-        Face::Entry if req.uri().path() == entry::ADDRESSES_PATH => {
-            addresses(node, req.uri().query())
+async fn route(node: &Rc<Node>, kind: ListenerKind, req: Request<Incoming>) -> Response<RelayBody> {
+    match kind {
+        ListenerKind::Callers => request::serve(node, req).await,
+        ListenerKind::Ready if req.uri().path() == entry::READY_PATH => answer_readiness(node),
+        ListenerKind::Entry if req.uri().path() == entry::ADDRESSES_PATH => {
+            answer_entry(node, req.uri().query())
         }
-        Face::Peers if req.uri().path() == peers::PATH => peer(node, req).await,
-        Face::Operators => operators(node, &req),
+        ListenerKind::Peers if req.uri().path() == peers::PATH => answer_peer(node, req).await,
+        ListenerKind::Operators => answer_operator(node, &req),
         _ => plain(StatusCode::NOT_FOUND, "no such path"),
     }
 }
 
-fn ready(node: &Node) -> Response<RelayBody> {
+fn answer_readiness(node: &Node) -> Response<RelayBody> {
     if node.is_ready() {
         plain(StatusCode::OK, "ready")
     } else {
@@ -198,17 +204,17 @@
     }
 }
 
-fn addresses(node: &Node, query: Option<&str>) -> Response<RelayBody> {
+fn answer_entry(node: &Node, query: Option<&str>) -> Response<RelayBody> {
     let domain = query.and_then(entry::caller_domain);
     let cfg = EntryConfig {
         ttl_ms: node.settings.bounds.entry_ttl_ms,
-        max_addresses: MAX_ADDRESSES,
+        max_addresses: MAX_ENTRY_ADDRESSES,
     };
     let own = &node.settings.name;
     let ready = node.is_ready();
     let membership = node.membership.borrow();
     let (loads, now) = (node.loads.borrow(), node.now());
-    // An instance that the store turns away refuses every request; another one serves them.
+    // An instance that the store rejects refuses every request, while others can serve them.
     let serves = |m: &MemberState| match m.name == *own {
         true => ready,
         false => !loads.refuses(&m.name, &m.domain, now),
@@ -217,17 +223,17 @@
     let answer = node.with_rng(|rng| entry_answer(live, domain, &cfg, rng));
     let mut found: Vec<SocketAddr> = answer.addresses.iter().map(|a| a.address).collect();
     if found.is_empty() && !node.draining.get() {
-        // Nobody is known to serve: this instance at least says when to come back.
+        // No instance is known to serve. This one at least answers with a retry time.
         found.push(node.settings.listen.callers);
     }
     if found.is_empty() {
         return plain(StatusCode::SERVICE_UNAVAILABLE, "no instance serves");
     }
     let body = entry::addresses(&found, cfg.ttl_ms);
-    whole(StatusCode::OK, "application/json", body.into())
+    complete(StatusCode::OK, "application/json", body.into())
 }
 
-async fn peer(node: &Rc<Node>, req: Request<Incoming>) -> Response<RelayBody> {
+async fn answer_peer(node: &Rc<Node>, req: Request<Incoming>) -> Response<RelayBody> {
     let body = Limited::new(req.into_body(), peers::MESSAGE_BYTES)
         .collect()
         .await;
@@ -235,21 +241,21 @@
         return plain(StatusCode::BAD_REQUEST, "message not readable");
     };
     match peers::answer(node, &body.to_bytes()).await {
-        Some(reply) => whole(StatusCode::OK, "application/msgpack", reply.into()),
+        Some(reply) => complete(StatusCode::OK, "application/msgpack", reply.into()),
         None => plain(StatusCode::BAD_REQUEST, "message not understood"),
     }
 }
 
-fn operators(node: &Node, req: &Request<Incoming>) -> Response<RelayBody> {
+fn answer_operator(node: &Node, req: &Request<Incoming>) -> Response<RelayBody> {
     if req.method() != Method::GET {
         return plain(StatusCode::METHOD_NOT_ALLOWED, "GET only");
     }
     match req.uri().path() {
         METRICS_PATH => {
             let text = Bytes::from(node.stats.render());
-            whole(StatusCode::OK, "text/plain; version=0.0.4", text)
+            complete(StatusCode::OK, "text/plain; version=0.0.4", text)
         }
-        DUMP_PATH => whole(StatusCode::OK, "application/json", dump::dump(node).into()),
+        DUMP_PATH => complete(StatusCode::OK, "application/json", dump::dump(node).into()),
         _ => plain(
             StatusCode::NOT_FOUND,
             "no such path: /metrics and /dump are here",
--- a/plugins/relay/src/stream.rs
+++ b/plugins/relay/src/stream.rs
@@ -1,8 +1,8 @@
-//! Streams of events through a chain of runners.
+//! Event streams through a chain of runners, with failover.
 //!
-//! Until a runner's head has come, another chain may take the request. Afterwards the caller has a
-//! status and a receipt: a run that breaks is then gone on with by another one inside the same
-//! answer, from the event behind the last whole one, or the caller's connection is cut.
+//! Until the head of an answer arrives, the request may be retried on another chain. Afterwards the
+//! caller has a status and a receipt: an interrupted run is then resumed by another one within the
+//! same answer, from the event after the last complete one, or the caller's connection is cut.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,107 +17,115 @@
 use jacinthweir_policy::retry_priority::RetryPriority;
 use tokio::time::{sleep, timeout};
 
-use crate::admit::{self, Place};
-use crate::answer::{Cause, Cut, Journal, RelayBody};
-use crate::breaks::{self, BrokenOff, Progress};
+use crate::admit::{self, QueuePosition};
+use crate::answer::{Cause, RelayBody, SendRecord, StreamCut};
+use crate::breaks::{self, InterruptedRun, Progress};
 use crate::events::Events;
 use crate::live::{LiveChain, Passage};
 use crate::node::Node;
 use crate::quarantine;
-use crate::request::{Proxied, count};
-use crate::tried::{Opened, Tried};
+use crate::request::{Proxied, count_outcome};
+use crate::tried::{AttemptOutcome, ChainAttempts};
 
-/// Part of its caller's patience after the last event within which a run must be gone on with: the
-/// first event of the new run has to come within the rest.
-const PATIENCE_SHARE: f64 = 0.85;
+/// Fraction of the caller's abandonment time, counted from the last event, within which a run must
+/// be resumed. The first event of the new run has to arrive within the rest.
+const RESUME_FRACTION: f64 = 0.85;
 
-/// Part of it up to which a run waits for a holder of the layers that its chain lost: most are loaded
-/// within a second, and a new run must still fit within [`PATIENCE_SHARE`] if they are not.
-const REROUTE_SHARE: f64 = 0.65;
+/// Fraction of the same time during which a run waits for a runner with the layers that its chain
+/// lost. Most layers are loaded within a second; if they are not, a new run must still fit within
+/// [`RESUME_FRACTION`].
+const REROUTE_FRACTION: f64 = 0.65;
 
-/// Time that a new run takes to its first event, in milliseconds: 40 to 80 where a chain is not
-/// reading much else.
-const READ_MS: Millis = 80;
+/// Time to the first event of a new run, in milliseconds: 40 to 80 ms in a chain with little other
+/// prefill.
+const RESUME_FIRST_EVENT_MS: Millis = 80;
 
-/// Time that a runner has to answer the order to go on along another chain.
-const REROUTE_ANSWER: Duration = Duration::from_millis(250);
+/// Time limit for a runner's answer to a reroute order.
+const REROUTE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Longest pause between looks for a chain that can go on with a run: loads of other instances
-/// change without a notice.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which an interrupted run checks for a chain without a notification: changes in the
+/// load of other instances cause none.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Serves a request through a chain.
+/// Serves a request through a chain of runners.
 pub(crate) async fn serve(node: &Rc<Node>, rq: Proxied) -> Response<RelayBody> {
     node.count_request(&rq.service);
-    let mut tried = Tried::default();
+    let mut attempts = ChainAttempts::default();
     let cause = loop {
-        let until = admit::until(node, &rq, tried.journal);
+        let until = admit::until(node, &rq, attempts.send_record);
         if let Some(held_ms) = quarantine::held_ms(node, &rq, until).await {
-            return rq.not_answered(node, tried.journal, Cause::Held, held_ms);
+            return rq.unanswered_response(node, attempts.send_record, Cause::Quarantined, held_ms);
         }
-        let may_take = |live: &LiveChain| tried.may_take(node, &rq, live);
+        let may_take = |live: &LiveChain| attempts.may_take(node, &rq, live);
         let live = match admit::wait(node, &rq, may_take, until).await {
             Ok(live) => live,
             Err(cause) => break cause,
         };
-        // It may have become known while this waited for room.
+        // The request may have been quarantined while it waited for room.
         if let Some(held_ms) = quarantine::held_ms(node, &rq, until).await {
-            return rq.not_answered(node, tried.journal, Cause::Held, held_ms);
+            return rq.unanswered_response(node, attempts.send_record, Cause::Quarantined, held_ms);
         }
-        if tried.journal.sends > 0 && !node.take_repeat(&rq.service, tried.journal.need()) {
+        if attempts.send_record.sends > 0
+            && !node.take_repeat(&rq.service, attempts.send_record.retry_priority())
+        {
             break Cause::RunnerFailed;
         }
-        match tried.open(node, &rq, &live, rq.last_event).await {
-            Opened::Stream(passage, res) => return pass_on(node, rq, passage, res, tried),
-            Opened::Timeout => break Cause::Timeout,
-            Opened::NotRun | Opened::Unreached | Opened::Broken | Opened::Lost => {}
+        match attempts.attempt(node, &rq, &live, rq.last_event).await {
+            AttemptOutcome::Stream(passage, res) => {
+                return forward(node, rq, passage, res, attempts);
+            }
+            AttemptOutcome::Timeout => break Cause::Timeout,
+            AttemptOutcome::NotRun
+            | AttemptOutcome::Unreached
+            | AttemptOutcome::Broken
+            | AttemptOutcome::Lost => {}
         }
-        if tried.journal.may_have_run() && !rq.class.repeatable() {
+        if attempts.send_record.may_have_run() && !rq.class.repeatable() {
             break Cause::RunnerFailed;
         }
     };
-    refuse(node, &rq, tried.journal, cause)
+    refuse(node, &rq, attempts.send_record, cause)
 }
 
-fn refuse(node: &Node, rq: &Proxied, journal: Journal, cause: Cause) -> Response<RelayBody> {
+fn refuse(node: &Node, rq: &Proxied, send_record: SendRecord, cause: Cause) -> Response<RelayBody> {
     let retry_after_ms = node
         .shortage
         .borrow_mut()
         .record_refused(node.now(), node.draw());
-    rq.not_answered(node, journal, cause, retry_after_ms)
+    rq.unanswered_response(node, send_record, cause, retry_after_ms)
 }
 
-/// Passes a runner's answer on.
-fn pass_on(
+/// Forwards a runner's answer to the caller.
+fn forward(
     node: &Rc<Node>,
     rq: Proxied,
     passage: Passage,
     res: Response<AnswerBody>,
-    tried: Tried,
+    attempts: ChainAttempts,
 ) -> Response<RelayBody> {
     let (parts, body) = res.into_parts();
     let now = node.now();
     passage.heard();
     metrics::histogram!("jacinthweir_first_event_seconds")
         .record((now - rq.received_ms) as f64 / 1e3);
-    let run = Run {
+    let forwarded = ForwardedStream {
         events: Events::after(rq.last_event),
         ok: parts.status.is_success(),
-        heard_ms: now,
-        first_ms: now,
-        began_ms: now,
+        last_received_ms: now,
+        first_head_ms: now,
+        run_head_ms: now,
         longest_gap_ms: 0,
         resumed: 0,
-        tried,
+        attempts,
         passage: Some(passage),
         body: Some(body),
         node: Rc::clone(node),
         rq,
         ended: false,
     };
-    let stream = unfold(run, |mut run| async {
-        let item = run.next().await?;
-        Some((item, run))
+    let stream = unfold(forwarded, |mut forwarded| async {
+        let item = forwarded.next().await?;
+        Some((item, forwarded))
     });
     let mut out = Response::new(RelayBody::stream(stream));
     *out.status_mut() = parts.status;
@@ -125,36 +133,36 @@
     out
 }
 
-/// A stream that is passed on.
-struct Run {
+/// A stream that is forwarded to a caller, across all runs that contribute to it.
+struct ForwardedStream {
     node: Rc<Node>,
     rq: Proxied,
     passage: Option<Passage>,
     body: Option<AnswerBody>,
     events: Events,
-    /// Whether it is a success: only then are its bytes events.
+    /// Whether the answer is a success: only then does its body consist of events.
     ok: bool,
-    heard_ms: Millis,
-    /// When the head of the answer came.
-    first_ms: Millis,
-    /// When the head of the run that is passed on came.
-    began_ms: Millis,
-    /// Longest time between two reads of events: what makes a whole answer late.
+    last_received_ms: Millis,
+    /// When the head of the answer arrived.
+    first_head_ms: Millis,
+    /// When the head of the current run arrived.
+    run_head_ms: Millis,
+    /// Longest time between two reads, which decides whether a complete answer counts as late.
     longest_gap_ms: Millis,
     resumed: u32,
-    tried: Tried,
+    attempts: ChainAttempts,
     ended: bool,
 }
 
-/// Why no other run went on with a stream.
+/// Reason why an interrupted stream was not resumed.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
-enum GivenUp {
+enum ResumeFailure {
     #[display("it must not run again")]
     NotRepeatable,
     #[display("no repeat left")]
-    NoRepeat,
+    NoRetry,
     #[display("no attempt left")]
-    NoAttempt,
+    AttemptsExhausted,
     #[display("no chain took it in time")]
     NoChain,
     #[display("the next chain did not take it")]
@@ -166,102 +174,103 @@
     #[display("the next run failed")]
     NextFailed,
     #[display("its runners end under it")]
-    Held,
+    Quarantined,
     #[display("out of time")]
     OutOfTime,
 }
 
-/// What came next.
-enum Next {
+/// Outcome of reading from the current run.
+enum ReadOutcome {
     Bytes(Bytes),
     End,
-    Broke(String),
+    RunFailed(String),
     ChainBroke,
     Timeout,
 }
 
-impl Run {
-    async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
+impl ForwardedStream {
+    async fn next(&mut self) -> Option<Result<Bytes, StreamCut>> {
         while !self.ended {
             match self.read().await {
-                Next::Bytes(bytes) if !self.ok => return Some(Ok(bytes)),
-                Next::Bytes(bytes) => {
-                    self.heard();
+                ReadOutcome::Bytes(bytes) if !self.ok => return Some(Ok(bytes)),
+                ReadOutcome::Bytes(bytes) => {
+                    self.record_received();
                     let pushed = self.events.push(&bytes);
-                    self.count_tokens();
+                    self.update_tokens();
                     match pushed {
-                        Ok(whole) if whole.is_empty() => {}
-                        Ok(whole) => return Some(Ok(whole)),
+                        Ok(complete) if complete.is_empty() => {}
+                        Ok(complete) => return Some(Ok(complete)),
                         Err(e) => return self.cut(e.to_string(), None),
                     }
                 }
-                Next::End if !(self.ok && self.events.holds_part()) => return self.end(),
-                Next::End => {
+                ReadOutcome::End if !(self.ok && self.events.holds_part()) => return self.finish(),
+                ReadOutcome::End => {
                     let cause = "ended within an event".to_owned();
-                    self.broke(&cause);
-                    if let Err(given_up) = self.go_on(&cause).await {
-                        return self.cut(cause, Some(given_up));
+                    self.record_interruption(&cause);
+                    if let Err(failure) = self.resume_elsewhere(&cause).await {
+                        return self.cut(cause, Some(failure));
                     }
                 }
-                Next::Broke(cause) => {
-                    self.broke(&cause);
-                    if let Err(given_up) = self.go_on(&cause).await {
-                        return self.cut(cause, Some(given_up));
+                ReadOutcome::RunFailed(cause) => {
+                    self.record_interruption(&cause);
+                    if let Err(failure) = self.resume_elsewhere(&cause).await {
+                        return self.cut(cause, Some(failure));
                     }
                 }
-                Next::ChainBroke => {
+                ReadOutcome::ChainBroke => {
                     let cause = "chain broke".to_owned();
-                    self.broke(&cause);
+                    self.record_interruption(&cause);
                     if self.reroute().await.is_some() {
                         continue;
                     }
-                    if let Err(given_up) = self.go_on(&cause).await {
-                        return self.cut(cause, Some(given_up));
+                    if let Err(failure) = self.resume_elsewhere(&cause).await {
+                        return self.cut(cause, Some(failure));
                     }
                 }
-                Next::Timeout => return self.cut("out of time".to_owned(), None),
+                ReadOutcome::Timeout => return self.cut("out of time".to_owned(), None),
             }
         }
         None
     }
 
-    async fn read(&mut self) -> Next {
-        let left = Duration::from_millis(self.rq.left_ms(&self.node));
+    async fn read(&mut self) -> ReadOutcome {
+        let left = Duration::from_millis(self.rq.remaining_ms(&self.node));
         let (Some(body), Some(passage)) = (&mut self.body, &self.passage) else {
-            return Next::Broke("no run".to_owned());
+            return ReadOutcome::RunFailed("no run".to_owned());
         };
         tokio::select! {
             biased;
             bytes = body.next() => match bytes {
-                Some(Ok(bytes)) => Next::Bytes(bytes),
-                Some(Err(e)) => Next::Broke(e.to_string()),
-                None => Next::End,
+                Some(Ok(bytes)) => ReadOutcome::Bytes(bytes),
+                Some(Err(e)) => ReadOutcome::RunFailed(e.to_string()),
+                None => ReadOutcome::End,
             },
-            () = passage.live.broken.cancelled() => Next::ChainBroke,
-            () = sleep(left) => Next::Timeout,
+            () = passage.live.broken.cancelled() => ReadOutcome::ChainBroke,
+            () = sleep(left) => ReadOutcome::Timeout,
         }
     }
 
-    /// The run broke off.
-    fn broke(&self, cause: &str) {
+    /// Records that the current run was interrupted.
+    fn record_interruption(&self, cause: &str) {
         if let Some(passage) = &self.passage {
-            let progress = Progress::Ran(self.heard_ms.saturating_sub(self.began_ms));
-            let through = quarantine::along(&passage.live.chain);
-            let broken = BrokenOff {
+            let progress =
+                Progress::Received(self.last_received_ms.saturating_sub(self.run_head_ms));
+            let lifetimes = quarantine::along(&passage.live.chain);
+            let interrupted_run = InterruptedRun {
                 rq: &self.rq,
-                through,
+                lifetimes,
                 sent_ms: passage.sent_ms,
                 progress,
                 cause,
             };
-            breaks::note(&self.node, broken);
+            breaks::record(&self.node, interrupted_run);
         }
     }
 
-    fn heard(&mut self) {
+    fn record_received(&mut self) {
         let now = self.node.now();
-        let gap = now - self.heard_ms;
-        self.heard_ms = now;
+        let gap = now - self.last_received_ms;
+        self.last_received_ms = now;
         self.longest_gap_ms = self.longest_gap_ms.max(gap);
         if let Some(passage) = &self.passage {
             passage.heard();
@@ -269,23 +278,24 @@
         }
     }
 
-    /// Tells the chain how much of the answer is written.
-    fn count_tokens(&mut self) {
+    /// Updates the number of tokens that the request occupies in its chain.
+    fn update_tokens(&mut self) {
         let per_event = self.rq.engine().map_or(1, |e| e.event_tokens);
-        let (prompt, _) = admit::declared(&self.rq);
+        let (prompt, _) = admit::token_counts(&self.rq);
         let written = self.events.count() * u64::from(per_event);
         if let Some(passage) = &mut self.passage {
             passage.at_least(f64::from(prompt) + written as f64);
         }
     }
 
-    /// Has the run itself go on past a dead part, through the chain that takes the broken one's
-    /// place behind the same first runner. That spends no repeat and needs no room elsewhere, but
-    /// the new part reads the tokens of one run after the other, and the last of many waits for
-    /// long. So they are spread, and a new run comes first where it begins sooner and in time.
-    /// `None`: a new run is needed.
+    /// Reroutes the run around a dead stage, along the chain that replaces the broken one behind
+    /// the same first runner. Returns `None` if a new run is needed instead.
+    ///
+    /// A reroute spends no retry and needs no room in another chain. But the new stage prefills the
+    /// tokens of one run after the other, so the last of many runs waits long. To spread them, a
+    /// new run is preferred where it starts sooner and in time.
     async fn reroute(&mut self) -> Option<()> {
-        let decided = self.heard_ms + self.patience_ms(REROUTE_SHARE);
+        let decided = self.last_received_ms + self.abandon_fraction_ms(REROUTE_FRACTION);
         if quarantine::held_ms(&self.node, &self.rq, decided)
             .await
             .is_some()
@@ -293,10 +303,11 @@
             return None;
         }
         let broken = Rc::clone(&self.passage.as_ref()?.live);
-        let in_time = self.heard_ms + self.rq.pause_ms.saturating_sub(READ_MS);
-        let until = self.heard_ms + self.patience_ms(REROUTE_SHARE);
+        let in_time =
+            self.last_received_ms + self.rq.pause_ms.saturating_sub(RESUME_FIRST_EVENT_MS);
+        let until = self.last_received_ms + self.abandon_fraction_ms(REROUTE_FRACTION);
         while self.node.now() < until && self.node.has_head(&broken) {
-            // Without a further send a chain elsewhere is of no use: the lost layers are waited for.
+            // Without a retry another chain is of no use, so the run waits for the lost layers.
             let elsewhere = self.next_chain().filter(|_| self.may_run_again());
             let elsewhere = elsewhere.map(|l| l.unread_tokens());
             let in_time = self.node.now() < in_time;
@@ -304,11 +315,11 @@
                 (Some(live), Some(tokens)) if in_time && live.unread_tokens() > tokens => {
                     return None;
                 }
-                (Some(live), _) => return self.send_along(live).await,
+                (Some(live), _) => return self.reroute_along(live).await,
                 (None, Some(_)) => return None,
                 (None, None) => {}
             }
-            let _ = timeout(LOOK, self.node.room.notified()).await;
+            let _ = timeout(POLL_INTERVAL, self.node.room.notified()).await;
         }
         None
     }
@@ -320,14 +331,14 @@
                 .has_repeat(&self.rq.service, RetryPriority::Committed)
     }
 
-    /// A share of the caller's patience, in milliseconds.
-    fn patience_ms(&self, share: f64) -> Millis {
-        (self.rq.patience_ms as f64 * share) as Millis
+    /// Returns a fraction of the caller's abandonment time, in milliseconds.
+    fn abandon_fraction_ms(&self, fraction: f64) -> Millis {
+        (self.rq.abandon_after_ms as f64 * fraction) as Millis
     }
 
-    async fn send_along(&mut self, live: Rc<LiveChain>) -> Option<()> {
+    async fn reroute_along(&mut self, live: Rc<LiveChain>) -> Option<()> {
         self.passage.as_mut()?.move_to(Rc::clone(&live));
-        let ordered = runner::reroute(&live.chain, &self.rq.id, REROUTE_ANSWER).await;
+        let ordered = runner::reroute(&live.chain, &self.rq.id, REROUTE_TIMEOUT).await;
         let outcome = match &ordered {
             Ok(_) => "ordered".to_owned(),
             Err(e) => e.to_string(),
@@ -336,7 +347,7 @@
             request = self.rq.id.as_ref(),
             chain = live.label(),
             runner = live.chain.head().id.as_ref(),
-            silent_ms = self.node.now() - self.heard_ms,
+            silent_ms = self.node.now() - self.last_received_ms,
             outcome;
             "rerouted"
         );
@@ -344,91 +355,98 @@
         ordered.ok().map(drop)
     }
 
-    /// Goes on with another run behind the last whole event. What one try lacks may be there at the
-    /// next, so it is tried for as long as the caller waits.
-    async fn go_on(&mut self, cause: &str) -> Result<(), GivenUp> {
+    /// Resumes the stream with another run, after the last complete event. Tries until the caller's
+    /// time is over, since a chain or a retry that is missing now may become available.
+    async fn resume_elsewhere(&mut self, cause: &str) -> Result<(), ResumeFailure> {
         self.body = None;
-        // A runner that broke off is most likely dead, and not yet known to be.
-        self.tried.left = self
+        // The runner is probably dead but not yet detected as such, so its chain is excluded.
+        self.attempts.excluded = self
             .passage
             .take()
             .iter()
             .map(|p| Rc::clone(&p.live))
             .collect();
         if !self.ok || !self.rq.class.repeatable() {
-            return Err(GivenUp::NotRepeatable);
+            return Err(ResumeFailure::NotRepeatable);
         }
         self.events.resume();
-        let until = self.heard_ms + self.patience_ms(PATIENCE_SHARE);
-        let in_time = self.heard_ms + self.rq.pause_ms;
-        let mut place = Some(Place::ahead(&self.node));
-        let mut lacking = GivenUp::NoChain;
+        let until = self.last_received_ms + self.abandon_fraction_ms(RESUME_FRACTION);
+        let in_time = self.last_received_ms + self.rq.pause_ms;
+        let mut position = Some(QueuePosition::ahead_of_new_requests(&self.node));
+        let mut failure = ResumeFailure::NoChain;
         while self.node.now() < until {
             if quarantine::held_ms(&self.node, &self.rq, until)
                 .await
                 .is_some()
             {
-                return Err(GivenUp::Held);
+                return Err(ResumeFailure::Quarantined);
             }
-            if self.tried.is_spent(&self.rq) {
-                return Err(GivenUp::NoAttempt);
+            if self.attempts.is_exhausted(&self.rq) {
+                return Err(ResumeFailure::AttemptsExhausted);
             }
-            // New work waits behind those that can still be in time, and lack nothing but room.
-            if self.node.now() >= in_time || lacking == GivenUp::NoRepeat {
-                place = None;
+            // Only streams that can still be in time and lack nothing but room precede new
+            // requests.
+            if self.node.now() >= in_time || failure == ResumeFailure::NoRetry {
+                position = None;
             }
-            lacking = match self.try_on().await {
+            failure = match self.try_resume().await {
                 Ok((passage, res)) => {
-                    drop(place);
-                    self.resumed(passage, res, cause);
+                    drop(position);
+                    self.finish_resume(passage, res, cause);
                     return Ok(());
                 }
-                Err(GivenUp::OutOfTime) => return Err(GivenUp::OutOfTime),
-                Err(lacking) => lacking,
+                Err(ResumeFailure::OutOfTime) => return Err(ResumeFailure::OutOfTime),
+                Err(failure) => failure,
             };
-            if matches!(lacking, GivenUp::NoChain | GivenUp::NoRepeat) {
-                let _ = timeout(LOOK, self.node.room.notified()).await;
+            if matches!(failure, ResumeFailure::NoChain | ResumeFailure::NoRetry) {
+                let _ = timeout(POLL_INTERVAL, self.node.room.notified()).await;
             }
         }
-        Err(lacking)
+        Err(failure)
     }
 
-    /// One try to go on with another run.
-    async fn try_on(&mut self) -> Result<(Passage, Response<AnswerBody>), GivenUp> {
-        let live = self.next_chain().ok_or(GivenUp::NoChain)?;
-        // Each send counts, also one that a runner refuses.
+    /// Tries once to resume the stream with another run.
+    async fn try_resume(&mut self) -> Result<(Passage, Response<AnswerBody>), ResumeFailure> {
+        let live = self.next_chain().ok_or(ResumeFailure::NoChain)?;
+        // Each send spends a retry, even one that a runner refuses.
         if !self
             .node
             .take_repeat(&self.rq.service, RetryPriority::Committed)
         {
-            return Err(GivenUp::NoRepeat);
+            return Err(ResumeFailure::NoRetry);
         }
         let after = self.events.last();
-        match self.tried.open(&self.node, &self.rq, &live, after).await {
-            Opened::Stream(passage, res) if res.status() == StatusCode::OK => Ok((passage, res)),
-            Opened::Stream(..) => Err(GivenUp::NextFailed),
-            Opened::NotRun | Opened::Unreached => Err(GivenUp::NextRefused),
-            Opened::Broken => Err(GivenUp::NextBroke),
-            Opened::Lost => Err(GivenUp::NextLost),
-            Opened::Timeout => Err(GivenUp::OutOfTime),
+        match self
+            .attempts
+            .attempt(&self.node, &self.rq, &live, after)
+            .await
+        {
+            AttemptOutcome::Stream(passage, res) if res.status() == StatusCode::OK => {
+                Ok((passage, res))
+            }
+            AttemptOutcome::Stream(..) => Err(ResumeFailure::NextFailed),
+            AttemptOutcome::NotRun | AttemptOutcome::Unreached => Err(ResumeFailure::NextRefused),
+            AttemptOutcome::Broken => Err(ResumeFailure::NextBroke),
+            AttemptOutcome::Lost => Err(ResumeFailure::NextLost),
+            AttemptOutcome::Timeout => Err(ResumeFailure::OutOfTime),
         }
     }
 
     fn next_chain(&self) -> Option<Rc<LiveChain>> {
-        let may_take = |live: &LiveChain| self.tried.may_take(&self.node, &self.rq, live);
+        let may_take = |live: &LiveChain| self.attempts.may_take(&self.node, &self.rq, live);
         self.node
             .choose_chain(&self.rq, chain_selection::MAX_FILL_RESUMED, may_take)
     }
 
-    fn resumed(&mut self, passage: Passage, res: Response<AnswerBody>, cause: &str) {
+    fn finish_resume(&mut self, passage: Passage, res: Response<AnswerBody>, cause: &str) {
         self.resumed += 1;
-        self.began_ms = self.node.now();
-        count("resumed");
+        self.run_head_ms = self.node.now();
+        count_outcome("resumed");
         log::info!(
             request = self.rq.id.as_ref(),
             chain = passage.live.label(),
             after:? = self.events.last(),
-            silent_ms = self.node.now() - self.heard_ms,
+            silent_ms = self.node.now() - self.last_received_ms,
             cause;
             "resumed"
         );
@@ -436,17 +454,17 @@
         self.body = Some(res.into_body());
     }
 
-    fn end(&mut self) -> Option<Result<Bytes, Cut>> {
+    fn finish(&mut self) -> Option<Result<Bytes, StreamCut>> {
         self.ended = true;
         quarantine::survived(&self.node, &self.rq);
         let after_ms = self.node.now() - self.rq.received_ms;
-        count("answered");
+        count_outcome("answered");
         log::info!(
             request = self.rq.id.as_ref(),
             route = self.rq.route.as_ref(),
             chain = self.passage.as_ref().map_or_else(String::new, |p| p.live.label()),
             resumed = self.resumed,
-            first_after_ms = self.first_ms - self.rq.received_ms,
+            first_after_ms = self.first_head_ms - self.rq.received_ms,
             longest_gap_ms = self.longest_gap_ms,
             events = self.events.count(),
             after_ms;
@@ -457,39 +475,44 @@
         None
     }
 
-    fn cut(&mut self, cause: String, given_up: Option<GivenUp>) -> Option<Result<Bytes, Cut>> {
+    fn cut(
+        &mut self,
+        cause: String,
+        failure: Option<ResumeFailure>,
+    ) -> Option<Result<Bytes, StreamCut>> {
         self.ended = true;
         self.passage = None;
         self.body = None;
-        count("cut");
+        count_outcome("cut");
         log::warn!(
             request = self.rq.id.as_ref(),
             route = self.rq.route.as_ref(),
             cause = cause.as_str(),
-            given_up = given_up.map_or_else(String::new, |g| g.to_string()),
-            sends = self.tried.journal.sends,
-            silent_ms = self.node.now() - self.heard_ms,
+            given_up = failure.map_or_else(String::new, |g| g.to_string()),
+            sends = self.attempts.send_record.sends,
+            silent_ms = self.node.now() - self.last_received_ms,
             last_event:? = self.events.last(),
             after_ms = self.node.now() - self.rq.received_ms;
             "stream cut"
         );
-        Some(Err(Cut { cause }))
+        Some(Err(StreamCut { cause }))
     }
 }
 
-impl Drop for Run {
-    /// A caller that leaves drops its answer, and with it the run: nothing else tells of it.
+impl Drop for ForwardedStream {
+    /// Logs and counts a caller that left. Its connection drops the answer and with it this value;
+    /// there is no other indication.
     fn drop(&mut self) {
         if self.ended {
             return;
         }
         let now = self.node.now();
-        count("left");
+        count_outcome("left");
         log::info!(
             request = self.rq.id.as_ref(),
             chain = self.passage.as_ref().map_or_else(String::new, |p| p.live.label()),
             events = self.events.count(),
-            silent_ms = now - self.heard_ms,
+            silent_ms = now - self.last_received_ms,
             after_ms = now - self.rq.received_ms;
             "caller left"
         );
--- a/plugins/relay/src/tried.rs
+++ b/plugins/relay/src/tried.rs
@@ -1,4 +1,4 @@
-//! Sending a request into chains, one after the other, and what each attempt leaves behind.
+//! Attempts of one request on successive chains, and the record of their outcomes.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,93 +11,102 @@
 use tokio::time::timeout;
 
 use crate::admit;
-use crate::answer::Journal;
-use crate::attempt::{self, Sent};
-use crate::breaks::{self, BrokenOff, Progress};
+use crate::answer::SendRecord;
+use crate::attempt::{self, SendOutcome};
+use crate::breaks::{self, InterruptedRun, Progress};
 use crate::live::{LiveChain, Passage};
 use crate::node::Node;
 use crate::probe;
 use crate::quarantine::along;
 use crate::request::Proxied;
 
-/// What came of sending a request into a chain.
-pub(crate) enum Opened {
-    /// The head of an answer.
+/// Outcome of an attempt on a chain.
+pub(crate) enum AttemptOutcome {
+    /// The head of an answer arrived.
     Stream(Passage, Response<AnswerBody>),
-    /// A runner says that it did not run the request.
+    /// A runner states that it did not run the request.
     NotRun,
-    /// No connection to the first runner.
+    /// The connection to the first runner failed.
     Unreached,
-    /// A part is known to be dead.
+    /// A stage of the chain was found dead.
     Broken,
-    /// No answer, or not this request's: it may have run.
+    /// No valid answer to this request: it may have run.
     Lost,
-    /// The request's time is over.
+    /// The deadline has passed.
     Timeout,
 }
 
-/// Which chains one request has tried.
+/// Record of the attempts of one request.
 #[derive(Default)]
-pub(crate) struct Tried {
-    pub(crate) journal: Journal,
+pub(crate) struct ChainAttempts {
+    pub(crate) send_record: SendRecord,
     attempts: Attempts,
-    /// Chains that refused it, or broke under it.
-    pub(crate) left: Vec<Rc<LiveChain>>,
+    /// Chains that refused the request or broke during it.
+    pub(crate) excluded: Vec<Rc<LiveChain>>,
 }
 
-impl Tried {
-    /// Whether the request may be sent through a chain.
+impl ChainAttempts {
+    /// Returns whether the request may be sent through a chain.
     pub(crate) fn may_take(&self, node: &Node, rq: &Proxied, live: &LiveChain) -> bool {
-        let left = self.left.iter().any(|l| std::ptr::eq(&raw const **l, live));
+        let is_excluded = self
+            .excluded
+            .iter()
+            .any(|l| std::ptr::eq(&raw const **l, live));
         let runners = node.runners.borrow();
         let ended = |id: &Name, born_ms: u64| {
-            // One that does not answer us may live: only its entry's end is certain.
+            // A runner that does not answer this instance may be alive. Only the end of its store
+            // entry is certain.
             runners.entry(id).is_none_or(|e| e.born_ms != born_ms)
         };
         let (id, born_ms) = live.head();
-        !left && self.attempts.allows(id, born_ms, rq.max_attempts, ended)
+        !is_excluded && self.attempts.allows(id, born_ms, rq.max_attempts, ended)
     }
 
-    /// Whether the request may not be sent any more, whatever chain there is.
-    pub(crate) fn is_spent(&self, rq: &Proxied) -> bool {
+    /// Returns whether no further send of the request is allowed on any chain.
+    pub(crate) fn is_exhausted(&self, rq: &Proxied) -> bool {
         self.attempts.is_exhausted(rq.max_attempts)
     }
 
-    /// Sends the request through a chain, and notes what came of it.
-    pub(crate) async fn open(
+    /// Sends the request through a chain and records the outcome.
+    pub(crate) async fn attempt(
         &mut self,
         node: &Rc<Node>,
         rq: &Proxied,
         live: &Rc<LiveChain>,
         after: Option<u64>,
-    ) -> Opened {
+    ) -> AttemptOutcome {
         let (id, born_ms) = live.head();
         let ran_before = self.attempts.may_have_run(id, born_ms);
-        self.journal.hand();
+        self.send_record.record_send();
         self.attempts.record_sent(id, born_ms);
-        let opened = open(node, rq, live, after).await;
-        match opened {
-            Opened::NotRun | Opened::Unreached => {
-                match opened {
-                    Opened::Unreached => self.journal.unreached(),
-                    _ => self.journal.not_run(),
+        let outcome = send(node, rq, live, after).await;
+        match outcome {
+            AttemptOutcome::NotRun | AttemptOutcome::Unreached => {
+                match outcome {
+                    AttemptOutcome::Unreached => self.send_record.record_unreached(),
+                    _ => self.send_record.record_not_run(),
                 }
                 self.attempts.record_not_run(id, born_ms, ran_before);
-                self.left.push(Rc::clone(live));
+                self.excluded.push(Rc::clone(live));
             }
-            Opened::Broken => self.left.push(Rc::clone(live)),
-            // A lost answer says nothing against the chain.
-            Opened::Lost | Opened::Stream(..) | Opened::Timeout => {}
+            AttemptOutcome::Broken => self.excluded.push(Rc::clone(live)),
+            // A lost answer does not show that the chain is at fault.
+            AttemptOutcome::Lost | AttemptOutcome::Stream(..) | AttemptOutcome::Timeout => {}
         }
-        opened
+        outcome
     }
 }
 
-/// Sends a request into a chain and waits for the head.
-async fn open(node: &Rc<Node>, rq: &Proxied, live: &Rc<LiveChain>, after: Option<u64>) -> Opened {
+/// Sends a request through a chain and waits for the head of the answer.
+async fn send(
+    node: &Rc<Node>,
+    rq: &Proxied,
+    live: &Rc<LiveChain>,
+    after: Option<u64>,
+) -> AttemptOutcome {
     let passage = Passage::open(node, Rc::clone(live), admit::tokens(rq));
     let head = live.chain.head();
-    let mut req = rq.to_send(node, &head.id);
+    let mut req = rq.runner_request(node, &head.id);
     if let Some(value) = header::value(&header::chain(&live.chain)) {
         req.headers_mut().insert(header::CHAIN, value);
     }
@@ -105,60 +114,60 @@
         req.headers_mut().insert(header::LAST_EVENT, after.into());
     }
     log_sent(node, rq, live);
-    let left = Duration::from_millis(rq.left_ms(node));
+    let left = Duration::from_millis(rq.remaining_ms(node));
     let sent = tokio::select! {
         sent = timeout(left, attempt::send(node, head, &rq.id, req)) => sent,
         () = live.broken.cancelled() => {
             log_attempt(rq, live, "chain broke", "");
-            note_waiting(node, rq, &passage, "chain broke");
-            return Opened::Broken;
+            record_interruption(node, rq, &passage, "chain broke");
+            return AttemptOutcome::Broken;
         }
     };
     match sent {
-        Ok(Sent::Answer(res)) => {
+        Ok(SendOutcome::Answer(res)) => {
             live.refusals.borrow_mut().record_accepted(node.now());
-            Opened::Stream(passage, res)
+            AttemptOutcome::Stream(passage, res)
         }
-        Ok(Sent::NotRun { status, at_fault }) => {
+        Ok(SendOutcome::NotRun { status, at_fault }) => {
             let at_fault_shown = at_fault.map_or_else(String::new, |a| a.to_string());
             let cause = format!("{status} at {at_fault_shown}");
             log_attempt(rq, live, "not run", &cause);
             live.refusals.borrow_mut().record_refused(node.now());
             if let Some(address) = at_fault.filter(|_| status == StatusCode::MISDIRECTED_REQUEST) {
-                misreported(node, address);
+                mark_misreported(node, address);
             }
-            Opened::NotRun
+            AttemptOutcome::NotRun
         }
-        Ok(Sent::Unreached(e)) => {
+        Ok(SendOutcome::Unreached(e)) => {
             log_attempt(rq, live, "not reached", &e.to_string());
-            probe::not_reached(node, head, &e);
-            Opened::Unreached
+            probe::connection_failed(node, head, &e);
+            AttemptOutcome::Unreached
         }
-        Ok(Sent::Lost(cause)) => {
+        Ok(SendOutcome::Lost(cause)) => {
             log_attempt(rq, live, "lost", &cause);
-            note_waiting(node, rq, &passage, &cause);
-            Opened::Lost
+            record_interruption(node, rq, &passage, &cause);
+            AttemptOutcome::Lost
         }
         Err(_) => {
             log_attempt(rq, live, "timeout", "");
-            Opened::Timeout
+            AttemptOutcome::Timeout
         }
     }
 }
 
-/// A run broke off of which nothing had come.
-fn note_waiting(node: &Rc<Node>, rq: &Proxied, passage: &Passage, cause: &str) {
-    let broken = BrokenOff {
+/// Records the interruption of a run of which nothing had arrived.
+fn record_interruption(node: &Rc<Node>, rq: &Proxied, passage: &Passage, cause: &str) {
+    let interrupted_run = InterruptedRun {
         rq,
-        through: along(&passage.live.chain),
+        lifetimes: along(&passage.live.chain),
         sent_ms: passage.sent_ms,
-        progress: Progress::Waited,
+        progress: Progress::NothingReceived,
         cause,
     };
-    breaks::note(node, broken);
+    breaks::record(node, interrupted_run);
 }
 
-/// What the choice of a chain was made from.
+/// Logs a send, with the values that the choice of the chain was based on.
 fn log_sent(node: &Node, rq: &Proxied, live: &LiveChain) {
     log::info!(
         request = rq.id.as_ref(),
@@ -174,8 +183,8 @@
     );
 }
 
-/// A runner does not hold what its entry says: it is passed over until its entry changes.
-fn misreported(node: &Node, address: std::net::SocketAddr) {
+/// Excludes a runner that does not hold the layers in its store entry until the entry changes.
+fn mark_misreported(node: &Node, address: std::net::SocketAddr) {
     let found = {
         let runners = node.runners.borrow();
         runners.at(address).map(|e| (e.id.clone(), e.layers))
