--- a/plugins/relay/src/call.rs
+++ b/plugins/relay/src/call.rs
@@ -80,7 +80,7 @@
         let Some(runner) = next_runner(node, &rq, &tried) else {
             break;
         };
-        if send_record.sends > 0 && !node.take_repeat(&rq.service, send_record.retry_priority()) {
+        if send_record.sends > 0 && !node.take_retry(&rq.service, send_record.retry_priority()) {
             break;
         }
         tried.push(runner.id.clone());
--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -293,22 +293,22 @@
     }
 
     /// Whether the common budget has a further send for a service.
-    pub(crate) fn has_repeat(&self, service: &Name, need: RetryPriority) -> bool {
+    pub(crate) fn has_retry(&self, service: &Name, priority: RetryPriority) -> bool {
         let cfg = self.spending_config();
         let instances = self.most_instances();
         let mut spending = self.spending.borrow_mut();
         let of_service = spending.entry(service.clone()).or_default();
-        of_service.has_retry(self.now(), &cfg, instances, need)
+        of_service.has_retry(self.now(), &cfg, instances, priority)
     }
 
     /// Takes one further send for a service out of the common budget.
-    pub(crate) fn take_repeat(&self, service: &Name, need: RetryPriority) -> bool {
+    pub(crate) fn take_retry(&self, service: &Name, priority: RetryPriority) -> bool {
         let cfg = self.spending_config();
         let instances = self.most_instances();
         let now = self.now();
         let mut spending = self.spending.borrow_mut();
         let of_service = spending.entry(service.clone()).or_default();
-        let taken = of_service.take_retry(now, &cfg, instances, need);
+        let taken = of_service.take_retry(now, &cfg, instances, priority);
         let outcome = if taken { "taken" } else { "refused" };
         metrics::counter!("jacinthweir_repeats_total", "outcome" => outcome).increment(1);
         taken
--- a/plugins/relay/src/stream.rs
+++ b/plugins/relay/src/stream.rs
@@ -66,7 +66,7 @@
             return rq.unanswered_response(node, attempts.send_record, Cause::Quarantined, held_ms);
         }
         if attempts.send_record.sends > 0
-            && !node.take_repeat(&rq.service, attempts.send_record.retry_priority())
+            && !node.take_retry(&rq.service, attempts.send_record.retry_priority())
         {
             break Cause::RunnerFailed;
         }
@@ -328,7 +328,7 @@
         self.rq.class.repeatable()
             && self
                 .node
-                .has_repeat(&self.rq.service, RetryPriority::Committed)
+                .has_retry(&self.rq.service, RetryPriority::Committed)
     }
 
     /// Returns a fraction of the caller's abandonment time, in milliseconds.
@@ -411,7 +411,7 @@
         // Each send spends a retry, even one that a runner refuses.
         if !self
             .node
-            .take_repeat(&self.rq.service, RetryPriority::Committed)
+            .take_retry(&self.rq.service, RetryPriority::Committed)
         {
             return Err(ResumeFailure::NoRetry);
         }
