--- a/plugins/relay/src/admit.rs
+++ b/plugins/relay/src/admit.rs
@@ -15,7 +15,7 @@
 use crate::answer::{Cause, SendRecord};
 use crate::live::LiveChain;
 use crate::node::Node;
-use crate::request::Proxied;
+use crate::request::ProxiedRequest;
 
 /// Fraction of the objective that a request may wait for room. The rest is the time-to-first-token
 /// in a nearly full chain. A request that may have run already waits for the same time again, since
@@ -32,19 +32,19 @@
 
 /// Returns the tokens of a request's prompt and the expected tokens of its answer, with the
 /// service's usual counts if the request does not state them.
-pub(crate) fn token_counts(rq: &Proxied) -> (u32, u32) {
+pub(crate) fn token_counts(rq: &ProxiedRequest) -> (u32, u32) {
     let usual = || rq.engine().map_or((0, 0), |e| e.usual_tokens);
     rq.tokens.unwrap_or_else(usual)
 }
 
 /// Returns the number of tokens that a request occupies in a chain.
-pub(crate) fn tokens(rq: &Proxied) -> f64 {
+pub(crate) fn tokens(rq: &ProxiedRequest) -> f64 {
     let (prompt, answer) = token_counts(rq);
     chain_selection::demand(prompt, answer)
 }
 
 /// Returns the time until which a request waits for room.
-pub(crate) fn until(node: &Node, rq: &Proxied, send_record: SendRecord) -> Millis {
+pub(crate) fn until(node: &Node, rq: &ProxiedRequest, send_record: SendRecord) -> Millis {
     let wait = (rq.objective_ms as f64 * QUEUE_TIME_FRACTION) as Millis;
     let from = if send_record.may_have_run() {
         node.now()
@@ -57,7 +57,7 @@
 /// Waits for room in one of the chains that the request may take.
 pub(crate) async fn wait(
     node: &Rc<Node>,
-    rq: &Proxied,
+    rq: &ProxiedRequest,
     may_take: impl Fn(&LiveChain) -> bool,
     until: Millis,
 ) -> Result<Rc<LiveChain>, Cause> {
@@ -90,7 +90,7 @@
 
 /// Returns the queue rank of a new request: its priority, behind interrupted streams, which have
 /// rank 0.
-fn queue_rank(rq: &Proxied) -> u32 {
+fn queue_rank(rq: &ProxiedRequest) -> u32 {
     rq.priority.saturating_add(1)
 }
 
--- a/plugins/relay/src/breaks.rs
+++ b/plugins/relay/src/breaks.rs
@@ -7,7 +7,7 @@
 use jacinthweir_policy::relay::quarantine::{BrokenRun, LifetimeState, SURVIVED_MS};
 
 use crate::node::Node;
-use crate::request::Proxied;
+use crate::request::ProxiedRequest;
 use crate::{probe, quarantine};
 
 /// Progress of a run when it was interrupted.
@@ -30,7 +30,7 @@
 
 /// An interrupted run.
 pub(crate) struct InterruptedRun<'a> {
-    pub(crate) rq: &'a Proxied,
+    pub(crate) rq: &'a ProxiedRequest,
     /// Lifetimes of the runners along the chain, in order.
     pub(crate) lifetimes: Vec<Lifetime>,
     pub(crate) sent_ms: Millis,
--- a/plugins/relay/src/call.rs
+++ b/plugins/relay/src/call.rs
@@ -21,7 +21,7 @@
 use crate::node::Node;
 use crate::probe;
 use crate::quarantine;
-use crate::request::{Proxied, count_outcome};
+use crate::request::{ProxiedRequest, count_outcome};
 
 /// Maximum answer size, in bytes: the answer is buffered in memory.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
@@ -58,7 +58,7 @@
 }
 
 /// Serves a call.
-pub(crate) async fn serve(node: &Rc<Node>, rq: Proxied) -> Response<RelayBody> {
+pub(crate) async fn serve(node: &Rc<Node>, rq: ProxiedRequest) -> Response<RelayBody> {
     node.count_request(&rq.service);
     let mut send_record = SendRecord::default();
     let mut tried: Vec<Name> = Vec::new();
@@ -121,7 +121,7 @@
     }
 }
 
-fn next_runner(node: &Node, rq: &Proxied, tried: &[Name]) -> Option<RunnerEntry> {
+fn next_runner(node: &Node, rq: &ProxiedRequest, tried: &[Name]) -> Option<RunnerEntry> {
     let now = node.now();
     let runners = node.runners.borrow();
     let domain = &node.settings.failure_domain;
@@ -132,7 +132,7 @@
 
 async fn attempt(
     node: &Rc<Node>,
-    rq: &Proxied,
+    rq: &ProxiedRequest,
     runner: &RunnerEntry,
     repeatable: bool,
 ) -> CallOutcome {
@@ -189,7 +189,7 @@
 
 fn handle_unanswered(
     node: &Rc<Node>,
-    rq: &Proxied,
+    rq: &ProxiedRequest,
     runner: &RunnerEntry,
     sent: SendOutcome,
     sent_ms: Millis,
@@ -245,7 +245,7 @@
     out
 }
 
-fn log_attempt(rq: &Proxied, runner: &RunnerEntry, outcome: &str, cause: &str) {
+fn log_attempt(rq: &ProxiedRequest, runner: &RunnerEntry, outcome: &str, cause: &str) {
     log::info!(
         request = rq.id.as_ref(),
         runner = runner.id.as_ref(),
@@ -255,7 +255,13 @@
     );
 }
 
-fn log_end(node: &Node, rq: &Proxied, runner: &RunnerEntry, outcome: &'static str, status: u16) {
+fn log_end(
+    node: &Node,
+    rq: &ProxiedRequest,
+    runner: &RunnerEntry,
+    outcome: &'static str,
+    status: u16,
+) {
     let after_ms = node.now() - rq.received_ms;
     count_outcome(outcome);
     metrics::histogram!("jacinthweir_call_seconds").record(after_ms as f64 / 1e3);
--- a/plugins/relay/src/events.rs
+++ b/plugins/relay/src/events.rs
@@ -31,24 +31,24 @@
 
 /// Splits a byte stream into complete events.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventSplitter {
     buffer: BytesMut,
     /// Length of the prefix of the buffer that contains no end of an event.
     searched: usize,
     last: Option<u64>,
     count: u64,
-    /// Whether the next event must follow [`Events::last`], because the run resumes a stream.
+    /// Whether the next event must follow [`EventSplitter::last`], because the run resumes a stream.
     resumed: bool,
 }
 
-impl Events {
+impl EventSplitter {
     /// Returns a splitter for a stream that follows event `last`, which the caller already has.
     #[must_use]
-    pub fn after(last: Option<u64>) -> Events {
-        Events {
+    pub fn after(last: Option<u64>) -> EventSplitter {
+        EventSplitter {
             last,
             resumed: last.is_some(),
-            ..Events::default()
+            ..EventSplitter::default()
         }
     }
 
@@ -66,7 +66,7 @@
 
     /// Returns whether a partial event is buffered.
     #[must_use]
-    pub fn holds_part(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
--- a/plugins/relay/src/lib.rs
+++ b/plugins/relay/src/lib.rs
@@ -51,7 +51,7 @@
 mod tried;
 mod watch;
 
-pub use events::{EventError, Events};
+pub use events::{EventError, EventSplitter};
 pub use jacinthweir_policy::drain::DrainOutcome;
 pub use settings::RelaySettings;
 
--- a/plugins/relay/src/live.rs
+++ b/plugins/relay/src/live.rs
@@ -16,7 +16,7 @@
 use crate::limits;
 use crate::node::Node;
 use crate::quarantine;
-use crate::request::Proxied;
+use crate::request::ProxiedRequest;
 
 /// A chain in use.
 pub(crate) struct LiveChain {
@@ -228,7 +228,7 @@
     /// The chain for a request below `fill`, of those that it may take.
     pub(crate) fn choose_chain(
         &self,
-        rq: &Proxied,
+        rq: &ProxiedRequest,
         fill: f64,
         may_take: impl Fn(&LiveChain) -> bool,
     ) -> Option<Rc<LiveChain>> {
@@ -258,7 +258,7 @@
                 used_tokens: occupancy.used_tokens(&l.chain),
                 silent_ms: l.silence.borrow().silent_ms(now),
                 backing_off: l.refusals.borrow().is_backing_off(now),
-                gap_share: l.gaps.borrow().expected_ms(now) / rq.pause_ms.max(1) as f64,
+                gap_share: l.gaps.borrow().expected_ms(now) / rq.max_gap_ms.max(1) as f64,
             });
         }
         let deciders = self.instances();
--- a/plugins/relay/src/news.rs
+++ b/plugins/relay/src/news.rs
@@ -181,12 +181,12 @@
 /// Takes in what another instance tells.
 pub(crate) fn take(node: &Rc<Node>, news: &News) {
     news.seen.take(node);
-    probe::hear_words(node, &news.dead);
+    probe::receive_failure_reports(node, &news.dead);
     quarantine::hear(node, &news.cases);
     limits::hear(node, &news.limits);
     let mut changed = false;
     for (id, born_ms) in &news.alive {
-        changed |= probe::hear_alive(node, id, *born_ms, &news.domain);
+        changed |= probe::receive_recovery(node, id, *born_ms, &news.domain);
     }
     for pace in &news.paces {
         changed |= take_pace(node, pace);
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -96,7 +96,7 @@
 
     fn take(&self, node: &Rc<Node>) {
         self.seen.take(node);
-        probe::hear_words(node, &self.dead);
+        probe::receive_failure_reports(node, &self.dead);
         quarantine::hear(node, &self.cases);
         limits::hear(node, &self.limits);
     }
--- a/plugins/relay/src/probe.rs
+++ b/plugins/relay/src/probe.rs
@@ -298,7 +298,7 @@
 
 /// Merges failure reports of other instances. A single reporter is not enough: it may be unable to
 /// reach anyone, and the cause of the silence there may make the runner silent here as well.
-pub(crate) fn hear_words(node: &Rc<Node>, reports: &[FailureReport]) {
+pub(crate) fn receive_failure_reports(node: &Rc<Node>, reports: &[FailureReport]) {
     let mut is_new = false;
     for report in reports {
         if is_presumed_alive(node, &report.runner, report.born_ms) {
@@ -380,7 +380,7 @@
 /// marked as recovered. An instance that accepted the failure reports of others also accepts the
 /// recovery from its own failure domain. One that found the runner dead itself may be the only one
 /// cut off, so it probes.
-pub(crate) fn hear_alive(node: &Node, id: &Name, born_ms: u64, domain: &str) -> bool {
+pub(crate) fn receive_recovery(node: &Node, id: &Name, born_ms: u64, domain: &str) -> bool {
     let near = *domain == *node.settings.failure_domain;
     let now = node.now();
     let mut runners = node.runners.borrow_mut();
--- a/plugins/relay/src/quarantine.rs
+++ b/plugins/relay/src/quarantine.rs
@@ -18,7 +18,7 @@
 
 use crate::node::Node;
 use crate::peers;
-use crate::request::Proxied;
+use crate::request::ProxiedRequest;
 use crate::watch::count_call;
 
 /// Kind of the objects that say which requests are held. Each is named by its request's fingerprint.
@@ -47,7 +47,7 @@
 /// Period of looking whether it is known by now.
 const DECISION_LOOK: Duration = Duration::from_millis(20);
 
-fn verdict(node: &Node, rq: &Proxied) -> Verdict {
+fn verdict(node: &Node, rq: &ProxiedRequest) -> Verdict {
     let quarantine = node.quarantine.borrow();
     match quarantine.is_idle() {
         true => Verdict::Allowed,
@@ -57,7 +57,7 @@
 
 /// How long a request is not to be sent to any runner, in milliseconds; `None` if it may be. What is not
 /// known yet is waited for until the time `until`.
-pub(crate) async fn held_ms(node: &Node, rq: &Proxied, until: Millis) -> Option<Millis> {
+pub(crate) async fn held_ms(node: &Node, rq: &ProxiedRequest, until: Millis) -> Option<Millis> {
     loop {
         match verdict(node, rq) {
             Verdict::Allowed => return None,
@@ -69,7 +69,7 @@
 }
 
 /// A run of a request came to its end, or went on for long enough.
-pub(crate) fn survived(node: &Node, rq: &Proxied) {
+pub(crate) fn survived(node: &Node, rq: &ProxiedRequest) {
     let mut quarantine = node.quarantine.borrow_mut();
     if !quarantine.is_idle() && quarantine.record_survival(rq.fingerprint(), node.now()) {
         log::info!(request = rq.id.as_ref(), fingerprint:% = rq.fingerprint(); "strikes are void");
--- a/plugins/relay/src/request.rs
+++ b/plugins/relay/src/request.rs
@@ -33,7 +33,7 @@
 const UNCONFIRMED_RETRY_MS: Millis = 400;
 
 /// An admitted request.
-pub(crate) struct Proxied {
+pub(crate) struct ProxiedRequest {
     pub(crate) id: Name,
     pub(crate) route: Name,
     pub(crate) service: Name,
@@ -43,7 +43,7 @@
     pub(crate) objective_ms: Millis,
     /// Longest gap between two events of a stream that is still in time for the caller, in
     /// milliseconds.
-    pub(crate) pause_ms: Millis,
+    pub(crate) max_gap_ms: Millis,
     /// Time without an event after which the caller abandons the request, in milliseconds.
     pub(crate) abandon_after_ms: Millis,
     /// The earlier of the caller's deadline and the route's timeout.
@@ -61,7 +61,7 @@
     body: Bytes,
 }
 
-impl Proxied {
+impl ProxiedRequest {
     /// Returns the engine of the service if its runners hold layers.
     pub(crate) fn engine(&self) -> Option<&Engine> {
         let service = self.intent.services.get(&self.service)?;
@@ -153,7 +153,7 @@
     parts: Parts,
     body: Incoming,
     received_ms: Millis,
-) -> Result<Proxied, Response<RelayBody>> {
+) -> Result<ProxiedRequest, Response<RelayBody>> {
     let id = header::text(&parts.headers, &header::REQUEST_ID).unwrap_or("-");
     let id = Name::from(id);
     wait_for_configuration(node).await;
@@ -194,14 +194,14 @@
         .and_then(|o| o.priority)
         .unwrap_or(route.priority);
     headers.insert(header::PRIORITY, priority.min(LOWEST_PRIORITY).into());
-    Ok(Proxied {
+    Ok(ProxiedRequest {
         id,
         route: route.name.clone(),
         service,
         class: route.class,
         received_ms,
         objective_ms: route.objective_ms,
-        pause_ms: route.max_gap_ms(),
+        max_gap_ms: route.max_gap_ms(),
         abandon_after_ms: route.abandon_after_ms(),
         deadline_ms: received_ms + time_limit_ms(&parts.headers, &route),
         max_attempts: route.max_attempts,
--- a/plugins/relay/src/stream.rs
+++ b/plugins/relay/src/stream.rs
@@ -20,11 +20,11 @@
 use crate::admit::{self, QueuePosition};
 use crate::answer::{Cause, RelayBody, SendRecord, StreamCut};
 use crate::breaks::{self, InterruptedRun, Progress};
-use crate::events::Events;
+use crate::events::EventSplitter;
 use crate::live::{LiveChain, Passage};
 use crate::node::Node;
 use crate::quarantine;
-use crate::request::{Proxied, count_outcome};
+use crate::request::{ProxiedRequest, count_outcome};
 use crate::tried::{AttemptOutcome, ChainAttempts};
 
 /// Fraction of the caller's abandonment time, counted from the last event, within which a run must
@@ -48,7 +48,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Serves a request through a chain of runners.
-pub(crate) async fn serve(node: &Rc<Node>, rq: Proxied) -> Response<RelayBody> {
+pub(crate) async fn serve(node: &Rc<Node>, rq: ProxiedRequest) -> Response<RelayBody> {
     node.count_request(&rq.service);
     let mut attempts = ChainAttempts::default();
     let cause = loop {
@@ -87,7 +87,12 @@
     refuse(node, &rq, attempts.send_record, cause)
 }
 
-fn refuse(node: &Node, rq: &Proxied, send_record: SendRecord, cause: Cause) -> Response<RelayBody> {
+fn refuse(
+    node: &Node,
+    rq: &ProxiedRequest,
+    send_record: SendRecord,
+    cause: Cause,
+) -> Response<RelayBody> {
     let retry_after_ms = node
         .shortage
         .borrow_mut()
@@ -98,7 +103,7 @@
 /// Forwards a runner's answer to the caller.
 fn forward(
     node: &Rc<Node>,
-    rq: Proxied,
+    rq: ProxiedRequest,
     passage: Passage,
     res: Response<AnswerBody>,
     attempts: ChainAttempts,
@@ -109,7 +114,7 @@
     metrics::histogram!("jacinthweir_first_event_seconds")
         .record((now - rq.received_ms) as f64 / 1e3);
     let forwarded = ForwardedStream {
-        events: Events::after(rq.last_event),
+        events: EventSplitter::after(rq.last_event),
         ok: parts.status.is_success(),
         last_received_ms: now,
         first_head_ms: now,
@@ -136,10 +141,10 @@
 /// A stream that is forwarded to a caller, across all runs that contribute to it.
 struct ForwardedStream {
     node: Rc<Node>,
-    rq: Proxied,
+    rq: ProxiedRequest,
     passage: Option<Passage>,
     body: Option<AnswerBody>,
-    events: Events,
+    events: EventSplitter,
     /// Whether the answer is a success: only then does its body consist of events.
     ok: bool,
     last_received_ms: Millis,
@@ -203,7 +208,9 @@
                         Err(e) => return self.cut(e.to_string(), None),
                     }
                 }
-                ReadOutcome::End if !(self.ok && self.events.holds_part()) => return self.finish(),
+                ReadOutcome::End if !(self.ok && self.events.has_partial_event()) => {
+                    return self.finish();
+                }
                 ReadOutcome::End => {
                     let cause = "ended within an event".to_owned();
                     self.record_interruption(&cause);
@@ -304,7 +311,7 @@
         }
         let broken = Rc::clone(&self.passage.as_ref()?.live);
         let in_time =
-            self.last_received_ms + self.rq.pause_ms.saturating_sub(RESUME_FIRST_EVENT_MS);
+            self.last_received_ms + self.rq.max_gap_ms.saturating_sub(RESUME_FIRST_EVENT_MS);
         let until = self.last_received_ms + self.abandon_fraction_ms(REROUTE_FRACTION);
         while self.node.now() < until && self.node.has_head(&broken) {
             // Without a retry another chain is of no use, so the run waits for the lost layers.
@@ -371,7 +378,7 @@
         }
         self.events.resume();
         let until = self.last_received_ms + self.abandon_fraction_ms(RESUME_FRACTION);
-        let in_time = self.last_received_ms + self.rq.pause_ms;
+        let in_time = self.last_received_ms + self.rq.max_gap_ms;
         let mut position = Some(QueuePosition::ahead_of_new_requests(&self.node));
         let mut failure = ResumeFailure::NoChain;
         while self.node.now() < until {
--- a/plugins/relay/src/tried.rs
+++ b/plugins/relay/src/tried.rs
@@ -18,7 +18,7 @@
 use crate::node::Node;
 use crate::probe;
 use crate::quarantine::along;
-use crate::request::Proxied;
+use crate::request::ProxiedRequest;
 
 /// Outcome of an attempt on a chain.
 pub(crate) enum AttemptOutcome {
@@ -47,7 +47,7 @@
 
 impl ChainAttempts {
     /// Returns whether the request may be sent through a chain.
-    pub(crate) fn may_take(&self, node: &Node, rq: &Proxied, live: &LiveChain) -> bool {
+    pub(crate) fn may_take(&self, node: &Node, rq: &ProxiedRequest, live: &LiveChain) -> bool {
         let is_excluded = self
             .excluded
             .iter()
@@ -63,7 +63,7 @@
     }
 
     /// Returns whether no further send of the request is allowed on any chain.
-    pub(crate) fn is_exhausted(&self, rq: &Proxied) -> bool {
+    pub(crate) fn is_exhausted(&self, rq: &ProxiedRequest) -> bool {
         self.attempts.is_exhausted(rq.max_attempts)
     }
 
@@ -71,7 +71,7 @@
     pub(crate) async fn attempt(
         &mut self,
         node: &Rc<Node>,
-        rq: &Proxied,
+        rq: &ProxiedRequest,
         live: &Rc<LiveChain>,
         after: Option<u64>,
     ) -> AttemptOutcome {
@@ -100,7 +100,7 @@
 /// Sends a request through a chain and waits for the head of the answer.
 async fn send(
     node: &Rc<Node>,
-    rq: &Proxied,
+    rq: &ProxiedRequest,
     live: &Rc<LiveChain>,
     after: Option<u64>,
 ) -> AttemptOutcome {
@@ -156,7 +156,7 @@
 }
 
 /// Records the interruption of a run of which nothing had arrived.
-fn record_interruption(node: &Rc<Node>, rq: &Proxied, passage: &Passage, cause: &str) {
+fn record_interruption(node: &Rc<Node>, rq: &ProxiedRequest, passage: &Passage, cause: &str) {
     let interrupted_run = InterruptedRun {
         rq,
         lifetimes: along(&passage.live.chain),
@@ -168,7 +168,7 @@
 }
 
 /// Logs a send, with the values that the choice of the chain was based on.
-fn log_sent(node: &Node, rq: &Proxied, live: &LiveChain) {
+fn log_sent(node: &Node, rq: &ProxiedRequest, live: &LiveChain) {
     log::info!(
         request = rq.id.as_ref(),
         route = rq.route.as_ref(),
@@ -199,7 +199,7 @@
     node.rebuild_chains();
 }
 
-fn log_attempt(rq: &Proxied, live: &LiveChain, outcome: &str, cause: &str) {
+fn log_attempt(rq: &ProxiedRequest, live: &LiveChain, outcome: &str, cause: &str) {
     log::info!(
         request = rq.id.as_ref(),
         chain = live.label(),
--- a/plugins/relay/tests/events.rs
+++ b/plugins/relay/tests/events.rs
@@ -2,36 +2,36 @@
 
 use bytes::Bytes;
 use googletest::prelude::*;
-use jacinthweir_relay::{EventError, Events};
+use jacinthweir_relay::{EventError, EventSplitter};
 use proptest::prelude::{Strategy, any, prop_assert, prop_assert_eq, proptest};
 
 fn event(id: u64, data: &str) -> String {
     format!("id: {id}\ndata: {data}\n\n")
 }
 
-fn push(events: &mut Events, text: &str) -> std::result::Result<String, EventError> {
+fn push(events: &mut EventSplitter, text: &str) -> std::result::Result<String, EventError> {
     let whole = events.push(&Bytes::copy_from_slice(text.as_bytes()))?;
     Ok(String::from_utf8_lossy(&whole).into_owned())
 }
 
 #[gtest]
 fn part_of_an_event_is_held_back() {
-    let mut events = Events::after(None);
+    let mut events = EventSplitter::after(None);
     expect_that!(push(&mut events, "id: 1\nda"), ok(eq("")));
-    expect_true!(events.holds_part());
+    expect_true!(events.has_partial_event());
     expect_that!(
         push(&mut events, "ta: x\n\nid: 2"),
         ok(eq("id: 1\ndata: x\n\n"))
     );
     expect_that!(events.last(), some(eq(1)));
-    expect_true!(events.holds_part());
+    expect_true!(events.has_partial_event());
 }
 
 /// The runner died within event 3; the run that goes on sends it from its start, and sends one
 /// more than the caller lacks. The caller sees each event once.
 #[gtest]
 fn a_resumed_run_follows_the_last_whole_event() {
-    let mut events = Events::after(None);
+    let mut events = EventSplitter::after(None);
     let first = format!("{}{}id: 3\nda", event(1, "a"), event(2, "b"));
     expect_that!(push(&mut events, &first), ok(anything()));
     events.resume();
@@ -43,7 +43,7 @@
 
 #[gtest]
 fn an_event_without_end_is_not_held_for_ever() {
-    let mut events = Events::after(None);
+    let mut events = EventSplitter::after(None);
     let long = "x".repeat(100 << 10);
     expect_that!(push(&mut events, &long), ok(eq("")));
     expect_that!(push(&mut events, &long), ok(eq("")));
@@ -64,7 +64,7 @@
         for (i, data) in data.iter().enumerate() {
             text.push_str(&event(i as u64 + 1, data));
         }
-        let mut events = Events::after(None);
+        let mut events = EventSplitter::after(None);
         let mut out = String::new();
         let mut rest = text.as_str();
         for cut in cuts.iter().cycle() {
@@ -78,14 +78,14 @@
             rest = tail;
         }
         prop_assert_eq!(out, text);
-        prop_assert!(!events.holds_part());
+        prop_assert!(!events.has_partial_event());
         prop_assert_eq!(events.last(), Some(data.len() as u64));
     }
 
     /// Bytes of any kind break nothing.
     #[test]
     fn any_bytes_are_taken(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-        let mut events = Events::after(Some(3));
+        let mut events = EventSplitter::after(Some(3));
         let _ = events.push(&Bytes::from(bytes));
     }
 }
