--- a/plugins/relay/src/call.rs
+++ b/plugins/relay/src/call.rs
@@ -13,13 +13,13 @@
 use jacinthweir_policy::relay::runners::RunnerEntry;
 use tokio::time::timeout;
 
-use crate::admit;
+use crate::admission;
 use crate::answer::{Cause, RelayBody, SendRecord};
 use crate::attempt::{self, SendOutcome};
-use crate::breaks::{self, InterruptedRun, Progress};
+use crate::failure_detector;
+use crate::interrupted_run::{self, InterruptedRun, Progress};
 use crate::limits;
 use crate::node::Node;
-use crate::probe;
 use crate::quarantine;
 use crate::request::{ProxiedRequest, count_outcome};
 
@@ -66,7 +66,7 @@
     let mut cause = Cause::NoRunner;
     let mut unreached = 0;
     loop {
-        let until = admit::until(node, &rq, send_record);
+        let until = admission::until(node, &rq, send_record);
         if let Some(held_ms) = quarantine::held_ms(node, &rq, until).await {
             return rq.unanswered_response(node, send_record, Cause::Quarantined, held_ms);
         }
@@ -207,7 +207,7 @@
         SendOutcome::Unreached(e) => {
             log_attempt(rq, runner, "not reached", &e.to_string());
             avoid_for(node, runner, UNREACHED_AVOID_MS);
-            probe::connection_failed(node, runner, &e);
+            failure_detector::connection_failed(node, runner, &e);
             CallOutcome::Unreached
         }
         SendOutcome::Lost(cause) => {
@@ -219,7 +219,7 @@
                 progress: Progress::NothingReceived,
                 cause: &cause,
             };
-            breaks::record(node, interrupted_run);
+            interrupted_run::record(node, interrupted_run);
             node.runners
                 .borrow_mut()
                 .record_outcome(&runner.id, true, node.now());
--- a/plugins/relay/src/tried.rs
+++ b/plugins/relay/src/chain_attempts.rs
@@ -10,13 +10,13 @@
 use jacinthweir_policy::relay::attempts::Attempts;
 use tokio::time::timeout;
 
-use crate::admit;
+use crate::admission;
 use crate::answer::SendRecord;
 use crate::attempt::{self, SendOutcome};
-use crate::breaks::{self, InterruptedRun, Progress};
+use crate::failure_detector;
+use crate::interrupted_run::{self, InterruptedRun, Progress};
 use crate::live::{LiveChain, Passage};
 use crate::node::Node;
-use crate::probe;
 use crate::quarantine::along;
 use crate::request::ProxiedRequest;
 
@@ -104,7 +104,7 @@
     live: &Rc<LiveChain>,
     after: Option<u64>,
 ) -> AttemptOutcome {
-    let passage = Passage::open(node, Rc::clone(live), admit::tokens(rq));
+    let passage = Passage::open(node, Rc::clone(live), admission::tokens(rq));
     let head = live.chain.head();
     let mut req = rq.runner_request(node, &head.id);
     if let Some(value) = header::value(&header::chain(&live.chain)) {
@@ -140,7 +140,7 @@
         }
         Ok(SendOutcome::Unreached(e)) => {
             log_attempt(rq, live, "not reached", &e.to_string());
-            probe::connection_failed(node, head, &e);
+            failure_detector::connection_failed(node, head, &e);
             AttemptOutcome::Unreached
         }
         Ok(SendOutcome::Lost(cause)) => {
@@ -164,7 +164,7 @@
         progress: Progress::NothingReceived,
         cause,
     };
-    breaks::record(node, interrupted_run);
+    interrupted_run::record(node, interrupted_run);
 }
 
 /// Logs a send, with the values that the choice of the chain was based on.
@@ -175,7 +175,7 @@
         version = rq.version(),
         chain = live.label(),
         runner = live.chain.head().id.as_ref(),
-        tokens = admit::tokens(rq) as u64,
+        tokens = admission::tokens(rq) as u64,
         used = live.used_tokens() as u64,
         room = live.chain.room_tokens as u64,
         after_ms = node.now() - rq.received_ms;
--- a/plugins/relay/src/probe.rs
+++ b/plugins/relay/src/failure_detector.rs
@@ -19,7 +19,7 @@
 use crate::live::LiveChain;
 use crate::node::Node;
 use crate::peers;
-use crate::question::{self, MAX_PROBES, ProbeResult, ProbeTarget, Suspect};
+use crate::runner_probe::{self, MAX_PROBES, ProbeResult, ProbeTarget, Suspect};
 
 /// Minimum time between two checks for silent chains, in milliseconds. With checks every few
 /// milliseconds an instance spends more time on them than on its callers' events.
@@ -103,7 +103,7 @@
     let mut open: FuturesUnordered<_> = stages
         .map(|s| {
             let target = ProbeTarget::of(&node, &s.runner);
-            async move { (&s.runner, question::probe(target, MAX_PROBES).await) }
+            async move { (&s.runner, runner_probe::probe(target, MAX_PROBES).await) }
         })
         .collect();
     let mut round = ProbeRound::new(open.len());
@@ -175,7 +175,7 @@
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
         let Suspect { id, born_ms, .. } = &suspect;
-        match question::probe(suspect.target, 1).await {
+        match runner_probe::probe(suspect.target, 1).await {
             ProbeResult::Report(report) => process_report(&node, id, *born_ms, &report),
             ProbeResult::Listening => record_answer(&node, id, *born_ms),
             ProbeResult::Refused => report_dead(&node, id, *born_ms, REFUSED_EVIDENCE),
@@ -193,7 +193,7 @@
     }
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
-        question::examine(Rc::clone(&node), suspect, silent_rounds).await;
+        runner_probe::examine(Rc::clone(&node), suspect, silent_rounds).await;
         node.examined.borrow_mut().remove(&lifetime);
     });
 }
@@ -431,7 +431,7 @@
         sleep(RECOVERY_INTERVAL).await;
         apply_failure_reports(node);
         let suspects = due_recovery_probes(node);
-        let found = join_all(suspects.iter().map(|s| question::probe(s.target, 1))).await;
+        let found = join_all(suspects.iter().map(|s| runner_probe::probe(s.target, 1))).await;
         let mut changed = false;
         for (Suspect { id, born_ms, .. }, found) in suspects.iter().zip(found) {
             match found {
--- a/plugins/relay/src/breaks.rs
+++ b/plugins/relay/src/interrupted_run.rs
@@ -8,7 +8,7 @@
 
 use crate::node::Node;
 use crate::request::ProxiedRequest;
-use crate::{probe, quarantine};
+use crate::{failure_detector, quarantine};
 
 /// Progress of a run when it was interrupted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -85,6 +85,6 @@
             .any(|l| runners.lifetime_state(l) == LifetimeState::Ended)
     };
     if let Some(first) = lifetimes.first().filter(|_| !is_explained) {
-        probe::connection_lost(node, &first.runner, first.born_ms);
+        failure_detector::connection_lost(node, &first.runner, first.born_ms);
     }
 }
--- a/plugins/relay/src/lib.rs
+++ b/plugins/relay/src/lib.rs
@@ -13,13 +13,13 @@
 //! | `watch` | follows the store: configuration and runners |
 //! | `peers` | exchanges with other instances |
 //! | `placer` | the lease, and orders to runners |
-//! | `probe` | asks the parts of a silent chain |
+//! | `failure_detector` | asks the parts of a silent chain |
 //! | `server` | listeners |
 //! | `request` | what a request is, and whose |
 //! | `attempt` | one send to a runner |
-//! | `breaks`, `quarantine` | runs that broke off; requests that end their runners |
+//! | `interrupted_run`, `quarantine` | runs that broke off; requests that end their runners |
 //! | `call` | requests with one answer |
-//! | `admit`, `tried`, `stream`, `events` | streams of events: room, attempts, the answer, its events |
+//! | `admission`, `chain_attempts`, `stream`, `events` | streams of events: room, attempts, the answer, its events |
 //! | `limits` | rates that runners name |
 //! | `answer` | final answers, and what may be said in them |
 //! | `shutdown` | from the signal to the exit |
@@ -27,28 +27,28 @@
 //! The runtime has one thread, so shared state needs no locks: a [`std::cell::RefCell`] is
 //! borrowed for one decision and never across an await point.
 
-mod admit;
+mod admission;
 mod answer;
 mod attempt;
-mod breaks;
 mod call;
+mod chain_attempts;
 mod dump;
 mod events;
+mod failure_detector;
+mod interrupted_run;
 mod limits;
 mod live;
 pub mod news;
 mod node;
 mod peers;
 mod placer;
-mod probe;
 mod quarantine;
-mod question;
 mod request;
+mod runner_probe;
 mod server;
 pub mod settings;
 mod shutdown;
 mod stream;
-mod tried;
 mod watch;
 
 pub use events::{EventError, EventSplitter};
@@ -98,7 +98,7 @@
         peers::spawn(&node);
         news::spawn(&node);
         placer::spawn(&node);
-        probe::spawn(&node);
+        failure_detector::spawn(&node);
         quarantine::spawn(&node);
         Ok(Relay { node, servers })
     }
--- a/plugins/relay/src/live.rs
+++ b/plugins/relay/src/live.rs
@@ -12,7 +12,7 @@
 use jacinthweir_policy::relay::silence::{EventGaps, SilenceDetector};
 use tokio_util::sync::CancellationToken;
 
-use crate::admit;
+use crate::admission;
 use crate::limits;
 use crate::node::Node;
 use crate::quarantine;
@@ -233,7 +233,7 @@
         may_take: impl Fn(&LiveChain) -> bool,
     ) -> Option<Rc<LiveChain>> {
         let service = &rq.service;
-        let tokens = admit::tokens(rq);
+        let tokens = admission::tokens(rq);
         let now = self.now();
         let chains = self.chains.borrow();
         let live = chains.of(service);
--- a/plugins/relay/src/news.rs
+++ b/plugins/relay/src/news.rs
@@ -19,10 +19,10 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
 
+use crate::failure_detector;
 use crate::limits;
 use crate::node::Node;
 use crate::peers::{ANSWER, Message, post};
-use crate::probe;
 use crate::quarantine;
 use crate::watch;
 
@@ -181,12 +181,12 @@
 /// Takes in what another instance tells.
 pub(crate) fn take(node: &Rc<Node>, news: &News) {
     news.seen.take(node);
-    probe::receive_failure_reports(node, &news.dead);
+    failure_detector::receive_failure_reports(node, &news.dead);
     quarantine::hear(node, &news.cases);
     limits::hear(node, &news.limits);
     let mut changed = false;
     for (id, born_ms) in &news.alive {
-        changed |= probe::receive_recovery(node, id, *born_ms, &news.domain);
+        changed |= failure_detector::receive_recovery(node, id, *born_ms, &news.domain);
     }
     for pace in &news.paces {
         changed |= take_pace(node, pace);
@@ -205,5 +205,5 @@
         entry.is_some_and(|e| e.born_ms == heard.born_ms)
     };
     let at_ms = node.now().saturating_sub(heard.age_ms);
-    same && probe::set_pace(node, &heard.runner, heard.pace, at_ms)
+    same && failure_detector::set_pace(node, &heard.runner, heard.pace, at_ms)
 }
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -29,7 +29,7 @@
 
 use crate::news::{self, News, Seen};
 use crate::node::{Node, ROUND_MS};
-use crate::{limits, probe, quarantine, watch};
+use crate::{failure_detector, limits, quarantine, watch};
 
 /// Where instances post their messages.
 pub(crate) const PATH: &str = "/peer";
@@ -96,7 +96,7 @@
 
     fn take(&self, node: &Rc<Node>) {
         self.seen.take(node);
-        probe::receive_failure_reports(node, &self.dead);
+        failure_detector::receive_failure_reports(node, &self.dead);
         quarantine::hear(node, &self.cases);
         limits::hear(node, &self.limits);
     }
--- a/plugins/relay/src/question.rs
+++ b/plugins/relay/src/runner_probe.rs
@@ -21,8 +21,8 @@
 use rand::seq::IteratorRandom;
 use tokio::time::{sleep, timeout};
 
+use crate::failure_detector;
 use crate::node::Node;
-use crate::probe as detector;
 
 /// Time limits of a probe. A live runner accepts a connection within two round trips of at most a
 /// millisecond each, however slow it is. One that runs at a tenth of its pace takes ten times as
@@ -219,11 +219,18 @@
         let passed = node.now() - began;
         let (cause, pause) = match found {
             ProbeResult::Report(report) => {
-                return detector::process_report(&node, &s.id, s.born_ms, &report);
+                return failure_detector::process_report(&node, &s.id, s.born_ms, &report);
+            }
+            ProbeResult::Listening => {
+                return failure_detector::record_answer(&node, &s.id, s.born_ms);
             }
-            ProbeResult::Listening => return detector::record_answer(&node, &s.id, s.born_ms),
             ProbeResult::Refused => {
-                return detector::report_dead(&node, &s.id, s.born_ms, detector::REFUSED_EVIDENCE);
+                return failure_detector::report_dead(
+                    &node,
+                    &s.id,
+                    s.born_ms,
+                    failure_detector::REFUSED_EVIDENCE,
+                );
             }
             ProbeResult::Silent(cause) if is_certain => (Some(cause), 0),
             ProbeResult::NoReport(cause) if is_certain && passed >= NO_REPORT_TIMEOUT_MS => {
@@ -234,7 +241,7 @@
         };
         if let Some(cause) = cause {
             let evidence = format!("{cause}, while witnesses answer");
-            return detector::report_dead(&node, &s.id, s.born_ms, &evidence);
+            return failure_detector::report_dead(&node, &s.id, s.born_ms, &evidence);
         }
         sleep(Duration::from_millis(pause)).await;
     }
--- a/plugins/relay/src/stream.rs
+++ b/plugins/relay/src/stream.rs
@@ -17,15 +17,15 @@
 use jacinthweir_policy::retry_priority::RetryPriority;
 use tokio::time::{sleep, timeout};
 
-use crate::admit::{self, QueuePosition};
+use crate::admission::{self, QueuePosition};
 use crate::answer::{Cause, RelayBody, SendRecord, StreamCut};
-use crate::breaks::{self, InterruptedRun, Progress};
+use crate::chain_attempts::{AttemptOutcome, ChainAttempts};
 use crate::events::EventSplitter;
+use crate::interrupted_run::{self, InterruptedRun, Progress};
 use crate::live::{LiveChain, Passage};
 use crate::node::Node;
 use crate::quarantine;
 use crate::request::{ProxiedRequest, count_outcome};
-use crate::tried::{AttemptOutcome, ChainAttempts};
 
 /// Fraction of the caller's abandonment time, counted from the last event, within which a run must
 /// be resumed. The first event of the new run has to arrive within the rest.
@@ -52,12 +52,12 @@
     node.count_request(&rq.service);
     let mut attempts = ChainAttempts::default();
     let cause = loop {
-        let until = admit::until(node, &rq, attempts.send_record);
+        let until = admission::until(node, &rq, attempts.send_record);
         if let Some(held_ms) = quarantine::held_ms(node, &rq, until).await {
             return rq.unanswered_response(node, attempts.send_record, Cause::Quarantined, held_ms);
         }
         let may_take = |live: &LiveChain| attempts.may_take(node, &rq, live);
-        let live = match admit::wait(node, &rq, may_take, until).await {
+        let live = match admission::wait(node, &rq, may_take, until).await {
             Ok(live) => live,
             Err(cause) => break cause,
         };
@@ -270,7 +270,7 @@
                 progress,
                 cause,
             };
-            breaks::record(&self.node, interrupted_run);
+            interrupted_run::record(&self.node, interrupted_run);
         }
     }
 
@@ -288,7 +288,7 @@
     /// Updates the number of tokens that the request occupies in its chain.
     fn update_tokens(&mut self) {
         let per_event = self.rq.engine().map_or(1, |e| e.event_tokens);
-        let (prompt, _) = admit::token_counts(&self.rq);
+        let (prompt, _) = admission::token_counts(&self.rq);
         let written = self.events.count() * u64::from(per_event);
         if let Some(passage) = &mut self.passage {
             passage.at_least(f64::from(prompt) + written as f64);
