--- a/plugins/relay/src/events.rs
+++ b/plugins/relay/src/events.rs
@@ -37,7 +37,8 @@
     searched: usize,
     last: Option<u64>,
     count: u64,
-    /// Whether the next event must follow [`EventSplitter::last`], because the run resumes a stream.
+    /// Whether the next event must follow [`EventSplitter::last`], because the run resumes a
+    /// stream.
     resumed: bool,
 }
 
--- a/plugins/relay/src/runner_probe.rs
+++ b/plugins/relay/src/runner_probe.rs
@@ -122,7 +122,8 @@
     }
 }
 
-/// Probes a runner up to `max_probes` times. The next probe starts as soon as one fails or takes long.
+/// Probes a runner up to `max_probes` times. The next probe starts as soon as one fails or takes
+/// long.
 pub(crate) async fn probe(target: ProbeTarget, max_probes: usize) -> ProbeResult {
     let mut open = FuturesUnordered::new();
     let mut left = max_probes;
