--- /dev/null
+++ b/plugins/relay/src/chain_attempts.rs
@@ -0,0 +1,211 @@
+//! Attempts of one request on successive chains, and the record of their outcomes.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use http::{Response, StatusCode};
+use jacinthweir_clients::direct::ResponseBody;
+use jacinthweir_platform::header;
+use jacinthweir_policy::prelude::*;
+use jacinthweir_policy::relay::attempts::Attempts;
+use tokio::time::timeout;
+
+use crate::admission;
+use crate::answer::SendRecord;
+use crate::attempt::{self, SendOutcome};
+use crate::failure_detector;
+use crate::interrupted_run::{self, InterruptedRun, Progress};
+use crate::live::{LiveChain, Passage};
+use crate::node::Node;
+use crate::quarantine::along;
+use crate::request::ProxiedRequest;
+
+/// Outcome of an attempt on a chain.
+pub(crate) enum AttemptOutcome {
+    /// The head of an answer arrived.
+    Stream(Passage, Response<ResponseBody>),
+    /// A runner states that it did not run the request.
+    NotRun,
+    /// The connection to the first runner failed.
+    Unreached,
+    /// A stage of the chain was found dead.
+    Broken,
+    /// No valid answer to this request: it may have run.
+    Lost,
+    /// The deadline has passed.
+    Timeout,
+}
+
+/// Record of the attempts of one request.
+#[derive(Default)]
+pub(crate) struct ChainAttempts {
+    pub(crate) send_record: SendRecord,
+    attempts: Attempts,
+    /// Chains that refused the request or broke during it.
+    pub(crate) excluded: Vec<Rc<LiveChain>>,
+}
+
+impl ChainAttempts {
+    /// Returns whether the request may be sent through a chain.
+    pub(crate) fn may_take(&self, node: &Node, rq: &ProxiedRequest, live: &LiveChain) -> bool {
+        let is_excluded = self
+            .excluded
+            .iter()
+            .any(|l| std::ptr::eq(&raw const **l, live));
+        let runners = node.runners.borrow();
+        let ended = |id: &Name, born_ms: u64| {
+            // A runner that does not answer this instance may be alive. Only the end of its store
+            // entry is certain.
+            runners.entry(id).is_none_or(|e| e.born_ms != born_ms)
+        };
+        let (id, born_ms) = live.head();
+        !is_excluded && self.attempts.allows(id, born_ms, rq.max_attempts, ended)
+    }
+
+    /// Returns whether no further send of the request is allowed on any chain.
+    pub(crate) fn is_exhausted(&self, rq: &ProxiedRequest) -> bool {
+        self.attempts.is_exhausted(rq.max_attempts)
+    }
+
+    /// Sends the request through a chain and records the outcome.
+    pub(crate) async fn attempt(
+        &mut self,
+        node: &Rc<Node>,
+        rq: &ProxiedRequest,
+        live: &Rc<LiveChain>,
+        after: Option<u64>,
+    ) -> AttemptOutcome {
+        let (id, born_ms) = live.head();
+        let ran_before = self.attempts.may_have_run(id, born_ms);
+        self.send_record.record_send();
+        self.attempts.record_sent(id, born_ms);
+        let outcome = send(node, rq, live, after).await;
+        match outcome {
+            AttemptOutcome::NotRun | AttemptOutcome::Unreached => {
+                match outcome {
+                    AttemptOutcome::Unreached => self.send_record.record_unreached(),
+                    _ => self.send_record.record_not_run(),
+                }
+                self.attempts.record_not_run(id, born_ms, ran_before);
+                self.excluded.push(Rc::clone(live));
+            }
+            AttemptOutcome::Broken => self.excluded.push(Rc::clone(live)),
+            // A lost answer does not show that the chain is at fault.
+            AttemptOutcome::Lost | AttemptOutcome::Stream(..) | AttemptOutcome::Timeout => {}
+        }
+        outcome
+    }
+}
+
+/// Sends a request through a chain and waits for the head of the answer.
+async fn send(
+    node: &Rc<Node>,
+    rq: &ProxiedRequest,
+    live: &Rc<LiveChain>,
+    after: Option<u64>,
+) -> AttemptOutcome {
+    let passage = Passage::open(node, Rc::clone(live), admission::tokens(rq));
+    let head = live.chain.head();
+    let mut req = rq.runner_request(node, &head.id);
+    if let Some(value) = header::value(&header::chain(&live.chain)) {
+        req.headers_mut().insert(header::CHAIN, value);
+    }
+    if let Some(after) = after {
+        req.headers_mut().insert(header::LAST_EVENT, after.into());
+    }
+    log_sent(node, rq, live);
+    let left = Duration::from_millis(rq.remaining_ms(node));
+    let sent = tokio::select! {
+        sent = timeout(left, attempt::send(node, head, &rq.id, req)) => sent,
+        () = live.broken.cancelled() => {
+            log_attempt(rq, live, "chain broke", "");
+            record_interruption(node, rq, &passage, "chain broke");
+            return AttemptOutcome::Broken;
+        }
+    };
+    match sent {
+        Ok(SendOutcome::Answer(res)) => {
+            live.refusals.borrow_mut().record_accepted(node.now());
+            AttemptOutcome::Stream(passage, res)
+        }
+        Ok(SendOutcome::NotRun { status, at_fault }) => {
+            let at_fault_shown = at_fault.map_or_else(String::new, |a| a.to_string());
+            let cause = format!("{status} at {at_fault_shown}");
+            log_attempt(rq, live, "not run", &cause);
+            live.refusals.borrow_mut().record_refused(node.now());
+            if let Some(address) = at_fault.filter(|_| status == StatusCode::MISDIRECTED_REQUEST) {
+                mark_misreported(node, address);
+            }
+            AttemptOutcome::NotRun
+        }
+        Ok(SendOutcome::Unreached(e)) => {
+            log_attempt(rq, live, "not reached", &e.to_string());
+            failure_detector::connection_failed(node, head, &e);
+            AttemptOutcome::Unreached
+        }
+        Ok(SendOutcome::Lost(cause)) => {
+            log_attempt(rq, live, "lost", &cause);
+            record_interruption(node, rq, &passage, &cause);
+            AttemptOutcome::Lost
+        }
+        Err(_) => {
+            log_attempt(rq, live, "timeout", "");
+            AttemptOutcome::Timeout
+        }
+    }
+}
+
+/// Records the interruption of a run of which nothing had arrived.
+fn record_interruption(node: &Rc<Node>, rq: &ProxiedRequest, passage: &Passage, cause: &str) {
+    let interrupted_run = InterruptedRun {
+        rq,
+        lifetimes: along(&passage.live.chain),
+        sent_ms: passage.sent_ms,
+        progress: Progress::NothingReceived,
+        cause,
+    };
+    interrupted_run::record(node, interrupted_run);
+}
+
+/// Logs a send, with the values that the choice of the chain was based on.
+fn log_sent(node: &Node, rq: &ProxiedRequest, live: &LiveChain) {
+    log::info!(
+        request = rq.id.as_ref(),
+        route = rq.route.as_ref(),
+        version = rq.version(),
+        chain = live.label(),
+        runner = live.chain.head().id.as_ref(),
+        tokens = admission::tokens(rq) as u64,
+        used = live.used_tokens() as u64,
+        room = live.chain.room_tokens as u64,
+        after_ms = node.now() - rq.received_ms;
+        "sent"
+    );
+}
+
+/// Excludes a runner that does not hold the layers in its store entry until the entry changes.
+fn mark_misreported(node: &Node, address: std::net::SocketAddr) {
+    let found = {
+        let runners = node.runners.borrow();
+        runners.at(address).map(|e| (e.id.clone(), e.layers))
+    };
+    let Some((id, layers)) = found else {
+        return;
+    };
+    if let Some(s) = node.runners.borrow_mut().health_mut(&id) {
+        s.misreported = layers;
+    }
+    log::warn!(runner = id.as_ref(), layers:? = layers; "runner does not hold what its entry says");
+    node.rebuild_chains();
+}
+
+fn log_attempt(rq: &ProxiedRequest, live: &LiveChain, outcome: &str, cause: &str) {
+    log::info!(
+        request = rq.id.as_ref(),
+        chain = live.label(),
+        runner = live.chain.head().id.as_ref(),
+        outcome,
+        cause;
+        "attempt"
+    );
+}
--- /dev/null
+++ b/plugins/relay/src/failure_detector.rs
@@ -0,0 +1,463 @@
+//! Failure detector for runners: probes the stages of silent chains, exchanges failure reports with
+//! other instances, and probes dead and slow runners for recovery.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use futures::future::join_all;
+use futures::stream::{FuturesUnordered, StreamExt};
+use jacinthweir_clients::direct::DirectError;
+use jacinthweir_platform::runner::Report;
+use jacinthweir_policy::prelude::*;
+use jacinthweir_policy::relay::failure_reports::{self, Advice, FailureReport};
+use jacinthweir_policy::relay::runners::{PROBE_INTERVAL_MS, RunnerEntry, RunnerHealth};
+use jacinthweir_policy::relay::silence::ProbeRound;
+use jacinthweir_policy::relay::store_watch;
+use tokio::time::sleep;
+
+use crate::live::LiveChain;
+use crate::node::Node;
+use crate::peers;
+use crate::runner_probe::{self, MAX_PROBES, ProbeResult, ProbeTarget, Suspect};
+
+/// Minimum time between two checks for silent chains, in milliseconds. With checks every few
+/// milliseconds an instance spends more time on them than on its callers' events.
+const MIN_CHECK_INTERVAL_MS: Millis = 8;
+
+/// Maximum time between two checks for silent chains, in milliseconds.
+const MAX_CHECK_INTERVAL_MS: Millis = 100;
+
+/// Interval between two rounds of recovery probes.
+const RECOVERY_INTERVAL: Duration = Duration::from_millis(350);
+
+/// Starts the tasks of the failure detector.
+pub(crate) fn spawn(node: &Rc<Node>) {
+    let detecting = Rc::clone(node);
+    tokio::task::spawn_local(async move {
+        let stop = detecting.stop.clone();
+        let _ = stop.run_until_cancelled(detect(&detecting)).await;
+    });
+    let recovering = Rc::clone(node);
+    tokio::task::spawn_local(async move {
+        let stop = recovering.stop.clone();
+        let _ = stop.run_until_cancelled(recovery_loop(&recovering)).await;
+    });
+}
+
+async fn detect(node: &Rc<Node>) {
+    loop {
+        wait_for_check(node).await;
+        let now = node.now();
+        let expired = node.runners.borrow_mut().expire_lapsed(now);
+        if expired {
+            log::info!("runners did not return after their store entries lapsed");
+            node.rebuild_chains();
+        }
+        let silent_chains: Vec<Rc<LiveChain>> = {
+            let chains = node.chains.borrow();
+            let alive = chains.all().filter(|l| !l.broken.is_cancelled());
+            alive.filter(|l| l.should_ask(now)).cloned().collect()
+        };
+        for live in silent_chains {
+            tokio::task::spawn_local(probe_stages(Rc::clone(node), live));
+        }
+    }
+}
+
+/// Waits until a chain may have become silent.
+async fn wait_for_check(node: &Node) {
+    let now = node.now();
+    let next = next_check_ms(node, now);
+    node.next_look_ms.set(next);
+    tokio::select! {
+        () = sleep(Duration::from_millis(next - now)) => log_late_check(node.now().saturating_sub(next)),
+        () = node.look.notified() => sleep(Duration::from_millis(MIN_CHECK_INTERVAL_MS)).await,
+    }
+}
+
+fn next_check_ms(node: &Node, now: Millis) -> Millis {
+    let chains = node.chains.borrow();
+    let alive = chains.all().filter(|l| !l.broken.is_cancelled());
+    let due = alive.filter_map(|l| l.due_ms()).min();
+    let longest = now + MAX_CHECK_INTERVAL_MS;
+    due.unwrap_or(longest)
+        .clamp(now + MIN_CHECK_INTERVAL_MS, longest)
+}
+
+/// Delay of a check from which on it is logged, in milliseconds. The cause is the instance's own
+/// work or a lack of CPU time.
+const LATE_CHECK_MS: Millis = 32;
+
+fn log_late_check(late_ms: Millis) {
+    metrics::histogram!("jacinthweir_look_seconds").record(late_ms as f64 / 1e3);
+    if late_ms >= LATE_CHECK_MS {
+        log::info!(late_ms; "check for silent chains was delayed");
+    }
+}
+
+async fn probe_stages(node: Rc<Node>, live: Rc<LiveChain>) {
+    log_silence(&node, &live);
+    let began = node.now();
+    let stages = live.chain.stages.iter();
+    let mut open: FuturesUnordered<_> = stages
+        .map(|s| {
+            let target = ProbeTarget::of(&node, &s.runner);
+            async move { (&s.runner, runner_probe::probe(target, MAX_PROBES).await) }
+        })
+        .collect();
+    let mut round = ProbeRound::new(open.len());
+    let mut silent_runners: Vec<&RunnerEntry> = Vec::new();
+    let mut unanswered = 0;
+    while let Some((runner, found)) = open.next().await {
+        let passed = node.now() - began;
+        let RunnerEntry { id, born_ms, .. } = runner;
+        if found.is_response() {
+            round.answered(passed);
+        }
+        match found {
+            ProbeResult::Report(report) => process_report(&node, id, *born_ms, &report),
+            ProbeResult::Listening => record_answer(&node, id, *born_ms),
+            ProbeResult::Refused => report_dead(&node, id, *born_ms, REFUSED_EVIDENCE),
+            ProbeResult::NoReport(_) | ProbeResult::Silent(_) => {
+                unanswered += 1;
+                silent_runners.push(runner);
+            }
+        }
+        if round.indicates_dead(passed) {
+            let suspects = silent_runners.drain(..).map(|r| Suspect::of(&node, r));
+            suspects.for_each(|s| examine(&node, s, 1));
+        }
+    }
+    silent_runners
+        .into_iter()
+        .for_each(|r| examine(&node, Suspect::of(&node, r), 0));
+    log::info!(
+        chain = live.label(),
+        parts = live.chain.stages.len(),
+        unanswered,
+        took_ms = node.now() - began;
+        "parts of a chain were asked"
+    );
+}
+
+fn log_silence(node: &Node, live: &LiveChain) {
+    let (silent_ms, waiting) = {
+        let silence = live.silence.borrow();
+        (silence.silent_ms(node.now()), silence.waiting())
+    };
+    let gap_ms = live.gaps.borrow().mean_ms() as u64;
+    log::warn!(
+        chain = live.label(),
+        silent_ms,
+        waiting,
+        gap_ms;
+        "a chain is silent or slow, asking its parts"
+    );
+}
+
+/// Handles a failed connection to a runner. Without any response the runner is probed; any other
+/// error shows that nothing listens there, and the runner is reported dead.
+pub(crate) fn connection_failed(node: &Rc<Node>, runner: &RunnerEntry, error: &DirectError) {
+    if error.is_unanswered() {
+        examine(node, Suspect::of(node, runner), 0);
+    } else {
+        report_dead(node, &runner.id, runner.born_ms, &error.to_string());
+    }
+}
+
+/// Handles a broken connection to a runner. A single probe shows at once whether it has ended; if
+/// there is no report, the runner is examined like any other silent one.
+pub(crate) fn connection_lost(node: &Rc<Node>, id: &Name, born_ms: u64) {
+    let Some(suspect) = suspect_if_due(node, id, born_ms) else {
+        return;
+    };
+    let node = Rc::clone(node);
+    tokio::task::spawn_local(async move {
+        let Suspect { id, born_ms, .. } = &suspect;
+        match runner_probe::probe(suspect.target, 1).await {
+            ProbeResult::Report(report) => process_report(&node, id, *born_ms, &report),
+            ProbeResult::Listening => record_answer(&node, id, *born_ms),
+            ProbeResult::Refused => report_dead(&node, id, *born_ms, REFUSED_EVIDENCE),
+            ProbeResult::NoReport(_) | ProbeResult::Silent(_) => examine(&node, suspect, 0),
+        }
+    });
+}
+
+/// Starts an examination of a runner with witnesses, unless one is in progress. It was silent
+/// `silent_rounds` times already.
+fn examine(node: &Rc<Node>, suspect: Suspect, silent_rounds: u32) {
+    let lifetime = (suspect.id.clone(), suspect.born_ms);
+    if !node.examined.borrow_mut().insert(lifetime.clone()) {
+        return;
+    }
+    let node = Rc::clone(node);
+    tokio::task::spawn_local(async move {
+        runner_probe::examine(Rc::clone(&node), suspect, silent_rounds).await;
+        node.examined.borrow_mut().remove(&lifetime);
+    });
+}
+
+/// Records that a runner answered, which refutes the failure reports on it.
+pub(crate) fn record_answer(node: &Node, id: &Name, born_ms: u64) {
+    node.words.borrow_mut().refute(id, born_ms, node.now());
+}
+
+/// Processes a runner's report: its lifetime, its pace, and the runners that its requests are
+/// stalled on.
+pub(crate) fn process_report(node: &Node, id: &Name, born_ms: u64, report: &Report) {
+    if !report.is_of(born_ms) {
+        return report_dead(node, id, born_ms, "runner has restarted");
+    }
+    record_answer(node, id, born_ms);
+    let mut changed = set_pace(node, id, report.pace, node.now());
+    for address in report.stalled.values() {
+        changed |= mark_dead_at(node, *address);
+    }
+    if changed {
+        node.news.notify_one();
+        node.rebuild_chains();
+    }
+}
+
+/// Evidence that nothing listens at a runner's address.
+pub(crate) const REFUSED_EVIDENCE: &str = "connection refused";
+
+/// Declares a lifetime of a runner dead and notifies the other instances at once.
+pub(crate) fn report_dead(node: &Node, id: &Name, born_ms: u64, evidence: &str) {
+    if mark_dead_and_report(node, id, born_ms, evidence) {
+        node.news.notify_one();
+        node.rebuild_chains();
+    }
+}
+
+/// Records a runner's pace as of `at_ms`. Returns whether the chains have to be rebuilt.
+pub(crate) fn set_pace(node: &Node, id: &Name, pace: f64, at_ms: Millis) -> bool {
+    let mut runners = node.runners.borrow_mut();
+    let changed = runners
+        .health_mut(id)
+        .is_some_and(|s| s.set_pace(pace, at_ms));
+    if changed {
+        log::info!(runner = id.as_ref(), pace; "runner's pace");
+    }
+    changed
+}
+
+/// Marks a lifetime of a runner as dead and records a failure report of this instance. Returns
+/// whether it was not marked before.
+fn mark_dead_and_report(node: &Node, id: &Name, born_ms: u64, evidence: &str) -> bool {
+    let found = mark_dead(node, id, born_ms, evidence);
+    if found {
+        let report = FailureReport {
+            runner: id.clone(),
+            born_ms,
+            reporters: [node.settings.name.clone()].into(),
+        };
+        node.words.borrow_mut().record(&report, node.now());
+        if let Some(health) = node.runners.borrow_mut().health_mut(id) {
+            health.found_locally = true;
+        }
+    }
+    found
+}
+
+/// Marks a lifetime of a runner as dead because of `evidence`. Returns whether it was not marked
+/// before.
+fn mark_dead(node: &Node, id: &Name, born_ms: u64, evidence: &str) -> bool {
+    let now = node.now();
+    let mut runners = node.runners.borrow_mut();
+    let Some(health) = runners.health_mut(id) else {
+        return false;
+    };
+    if health.dead || health.born_ms != born_ms {
+        return false;
+    }
+    health.dead = true;
+    health.dead_since_ms = now;
+    health.found_locally = false;
+    health.reset_probe_backoff();
+    log::warn!(runner = id.as_ref(), born_ms, evidence; "runner counts as dead");
+    metrics::counter!("jacinthweir_runners_dead_total").increment(1);
+    true
+}
+
+fn mark_dead_at(node: &Node, address: SocketAddr) -> bool {
+    let found = {
+        let runners = node.runners.borrow();
+        runners.at(address).map(|e| (e.id.clone(), e.born_ms))
+    };
+    found.is_some_and(|(id, born_ms)| {
+        mark_dead_and_report(
+            node,
+            &id,
+            born_ms,
+            "requests at another runner are stalled on it",
+        )
+    })
+}
+
+/// Merges failure reports of other instances. A single reporter is not enough: it may be unable to
+/// reach anyone, and the cause of the silence there may make the runner silent here as well.
+pub(crate) fn receive_failure_reports(node: &Rc<Node>, reports: &[FailureReport]) {
+    let mut is_new = false;
+    for report in reports {
+        if is_presumed_alive(node, &report.runner, report.born_ms) {
+            is_new |= node.words.borrow_mut().record(report, node.now());
+        }
+    }
+    apply_failure_reports(node);
+    if is_new {
+        node.news.notify_one();
+    }
+}
+
+/// Returns whether a lifetime of a runner is current and not marked as dead here.
+fn is_presumed_alive(node: &Node, id: &Name, born_ms: u64) -> bool {
+    let runners = node.runners.borrow();
+    let health = runners.health(id);
+    health.born_ms == born_ms && !health.dead
+}
+
+/// Marks runners that other instances reported as dead, or probes them, as the reports require.
+fn apply_failure_reports(node: &Rc<Node>) {
+    let now = node.now();
+    let instances = node.instances();
+    let named: Vec<(Name, u64)> = {
+        let reports = node.words.borrow();
+        reports
+            .runners()
+            .map(|(id, born)| (id.clone(), born))
+            .collect()
+    };
+    let mut changed = false;
+    for (id, born_ms) in named {
+        if !is_presumed_alive(node, &id, born_ms) {
+            continue;
+        }
+        let is_affected = passes_through(node, &id);
+        let reports = node.words.borrow();
+        let advice = reports.advice(&id, born_ms, is_affected, instances, now);
+        drop(reports);
+        match advice {
+            Advice::MarkDead => {
+                changed |= mark_dead(node, &id, born_ms, "reported dead by other instances");
+            }
+            Advice::Probe => probe_reported(node, &id, born_ms),
+            Advice::Wait => {}
+        }
+    }
+    if changed {
+        node.news.notify_one();
+        node.rebuild_chains();
+    }
+}
+
+/// Returns whether requests of this instance pass through a runner.
+fn passes_through(node: &Node, id: &str) -> bool {
+    let chains = node.chains.borrow();
+    let mut busy = chains.all().filter(|l| l.silence.borrow().waiting() > 0);
+    busy.any(|l| l.chain.has(id))
+}
+
+/// Probes a runner that another instance reported dead, if a probe is due.
+fn probe_reported(node: &Rc<Node>, id: &Name, born_ms: u64) {
+    if let Some(suspect) = suspect_if_due(node, id, born_ms) {
+        examine(node, suspect, 0);
+    }
+}
+
+/// Returns a runner as a suspect if this lifetime is not marked as dead and a probe is due.
+fn suspect_if_due(node: &Node, id: &Name, born_ms: u64) -> Option<Suspect> {
+    let mut runners = node.runners.borrow_mut();
+    let entry = runners.entry(id).filter(|e| e.born_ms == born_ms);
+    let suspect = entry.map(|r| Suspect::of(node, r));
+    let health = runners.health_mut(id).filter(|s| !s.dead);
+    let due = health.is_some_and(|s| s.should_probe(node.now(), PROBE_INTERVAL_MS));
+    suspect.filter(|_| due)
+}
+
+/// Handles the message that a runner answers an instance of `domain` again. Returns whether it was
+/// marked as recovered. An instance that accepted the failure reports of others also accepts the
+/// recovery from its own failure domain. One that found the runner dead itself may be the only one
+/// cut off, so it probes.
+pub(crate) fn receive_recovery(node: &Node, id: &Name, born_ms: u64, domain: &str) -> bool {
+    let near = *domain == *node.settings.failure_domain;
+    let now = node.now();
+    let mut runners = node.runners.borrow_mut();
+    let health = runners.health_mut(id);
+    let Some(health) = health.filter(|s| s.dead && s.born_ms == born_ms) else {
+        return false;
+    };
+    let is_accepted = near && !health.found_locally;
+    if is_accepted {
+        health.mark_recovered(now);
+        node.words.borrow_mut().refute(id, born_ms, node.now());
+        log::info!(runner = id.as_ref(); "runner answers another instance of the failure domain again");
+    } else {
+        health.probe_soon();
+    }
+    is_accepted
+}
+
+/// Returns the dead and slow runners that are due for a probe.
+fn due_recovery_probes(node: &Node) -> Vec<Suspect> {
+    let now = node.now();
+    // Instances share the results, so in a large fleet each may probe less often.
+    let interval_ms = store_watch::scaled_interval_ms(PROBE_INTERVAL_MS, node.instances());
+    let mut runners = node.runners.borrow_mut();
+    let suspects: Vec<Suspect> = {
+        let is_unhealthy = |s: &RunnerHealth| s.dead || s.is_slow();
+        let unhealthy = runners
+            .entries()
+            .filter(|e| is_unhealthy(&runners.health(&e.id)));
+        unhealthy.map(|r| Suspect::of(node, r)).collect()
+    };
+    let neighbours = peers::neighbours(node);
+    let mut due = |id: &Name| {
+        let is_prober = failure_reports::is_prober(&node.settings.name, neighbours.iter(), id);
+        let health = runners.health_mut(id);
+        health.is_some_and(|s| match is_prober || s.found_locally {
+            true => s.should_probe(now, interval_ms),
+            false => s.should_probe_rarely(now),
+        })
+    };
+    suspects.into_iter().filter(|s| due(&s.id)).collect()
+}
+
+/// Probes dead and slow runners periodically. Dead ones that answer in the same lifetime, for
+/// example after a partition, are marked as recovered; slow ones get their current pace.
+async fn recovery_loop(node: &Rc<Node>) {
+    loop {
+        sleep(RECOVERY_INTERVAL).await;
+        apply_failure_reports(node);
+        let suspects = due_recovery_probes(node);
+        let found = join_all(suspects.iter().map(|s| runner_probe::probe(s.target, 1))).await;
+        let mut changed = false;
+        for (Suspect { id, born_ms, .. }, found) in suspects.iter().zip(found) {
+            match found {
+                ProbeResult::Report(report) if report.is_of(*born_ms) => {
+                    changed |= set_pace(node, id, report.pace, node.now());
+                }
+                ProbeResult::Listening => {}
+                _ => continue,
+            }
+            changed |= mark_recovered_if_dead(node, id, *born_ms);
+        }
+        if changed {
+            node.news.notify_one();
+            node.rebuild_chains();
+        }
+    }
+}
+
+/// Marks a dead runner that answered as recovered. Returns whether it was marked as dead.
+fn mark_recovered_if_dead(node: &Node, id: &Name, born_ms: u64) -> bool {
+    let mut runners = node.runners.borrow_mut();
+    let Some(health) = runners.health_mut(id).filter(|s| s.dead) else {
+        return false;
+    };
+    health.mark_recovered(node.now());
+    record_answer(node, id, born_ms);
+    log::info!(runner = id.as_ref(); "runner answers again");
+    true
+}
--- /dev/null
+++ b/plugins/relay/src/runner_probe.rs
@@ -0,0 +1,304 @@
+//! Probes of a single runner, and confirmation of its silence with witnesses.
+//!
+//! A runner's report needs no slot and is sent however long its queue is, so a runner that
+//! repeatedly does not answer is dead or cut off, not busy. But the cause may also be the link of
+//! this instance, for example if other traffic fills it. Silence alone is therefore no proof.
+//! Healthy runners are probed at the same time as [witnesses](ProbeRound), and a runner is declared
+//! dead only if it stays silent for far longer than they take to answer.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use futures::FutureExt;
+use futures::future::LocalBoxFuture;
+use futures::stream::{FuturesUnordered, StreamExt};
+use jacinthweir_clients::direct::{DirectError, RequestTimeouts};
+use jacinthweir_platform::runner::{self, Report, RunnerError};
+use jacinthweir_policy::prelude::*;
+use jacinthweir_policy::relay::runners::RunnerEntry;
+use jacinthweir_policy::relay::silence::ProbeRound;
+use rand::seq::IteratorRandom;
+use tokio::time::{sleep, timeout};
+
+use crate::failure_detector;
+use crate::node::Node;
+
+/// Time limits of a probe. A live runner accepts a connection within two round trips of at most a
+/// millisecond each, however slow it is. One that runs at a tenth of its pace takes ten times as
+/// long to answer, and would be declared dead if the connection's limit applied to the whole
+/// answer.
+pub(crate) const PROBE_TIMEOUTS: RequestTimeouts = RequestTimeouts {
+    connect: Duration::from_millis(14),
+    answer: Duration::from_millis(250),
+};
+
+/// Number of probes after which a runner counts as silent. A lost packet in each of four probes is
+/// rare even on a link that loses one packet in forty.
+pub(crate) const MAX_PROBES: usize = 4;
+
+/// Number of probes if the runner was already silent shortly before.
+const MAX_REPEAT_PROBES: usize = 2;
+
+/// Time after which the next probe starts while the previous one is pending (hedging). An
+/// unreachable runner costs 30 ms.
+const HEDGE_DELAY: Duration = Duration::from_millis(5);
+
+/// Number of witnesses probed at a time. Two answers are enough, and half of the fleet may be
+/// unreachable.
+const WITNESSES: usize = 5;
+
+/// Upper bound of the round size that the quorum is computed from: half of it, two, must answer.
+/// With fewer witnesses it is half of those.
+const MAX_ROUND_SIZE: usize = 4;
+
+/// Number of rounds with answering witnesses in which a runner must be silent to be declared dead.
+/// One is not enough, since the link of this instance may fill up between their answers and the
+/// runner's.
+const MIN_SILENT_ROUNDS: u32 = 2;
+
+/// Maximum wait for witnesses, after which others are probed, in milliseconds.
+const WITNESS_TIMEOUT_MS: Millis = 150;
+
+/// Interval at which a round of probes is evaluated, in milliseconds.
+const EVALUATION_INTERVAL_MS: Millis = 8;
+
+/// Time after which a runner that accepts connections but sends no report is declared dead, in
+/// milliseconds. It may have too many connections for a moment.
+const NO_REPORT_TIMEOUT_MS: Millis = 250;
+
+/// Pause between two rounds of probes to such a runner, in milliseconds.
+const NO_REPORT_PAUSE_MS: Millis = 60;
+
+/// Maximum duration of an examination with witnesses, in milliseconds. Callers wait for two
+/// seconds.
+const MAX_EXAMINATION_MS: Millis = 1_000;
+
+/// Result of the probes of a runner.
+#[derive(Debug)]
+pub(crate) enum ProbeResult {
+    /// The runner sent its report.
+    Report(Report),
+    /// Its machine refused the connection: nothing listens there.
+    Refused,
+    /// It accepts connections; runners of its service send no reports.
+    Listening,
+    /// It accepted a connection but sent no valid report.
+    NoReport(String),
+    /// There was no response at all.
+    Silent(String),
+}
+
+/// Target of a probe.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ProbeTarget {
+    address: SocketAddr,
+    sends_reports: bool,
+}
+
+impl ProbeTarget {
+    pub(crate) fn of(node: &Node, e: &RunnerEntry) -> ProbeTarget {
+        ProbeTarget {
+            address: e.address,
+            sends_reports: node.holds_layers(&e.service),
+        }
+    }
+}
+
+impl ProbeResult {
+    fn of(answer: Result<Report, RunnerError>, target: ProbeTarget) -> ProbeResult {
+        match answer {
+            Ok(report) => ProbeResult::Report(report),
+            Err(RunnerError::NoAnswer(DirectError::Refused)) => ProbeResult::Refused,
+            Err(RunnerError::NoAnswer(e)) if e.is_unanswered() => {
+                ProbeResult::Silent(e.to_string())
+            }
+            Err(_) if !target.sends_reports => ProbeResult::Listening,
+            Err(e) => ProbeResult::NoReport(e.to_string()),
+        }
+    }
+
+    /// Returns whether there was any response.
+    pub(crate) fn is_response(&self) -> bool {
+        !matches!(self, ProbeResult::Silent(_))
+    }
+}
+
+/// Probes a runner up to `max_probes` times. The next probe starts as soon as one fails or takes
+/// long.
+pub(crate) async fn probe(target: ProbeTarget, max_probes: usize) -> ProbeResult {
+    let mut open = FuturesUnordered::new();
+    let mut left = max_probes;
+    let mut found = ProbeResult::Silent("not asked".to_owned());
+    loop {
+        if left > 0 {
+            metrics::counter!("jacinthweir_probes_total").increment(1);
+            open.push(runner::report(target.address, PROBE_TIMEOUTS));
+            left -= 1;
+        }
+        let next = async {
+            match left {
+                0 => open.next().await,
+                _ => timeout(HEDGE_DELAY, open.next()).await.unwrap_or(None),
+            }
+        };
+        match next.await.map(|answer| ProbeResult::of(answer, target)) {
+            Some(
+                settled @ (ProbeResult::Report(_) | ProbeResult::Listening | ProbeResult::Refused),
+            ) => {
+                return settled;
+            }
+            Some(ProbeResult::Silent(_)) if found.is_response() => {}
+            Some(failed) => found = failed,
+            None => {}
+        }
+        if left == 0 && open.is_empty() {
+            return found;
+        }
+    }
+}
+
+/// A lifetime of a runner that may be dead.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct Suspect {
+    pub(crate) id: Name,
+    pub(crate) born_ms: u64,
+    pub(crate) target: ProbeTarget,
+}
+
+impl Suspect {
+    pub(crate) fn of(node: &Node, e: &RunnerEntry) -> Suspect {
+        Suspect {
+            id: e.id.clone(),
+            born_ms: e.born_ms,
+            target: ProbeTarget::of(node, e),
+        }
+    }
+}
+
+/// Result of a probe in a round, by its target's role.
+enum RoundResult {
+    Suspect(ProbeResult),
+    Witness(ProbeResult),
+}
+
+/// Time for which this instance observed a round of probes. Time in which the instance itself was
+/// delayed does not count, since it cannot receive answers then.
+struct ObservedTime {
+    last_ms: Millis,
+    observed_ms: Millis,
+}
+
+impl ObservedTime {
+    fn begin(now: Millis) -> ObservedTime {
+        ObservedTime {
+            last_ms: now,
+            observed_ms: 0,
+        }
+    }
+
+    fn advance(&mut self, now: Millis) -> Millis {
+        self.observed_ms += (now - self.last_ms).min(2 * EVALUATION_INTERVAL_MS);
+        self.last_ms = now;
+        self.observed_ms
+    }
+}
+
+/// Probes a runner together with witnesses until it answers or is declared dead. It was silent
+/// `silent_rounds` times already. While the link of this instance is full neither can be
+/// determined; the examination then ends after [`MAX_EXAMINATION_MS`] without a result.
+pub(crate) async fn examine(node: Rc<Node>, s: Suspect, mut silent_rounds: u32) {
+    let began = node.now();
+    let mut max_probes = if silent_rounds == 0 {
+        MAX_PROBES
+    } else {
+        MAX_REPEAT_PROBES
+    };
+    while node.now() < began + MAX_EXAMINATION_MS {
+        let (found, witnessed) = probe_with_witnesses(&node, &s, max_probes).await;
+        max_probes = MAX_REPEAT_PROBES;
+        silent_rounds += u32::from(witnessed);
+        let is_certain = witnessed && silent_rounds >= MIN_SILENT_ROUNDS;
+        let passed = node.now() - began;
+        let (cause, pause) = match found {
+            ProbeResult::Report(report) => {
+                return failure_detector::process_report(&node, &s.id, s.born_ms, &report);
+            }
+            ProbeResult::Listening => {
+                return failure_detector::record_answer(&node, &s.id, s.born_ms);
+            }
+            ProbeResult::Refused => {
+                return failure_detector::report_dead(
+                    &node,
+                    &s.id,
+                    s.born_ms,
+                    failure_detector::REFUSED_EVIDENCE,
+                );
+            }
+            ProbeResult::Silent(cause) if is_certain => (Some(cause), 0),
+            ProbeResult::NoReport(cause) if is_certain && passed >= NO_REPORT_TIMEOUT_MS => {
+                (Some(cause), 0)
+            }
+            ProbeResult::NoReport(_) => (None, NO_REPORT_PAUSE_MS),
+            ProbeResult::Silent(_) => (None, EVALUATION_INTERVAL_MS),
+        };
+        if let Some(cause) = cause {
+            let evidence = format!("{cause}, while witnesses answer");
+            return failure_detector::report_dead(&node, &s.id, s.born_ms, &evidence);
+        }
+        sleep(Duration::from_millis(pause)).await;
+    }
+    log::info!(runner = s.id.as_ref(), strikes = silent_rounds; "too few witnesses answer, runner is not declared dead");
+}
+
+/// Probes a runner and witnesses at the same time. Returns the result for the runner, and whether
+/// enough witnesses answered while it did not.
+async fn probe_with_witnesses(node: &Node, s: &Suspect, max_probes: usize) -> (ProbeResult, bool) {
+    let witnesses = witnesses(node, s);
+    let mut open: FuturesUnordered<LocalBoxFuture<'_, RoundResult>> = FuturesUnordered::new();
+    open.push(
+        probe(s.target, max_probes)
+            .map(RoundResult::Suspect)
+            .boxed_local(),
+    );
+    let mut round = ProbeRound::new(MAX_ROUND_SIZE.min(witnesses.len()));
+    for witness in witnesses {
+        open.push(probe(witness, 1).map(RoundResult::Witness).boxed_local());
+    }
+    let mut observed = ObservedTime::begin(node.now());
+    let mut found = None;
+    loop {
+        let next = timeout(Duration::from_millis(EVALUATION_INTERVAL_MS), open.next()).await;
+        let passed = observed.advance(node.now());
+        match next {
+            Ok(Some(RoundResult::Suspect(
+                settled @ (ProbeResult::Report(_) | ProbeResult::Listening | ProbeResult::Refused),
+            ))) => return (settled, false),
+            Ok(Some(RoundResult::Suspect(failed))) => found = Some(failed),
+            Ok(Some(RoundResult::Witness(result))) if result.is_response() => {
+                round.answered(passed);
+            }
+            // No probe is pending any more; only the passing of time can still decide the round.
+            Ok(None) => sleep(Duration::from_millis(EVALUATION_INTERVAL_MS)).await,
+            Ok(Some(RoundResult::Witness(_))) | Err(_) => {}
+        }
+        let is_confirmed = round.indicates_dead(passed);
+        if let Some(failed) = found.take_if(|_| is_confirmed || passed >= WITNESS_TIMEOUT_MS) {
+            return (failed, is_confirmed);
+        }
+    }
+}
+
+/// Returns a random sample of healthy runners, of all services and failure domains.
+fn witnesses(node: &Node, suspect: &Suspect) -> Vec<ProbeTarget> {
+    let runners = node.runners.borrow();
+    let healthy = runners.entries().filter(|e| {
+        let is_unhealthy = e.draining || runners.health(&e.id).dead;
+        !is_unhealthy && e.address != suspect.target.address
+    });
+    node.with_rng(|rng| {
+        healthy
+            .map(|e| ProbeTarget::of(node, e))
+            .sample(rng, WITNESSES)
+    })
+}
