--- a/plugins/relay/src/attempt.rs
+++ b/plugins/relay/src/attempt.rs
@@ -47,7 +47,7 @@
     };
     let headers = res.headers();
     if res.status() != StatusCode::MISDIRECTED_REQUEST {
-        limits::said(node, runner, header::named_limit(headers));
+        limits::said(node, runner, header::rate_limit(headers));
     }
     let refused = headers.contains_key(header::NOT_RUN);
     if refused || res.status() == StatusCode::MISDIRECTED_REQUEST {
--- a/plugins/relay/src/call.rs
+++ b/plugins/relay/src/call.rs
@@ -232,7 +232,7 @@
     let (parts, body) = res.into_parts();
     let mut out = Response::new(RelayBody::whole(body));
     *out.status_mut() = parts.status;
-    *out.headers_mut() = header::passed_on(&parts.headers);
+    *out.headers_mut() = header::forwarded(&parts.headers);
     out
 }
 
--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -156,7 +156,7 @@
             incarnation,
             stop: CancellationToken::new(),
             stats: Stats::open().map_err(RelayError::SetUp)?,
-            store: Store::open(settings.store, STORE_TIME),
+            store: Store::new(settings.store, STORE_TIME),
             intent: RefCell::default(),
             configuration_revision: Cell::default(),
             vouch: RefCell::new(ConfigConfirmation::new(settings.bounds.revocation_ms)),
--- a/plugins/relay/src/placer.rs
+++ b/plugins/relay/src/placer.rs
@@ -252,16 +252,16 @@
     let answer = runner::place(m.address, m.layers, term, orders, ORDER_TIME).await;
     if let Some(s) = node.runners.borrow_mut().health_mut(&m.runner) {
         s.orders = match &answer {
-            Ok(Accepted::Begun) => Some(orders + 1),
-            Ok(Accepted::Holds) => Some(orders),
+            Ok(Accepted::Started) => Some(orders + 1),
+            Ok(Accepted::AlreadyHolds) => Some(orders),
             Err(_) => None,
         };
     }
     let (from, to) = m.layers;
     let runner = m.runner.as_ref();
     let outcome = match &answer {
-        Ok(Accepted::Begun) => "begun".to_owned(),
-        Ok(Accepted::Holds) => "holds".to_owned(),
+        Ok(Accepted::Started) => "begun".to_owned(),
+        Ok(Accepted::AlreadyHolds) => "holds".to_owned(),
         Err(e) => e.to_string(),
     };
     log::info!(runner, from, to, term, orders, why:% = m.reason, outcome; "order");
@@ -300,7 +300,7 @@
     };
     let mut runners = node.runners.borrow_mut();
     let (born_ms, layers) = runners.entry(&m.runner).map(|e| (e.born_ms, e.layers))?;
-    if report.busy || report.layers != layers || !report.is_of(born_ms) {
+    if report.busy || report.layers != layers || !report.is_from_lifetime(born_ms) {
         log::info!(runner, busy = report.busy, layers:? = report.layers; "entry is behind, no order");
         return None;
     }
--- a/plugins/relay/src/probe.rs
+++ b/plugins/relay/src/probe.rs
@@ -201,7 +201,7 @@
 
 /// What a runner's report says of itself, and of others that requests wait for there.
 pub(crate) fn take_report(node: &Node, id: &Name, born_ms: u64, report: &Report) {
-    if !report.is_of(born_ms) {
+    if !report.is_from_lifetime(born_ms) {
         return name_dead(node, id, born_ms, "started anew");
     }
     hear_it(node, id, born_ms);
@@ -419,7 +419,7 @@
         let mut changed = false;
         for (Suspect { id, born_ms, .. }, found) in dead.iter().zip(found) {
             match found {
-                Finding::Report(report) if report.is_of(*born_ms) => {
+                Finding::Report(report) if report.is_from_lifetime(*born_ms) => {
                     changed |= set_pace(node, id, report.pace, node.now());
                 }
                 Finding::Listens => {}
--- a/plugins/relay/src/request.rs
+++ b/plugins/relay/src/request.rs
@@ -180,7 +180,7 @@
             "the route has no service",
         ));
     };
-    let mut headers = header::passed_on(&parts.headers);
+    let mut headers = header::forwarded(&parts.headers);
     if let Some(org) = &org
         && let Some(value) = header::value(&org.name)
     {
@@ -204,7 +204,7 @@
         max_attempts: route.max_attempts,
         priority,
         tokens: header::tokens(&parts.headers),
-        last_event: header::number(&parts.headers, &header::LAST_EVENT),
+        last_event: header::number(&parts.headers, &header::LAST_EVENT_ID),
         organisation: org.map(|o| o.name),
         host,
         fingerprint: OnceCell::new(),
--- a/plugins/relay/src/server.rs
+++ b/plugins/relay/src/server.rs
@@ -223,7 +223,7 @@
     if found.is_empty() {
         return plain(StatusCode::SERVICE_UNAVAILABLE, "no instance serves");
     }
-    let body = entry::addresses(&found, cfg.ttl_ms);
+    let body = entry::encode_addresses(&found, cfg.ttl_ms);
     whole(StatusCode::OK, "application/json", body.into())
 }
 
--- a/plugins/relay/src/stream.rs
+++ b/plugins/relay/src/stream.rs
@@ -121,7 +121,7 @@
     });
     let mut out = Response::new(RelayBody::stream(stream));
     *out.status_mut() = parts.status;
-    *out.headers_mut() = header::passed_on(&parts.headers);
+    *out.headers_mut() = header::forwarded(&parts.headers);
     out
 }
 
--- a/plugins/relay/src/watch.rs
+++ b/plugins/relay/src/watch.rs
@@ -565,7 +565,7 @@
 }
 
 fn decode(object: &Object) -> Option<RunnerEntry> {
-    match runner::entry(&object.meta.name, &object.spec) {
+    match runner::decode_entry(&object.meta.name, &object.spec) {
         Ok(entry) => Some(entry),
         Err(e) => {
             let name: &Name = &object.meta.name;
