--- a/plugins/relay/tests/relay.rs
+++ b/plugins/relay/tests/relay.rs
@@ -17,7 +17,10 @@
 
 use argh::FromArgs;
 use googletest::prelude::*;
-use standin::{LONG, Manner, Runner, Site, ask, on_one_thread, raw, request, seen};
+use standin::{
+    Behaviour, Cluster, Runner, TEST_TIMEOUT, get, parse_response, run_single_threaded, send_raw,
+    send_request,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
@@ -30,26 +33,26 @@
 
 #[gtest]
 fn a_stream_passes_through_a_whole_chain_unchanged() {
-    on_one_thread(async {
-        let site = Site::open().await;
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
         let lines = format!(
             "{TOKENS}X-Jacinthweir-Deadline-Ms: 2000\r\nX-Jacinthweir-Model: m\r\n\
              X-Jacinthweir-Tenant: forged\r\nX-Jacinthweir-Hop-Count: forged\r\n"
         );
-        let got = request(site.callers(), NOTES, &lines, "the prompt").await;
+        let got = send_request(cluster.callers(), NOTES, &lines, "the prompt").await;
         expect_that!(got.status, eq(200));
-        expect_true!(got.whole);
-        expect_that!(got.events(), eq(&[1, 2, 3, 4, 5, 6]));
+        expect_true!(got.complete);
+        expect_that!(got.event_ids(), eq(&[1, 2, 3, 4, 5, 6]));
         expect_that!(got.header("x-jacinthweir-request-id"), some(eq("r1")));
         expect_that!(
             got.header("x-jacinthweir-server-stamp"),
             some(starts_with("of-"))
         );
-        assert_that!(site.runs(), eq(1));
-        let runner = site
+        assert_that!(cluster.run_count(), eq(1));
+        let runner = cluster
             .runners
             .iter()
-            .find(|r| r.runs() == 1)
+            .find(|r| r.run_count() == 1)
             .expect("one ran it");
         let sent = runner.received.borrow()[0].clone();
         expect_that!(sent.head, starts_with("POST /notes/1?q=2 HTTP/1.1"));
@@ -78,12 +81,12 @@
 
 #[gtest]
 fn entry_answers_name_this_instance_while_it_is_ready() {
-    on_one_thread(async {
-        let site = Site::open().await;
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
         let path = "GET /api/resolve?name=site.example&region=r&zone=a HTTP/1.1";
-        let got = ask(site.settings.listen.entry, path).await;
+        let got = get(cluster.settings.listen.entry, path).await;
         expect_that!(got.status, eq(200));
-        expect_that!(got.body, contains_substring(site.callers().to_string()));
+        expect_that!(got.body, contains_substring(cluster.callers().to_string()));
         expect_that!(got.body, contains_substring("\"ttlS\""));
     });
 }
@@ -93,22 +96,22 @@
 /// whole event, and the half one is dropped.
 #[gtest]
 fn a_stream_that_breaks_off_goes_on_elsewhere() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        for runner in &site.runners[..2] {
-            runner.manner.set(Manner::BreaksOff);
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        for runner in &cluster.runners[..2] {
+            runner.behaviour.set(Behaviour::BreaksMidEvent);
         }
-        let got = request(site.callers(), NOTES, TOKENS, "prompt").await;
+        let got = send_request(cluster.callers(), NOTES, TOKENS, "prompt").await;
         expect_that!(got.status, eq(200));
-        expect_true!(got.whole);
-        expect_that!(got.events(), eq(&[1, 2, 3, 4, 5, 6]));
+        expect_true!(got.complete);
+        expect_that!(got.event_ids(), eq(&[1, 2, 3, 4, 5, 6]));
         expect_that!(
             got.header("x-jacinthweir-server-stamp"),
             some(starts_with("of-a"))
         );
-        let resumed = site.runners[2..]
+        let resumed = cluster.runners[2..]
             .iter()
-            .find(|r| r.runs() == 1)
+            .find(|r| r.run_count() == 1)
             .expect("resumed");
         let sent = resumed.received.borrow()[0].clone();
         expect_that!(sent.header("last-event-id"), some(eq("2")));
@@ -120,13 +123,13 @@
 /// without the last chunk.
 #[gtest]
 fn a_stream_that_nobody_can_go_on_with_never_looks_whole() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        site.set_all(Manner::BreaksOff);
-        let got = request(site.callers(), NOTES, TOKENS, "prompt").await;
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        cluster.set_behaviour(Behaviour::BreaksMidEvent);
+        let got = send_request(cluster.callers(), NOTES, TOKENS, "prompt").await;
         expect_that!(got.status, eq(200));
-        expect_false!(got.whole);
-        expect_that!(got.events(), eq(&[1, 2]));
+        expect_false!(got.complete);
+        expect_that!(got.event_ids(), eq(&[1, 2]));
     });
 }
 
@@ -135,14 +138,14 @@
 /// domain serves the request.
 #[gtest]
 fn a_chain_with_a_silent_runner_is_left() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        for runner in &site.runners[..2] {
-            runner.manner.set(Manner::Silent);
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        for runner in &cluster.runners[..2] {
+            runner.behaviour.set(Behaviour::Unresponsive);
         }
-        let got = request(site.callers(), NOTES, TOKENS, "prompt").await;
+        let got = send_request(cluster.callers(), NOTES, TOKENS, "prompt").await;
         expect_that!(got.status, eq(200));
-        expect_true!(got.whole);
+        expect_true!(got.complete);
         expect_that!(
             got.header("x-jacinthweir-server-stamp"),
             some(starts_with("of-b"))
@@ -155,28 +158,37 @@
 /// begins, which would take a repeat and read the whole prompt again.
 #[gtest]
 fn a_run_goes_on_past_a_dead_part_by_an_order_to_its_first_runner() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        let spare = Runner::spawn(&site.store, "a3", "pool", "a").await;
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        let spare = Runner::spawn(&cluster.store, "a3", "pool", "a").await;
         let held = async {
-            while spare.held() != Some((2, 4)) {
+            while spare.layers() != Some((2, 4)) {
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        timeout(LONG, held).await.expect("a second holder");
-        let heads = site.runners.iter().filter(|r| r.held() == Some((0, 2)));
-        heads.for_each(|r| r.manner.set(Manner::Stalls));
-        let part = &site.runners[..2];
-        let part = part.iter().find(|r| r.held() == Some((2, 4)));
-        part.expect("the other part").manner.set(Manner::Silent);
+        timeout(TEST_TIMEOUT, held).await.expect("a second holder");
+        let heads = cluster
+            .runners
+            .iter()
+            .filter(|r| r.layers() == Some((0, 2)));
+        heads.for_each(|r| r.behaviour.set(Behaviour::StallsUntilRerouted));
+        let part = &cluster.runners[..2];
+        let part = part.iter().find(|r| r.layers() == Some((2, 4)));
+        part.expect("the other part")
+            .behaviour
+            .set(Behaviour::Unresponsive);
 
-        let got = request(site.callers(), NOTES, TOKENS, "prompt").await;
+        let got = send_request(cluster.callers(), NOTES, TOKENS, "prompt").await;
         expect_that!(got.status, eq(200));
-        expect_true!(got.whole);
-        expect_that!(got.events(), eq(&[1, 2, 3, 4, 5, 6]));
-        expect_that!(site.runs(), eq(1));
-        let head = site.runners.iter().find(|r| r.runs() == 1).expect("a run");
-        let (id, path) = head.rerouted.borrow()[0].clone();
+        expect_true!(got.complete);
+        expect_that!(got.event_ids(), eq(&[1, 2, 3, 4, 5, 6]));
+        expect_that!(cluster.run_count(), eq(1));
+        let head = cluster
+            .runners
+            .iter()
+            .find(|r| r.run_count() == 1)
+            .expect("a run");
+        let (id, path) = head.reroutes.borrow()[0].clone();
         expect_that!(id, eq("r1"));
         expect_that!(path, ends_with(format!("{}=2-4", spare.address)));
     });
@@ -191,19 +203,21 @@
     enum Message {
         Probe { address: std::net::SocketAddr },
     }
-    on_one_thread(async {
-        let site = Site::open().await;
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
         let silent = tokio::net::TcpListener::bind("127.0.0.1:0").await;
         let silent = silent.expect("a port");
         let address = silent.local_addr().expect("an address");
         let body = rmp_serde::to_vec(&Message::Probe { address }).expect("a message");
-        let peers = site.settings.listen.peers;
+        let peers = cluster.settings.listen.peers;
         let head = format!(
             "POST /peer HTTP/1.1\r\nHost: one\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
             body.len()
         );
         let bytes = [head.as_bytes(), &body].concat();
-        let got = timeout(LONG, raw(peers, &bytes)).await.expect("an answer");
+        let got = timeout(TEST_TIMEOUT, send_raw(peers, &bytes))
+            .await
+            .expect("an answer");
         expect_that!(got.status, eq(200));
         expect_that!(got.body, contains_substring("NotReached"));
     });
@@ -211,21 +225,21 @@
 
 #[gtest]
 fn an_idempotent_call_is_sent_once_more_when_a_runner_fails_it() {
-    on_one_thread(async {
-        for manner in [
-            Manner::Fails,
-            Manner::Closes,
-            Manner::Short,
-            Manner::Foreign,
-            Manner::NoReceipt,
+    run_single_threaded(async {
+        for behaviour in [
+            Behaviour::ServerError,
+            Behaviour::ClosesConnection,
+            Behaviour::TruncatesBody,
+            Behaviour::WrongRequestId,
+            Behaviour::NoReceipt,
         ] {
-            let site = Site::open().await;
-            site.plain[0].manner.set(manner);
+            let cluster = Cluster::open().await;
+            cluster.plain[0].behaviour.set(behaviour);
             // The runner of the own domain is the first choice, and the other one is well.
-            let got = request(site.callers(), LOOKUP, "", "").await;
-            expect_that!(got.status, eq(200), "{manner:?}");
-            expect_that!(got.body, eq("answer of p2"), "{manner:?}");
-            expect_that!(site.plain[0].runs(), eq(1), "{manner:?}");
+            let got = send_request(cluster.callers(), LOOKUP, "", "").await;
+            expect_that!(got.status, eq(200), "{behaviour:?}");
+            expect_that!(got.body, eq("answer of p2"), "{behaviour:?}");
+            expect_that!(cluster.plain[0].run_count(), eq(1), "{behaviour:?}");
         }
     });
 }
@@ -234,27 +248,27 @@
 /// sent again, and no status says that it has not run.
 #[gtest]
 fn a_call_that_must_not_repeat_runs_once_whatever_happens() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        for (manner, status) in [
-            (Manner::Closes, 502),
-            (Manner::Short, 502),
-            (Manner::Foreign, 502),
-            (Manner::NoReceipt, 502),
-            (Manner::Fails, 500),
-            (Manner::Silent, 504),
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        for (behaviour, status) in [
+            (Behaviour::ClosesConnection, 502),
+            (Behaviour::TruncatesBody, 502),
+            (Behaviour::WrongRequestId, 502),
+            (Behaviour::NoReceipt, 502),
+            (Behaviour::ServerError, 500),
+            (Behaviour::Unresponsive, 504),
         ] {
-            site.set_all(manner);
-            let before = site.runs();
-            let got = request(
-                site.callers(),
+            cluster.set_behaviour(behaviour);
+            let before = cluster.run_count();
+            let got = send_request(
+                cluster.callers(),
                 PAY,
                 "X-Jacinthweir-Deadline-Ms: 400\r\n",
                 "pay",
             )
             .await;
-            expect_that!(got.status, eq(status), "{manner:?}");
-            expect_that!(site.runs(), eq(before + 1), "{manner:?}");
+            expect_that!(got.status, eq(status), "{behaviour:?}");
+            expect_that!(cluster.run_count(), eq(before + 1), "{behaviour:?}");
             expect_that!(got.header("retry-after"), none());
         }
     });
@@ -262,15 +276,15 @@
 
 #[gtest]
 fn a_refusal_says_when_to_come_back_and_is_true() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        site.set_all(Manner::NotRun);
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        cluster.set_behaviour(Behaviour::NotRun);
         for first in [NOTES, LOOKUP, PAY] {
-            let got = request(site.callers(), first, TOKENS, "body").await;
+            let got = send_request(cluster.callers(), first, TOKENS, "body").await;
             expect_that!(got.status, eq(503), "{first}");
             expect_that!(got.header("retry-after"), some(anything()), "{first}");
         }
-        expect_that!(site.runs(), eq(0));
+        expect_that!(cluster.run_count(), eq(0));
     });
 }
 
@@ -278,10 +292,10 @@
 /// goes on working for nobody.
 #[gtest]
 fn a_caller_that_leaves_ends_the_run() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        site.set_all(Manner::Endless);
-        let mut stream = TcpStream::connect(site.callers()).await.unwrap();
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        cluster.set_behaviour(Behaviour::Endless);
+        let mut stream = TcpStream::connect(cluster.callers()).await.unwrap();
         let head = "POST /notes/1 HTTP/1.1\r\nHost: site.example\r\nX-Jacinthweir-Request-Id: r9\r\n\
                     X-Jacinthweir-Key: key\r\nContent-Length: 0\r\n\r\n";
         stream.write_all(head.as_bytes()).await.unwrap();
@@ -290,11 +304,11 @@
         expect_that!(read, gt(0));
         drop(stream);
         let left = async {
-            while site.runners.iter().all(|r| r.left.get() == 0) {
+            while cluster.runners.iter().all(|r| r.disconnects.get() == 0) {
                 sleep(Duration::from_millis(10)).await;
             }
         };
-        timeout(LONG, left)
+        timeout(TEST_TIMEOUT, left)
             .await
             .expect("the runner sees the close");
     });
@@ -303,8 +317,8 @@
 /// What callers may get wrong, and the answer. Nothing of it reaches a runner.
 #[gtest]
 fn bad_requests_get_their_status_and_reach_nobody() {
-    on_one_thread(async {
-        let site = Site::open().await;
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
         let usual = "Host: site.example\r\nX-Jacinthweir-Request-Id: r1\r\n";
         let long = "x".repeat(40_000);
         let cases = [
@@ -372,11 +386,11 @@
         ];
         for (what, text, status) in cases {
             let text = text.replacen("\r\n", "\r\nConnection: close\r\n", 1);
-            let got = raw(site.callers(), text.as_bytes()).await;
+            let got = send_raw(cluster.callers(), text.as_bytes()).await;
             expect_that!(got.status, eq(status), "{what}");
         }
-        expect_that!(site.runs(), eq(0));
-        let got = request(site.callers(), LOOKUP, "", "").await;
+        expect_that!(cluster.run_count(), eq(0));
+        let got = send_request(cluster.callers(), LOOKUP, "", "").await;
         expect_that!(got.status, eq(200));
     });
 }
@@ -385,16 +399,16 @@
 /// the caller declared.
 #[gtest]
 fn a_request_within_a_body_is_a_body() {
-    on_one_thread(async {
-        let site = Site::open().await;
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
         let inner = "GET /lookup/ HTTP/1.1\r\nHost: site.example\r\nX-Jacinthweir-Key: key\r\n\r\n";
-        let got = request(site.callers(), PAY, "", inner).await;
+        let got = send_request(cluster.callers(), PAY, "", inner).await;
         expect_that!(got.status, eq(200));
-        assert_that!(site.runs(), eq(1));
-        let runner = site
+        assert_that!(cluster.run_count(), eq(1));
+        let runner = cluster
             .plain
             .iter()
-            .find(|r| r.runs() == 1)
+            .find(|r| r.run_count() == 1)
             .expect("one ran it");
         expect_that!(runner.received.borrow()[0].body, eq(inner.as_bytes()));
     });
@@ -405,47 +419,53 @@
 /// when the store is back.
 #[gtest]
 fn an_instance_without_the_store_stops_serving_keys_until_it_is_back() {
-    on_one_thread(async {
-        let site = Site::with(3_500).await;
-        site.store.silent.set(true);
+    run_single_threaded(async {
+        let cluster = Cluster::with_revocation_bound(3_500).await;
+        cluster.store.unresponsive.set(true);
         let status = async |wanted: u16| {
             let until = async {
                 loop {
-                    let got = request(site.callers(), LOOKUP, "", "").await;
+                    let got = send_request(cluster.callers(), LOOKUP, "", "").await;
                     if got.status == wanted {
                         return got;
                     }
                     sleep(Duration::from_millis(50)).await;
                 }
             };
-            timeout(LONG, until).await.expect("the status comes")
+            timeout(TEST_TIMEOUT, until)
+                .await
+                .expect("the status comes")
         };
         let refused = status(503).await;
         expect_that!(refused.header("retry-after"), some(anything()));
-        let ready = ask(site.settings.listen.ready, "GET /api/ready HTTP/1.1").await;
+        let ready = get(cluster.settings.listen.ready, "GET /api/ready HTTP/1.1").await;
         expect_that!(ready.status, eq(503));
-        site.store.silent.set(false);
+        cluster.store.unresponsive.set(false);
         status(200).await;
     });
 }
 
 #[gtest]
 fn a_new_configuration_takes_effect_and_an_older_one_does_not() {
-    on_one_thread(async {
-        let site = Site::open().await;
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
         let mut newer = standin::configuration(7);
         newer["tenants"][0]["apiKeys"] = serde_json::json!(["other"]);
-        site.store.put("config", "main", &newer);
+        cluster.store.put("config", "main", &newer);
         let denied = async {
-            while request(site.callers(), LOOKUP, "", "").await.status != 401 {
+            while send_request(cluster.callers(), LOOKUP, "", "").await.status != 401 {
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        timeout(LONG, denied).await.expect("the key is gone");
-        site.store.put("config", "main", &standin::configuration(3));
+        timeout(TEST_TIMEOUT, denied)
+            .await
+            .expect("the key is gone");
+        cluster
+            .store
+            .put("config", "main", &standin::configuration(3));
         sleep(Duration::from_millis(300)).await;
         expect_that!(
-            request(site.callers(), LOOKUP, "", "").await.status,
+            send_request(cluster.callers(), LOOKUP, "", "").await.status,
             ne(200)
         );
     });
@@ -455,23 +475,24 @@
 /// It leaves the answers at once, serves both, says that their connections close, and ends clean.
 #[gtest]
 fn a_shutdown_cuts_nothing() {
-    on_one_thread(async {
-        let mut site = Site::open().await;
-        let callers = site.callers();
-        let streaming = spawn_local(async move { request(callers, NOTES, TOKENS, "prompt").await });
+    run_single_threaded(async {
+        let mut cluster = Cluster::open().await;
+        let callers = cluster.callers();
+        let streaming =
+            spawn_local(async move { send_request(callers, NOTES, TOKENS, "prompt").await });
         sleep(Duration::from_millis(20)).await;
-        let relay = site.relay.take().expect("it runs");
+        let relay = cluster.relay.take().expect("it runs");
         let ending = spawn_local(relay.shut_down());
         sleep(Duration::from_millis(50)).await;
-        let ready = ask(site.settings.listen.ready, "GET /api/ready HTTP/1.1").await;
+        let ready = get(cluster.settings.listen.ready, "GET /api/ready HTTP/1.1").await;
         expect_that!(ready.status, eq(503));
-        let late = request(callers, LOOKUP, "", "").await;
+        let late = send_request(callers, LOOKUP, "", "").await;
         expect_that!(late.status, eq(200));
         expect_that!(late.header("connection"), some(eq("close")));
         let streamed = streaming.await.expect("it ends");
-        expect_true!(streamed.whole);
-        expect_that!(streamed.events().len(), eq(6));
-        let ended = timeout(LONG, ending)
+        expect_true!(streamed.complete);
+        expect_that!(streamed.event_ids().len(), eq(6));
+        let ended = timeout(TEST_TIMEOUT, ending)
             .await
             .expect("it ends")
             .expect("it ends");
@@ -483,13 +504,15 @@
 /// That is no request: the instance must not wait for it until it is killed.
 #[gtest]
 fn a_connection_without_a_request_does_not_hold_up_a_shutdown() {
-    on_one_thread(async {
-        let mut site = Site::open().await;
-        let held = TcpStream::connect(site.callers())
+    run_single_threaded(async {
+        let mut cluster = Cluster::open().await;
+        let held = TcpStream::connect(cluster.callers())
             .await
             .expect("a connection");
-        let relay = site.relay.take().expect("it runs");
-        let ended = timeout(LONG, relay.shut_down()).await.expect("it ends");
+        let relay = cluster.relay.take().expect("it runs");
+        let ended = timeout(TEST_TIMEOUT, relay.shut_down())
+            .await
+            .expect("it ends");
         expect_that!(ended, eq(jacinthweir_relay::DrainOutcome::Clean));
         drop(held);
     });
@@ -498,9 +521,9 @@
 /// An operator sees both chains, every runner and the version in force, by the real tool.
 #[gtest]
 fn the_operators_tool_shows_the_relay() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        let operators = site.settings.listen.operators.to_string();
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        let operators = cluster.settings.listen.operators.to_string();
         let args = jacinthweir_ctl::args::Args::from_args(&["jwctl"], &["relay", &operators]);
         let shown = jacinthweir_ctl::command::run(&args.expect("a command")).await;
         let shown = shown.expect("an answer");
@@ -508,10 +531,10 @@
         expect_that!(shown, contains_substring("configuration 1, confirmed"));
         expect_that!(shown, contains_substring("gives orders, term 1"));
         expect_that!(shown.matches("whole").count(), eq(2));
-        for runner in site.runners.iter().chain(&site.plain) {
+        for runner in cluster.runners.iter().chain(&cluster.plain) {
             expect_that!(shown, contains_substring(runner.id.as_str()));
         }
-        let metrics = ask(site.settings.listen.operators, "GET /metrics HTTP/1.1").await;
+        let metrics = get(cluster.settings.listen.operators, "GET /metrics HTTP/1.1").await;
         expect_that!(
             metrics.body,
             contains_substring("jacinthweir_store_calls_total")
@@ -522,8 +545,8 @@
 /// The port of the metrics is taken on a machine. Callers must not notice.
 #[gtest]
 fn a_taken_metrics_port_does_not_stop_the_service() {
-    on_one_thread(async {
-        let first = Site::open().await;
+    run_single_threaded(async {
+        let first = Cluster::open().await;
         let mut settings = first.settings.clone();
         let taken = settings.listen.operators;
         settings.name = "two".into();
@@ -539,7 +562,7 @@
         expect_that!(second.is_ok(), eq(true));
         expect_that!(settings.listen.operators, eq(taken));
         let ready = async {
-            while ask(settings.listen.ready, "GET /api/ready HTTP/1.1")
+            while get(settings.listen.ready, "GET /api/ready HTTP/1.1")
                 .await
                 .status
                 != 200
@@ -547,7 +570,9 @@
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        timeout(LONG, ready).await.expect("it takes callers");
+        timeout(TEST_TIMEOUT, ready)
+            .await
+            .expect("it takes callers");
     });
 }
 
@@ -555,8 +580,8 @@
 #[gtest]
 fn the_reader_of_answers_tells_cut_ones() {
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    expect_true!(seen(format!("{head}2\r\nab\r\n0\r\n\r\n").as_bytes()).whole);
-    expect_false!(seen(format!("{head}2\r\nab\r\n").as_bytes()).whole);
-    expect_false!(seen(format!("{head}5\r\nab").as_bytes()).whole);
-    expect_false!(seen(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab").whole);
+    expect_true!(parse_response(format!("{head}2\r\nab\r\n0\r\n\r\n").as_bytes()).complete);
+    expect_false!(parse_response(format!("{head}2\r\nab\r\n").as_bytes()).complete);
+    expect_false!(parse_response(format!("{head}5\r\nab").as_bytes()).complete);
+    expect_false!(parse_response(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab").complete);
 }
--- a/plugins/relay/tests/relay/named_limits.rs
+++ b/plugins/relay/tests/relay/named_limits.rs
@@ -7,7 +7,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use crate::standin::{Runner, Site, on_one_thread, request};
+use crate::standin::{Cluster, Runner, run_single_threaded, send_request};
 use crate::{LOOKUP, NOTES, TOKENS};
 
 /// Limit that a runner names, in requests a second.
@@ -25,7 +25,7 @@
 
 /// The most that a runner got in any window that begins after `from`.
 fn most_in_a_window(runner: &Runner, from: Instant) -> usize {
-    let arrived = runner.arrived.borrow();
+    let arrived = runner.arrivals.borrow();
     let starts = arrived.iter().filter(|at| **at >= from);
     let within = |start: Instant| {
         let window = arrived.iter().filter(|at| **at >= start);
@@ -41,7 +41,7 @@
         if Instant::now() >= until {
             return;
         }
-        spawn_local(async move { request(at, first, lines, "one").await });
+        spawn_local(async move { send_request(at, first, lines, "one").await });
         sleep(PAUSE).await;
     }
 }
@@ -49,55 +49,55 @@
 /// Each instance saw the limit in the answers that it passed on, and passed on more.
 #[gtest]
 fn a_plain_runner_gets_no_more_than_it_names_from_all_instances_together() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        let (other, _relay) = site.another("two").await;
-        let limited = &site.plain[0];
-        limited.limit.set(Some(LIMIT));
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        let (other, _relay) = cluster.start_instance("two").await;
+        let limited = &cluster.plain[0];
+        limited.rate_limit.set(Some(LIMIT));
         let began = Instant::now();
-        ask_both([site.callers(), other.listen.callers], LOOKUP, "").await;
+        ask_both([cluster.callers(), other.listen.callers], LOOKUP, "").await;
         expect_that!(most_in_a_window(limited, began + SETTLES), le(ALLOWED));
         // What one does not take the other does.
-        expect_that!(site.plain[1].runs(), gt(limited.runs()));
-        expect_that!(limited.runs(), gt(0));
+        expect_that!(cluster.plain[1].run_count(), gt(limited.run_count()));
+        expect_that!(limited.run_count(), gt(0));
     });
 }
 
 /// The same of the first runner of a chain.
 #[gtest]
 fn a_chain_gets_no_more_than_its_first_runner_names() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        let (other, _relay) = site.another("two").await;
-        let limited = site.near((0, 2));
-        limited.limit.set(Some(LIMIT));
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        let (other, _relay) = cluster.start_instance("two").await;
+        let limited = cluster.local_runner((0, 2));
+        limited.rate_limit.set(Some(LIMIT));
         let began = Instant::now();
-        ask_both([site.callers(), other.listen.callers], NOTES, TOKENS).await;
+        ask_both([cluster.callers(), other.listen.callers], NOTES, TOKENS).await;
         expect_that!(most_in_a_window(limited, began + SETTLES), le(ALLOWED));
-        expect_that!(limited.runs(), gt(0));
+        expect_that!(limited.run_count(), gt(0));
     });
 }
 
 /// A runner that is well again says so by naming no limit: it gets its share as before.
 #[gtest]
 fn a_limit_ends_with_the_answer_that_names_none() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        let limited = &site.plain[0];
-        limited.limit.set(Some(LIMIT));
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        let limited = &cluster.plain[0];
+        limited.rate_limit.set(Some(LIMIT));
         for _ in 0..40 {
-            request(site.callers(), LOOKUP, "", "one").await;
+            send_request(cluster.callers(), LOOKUP, "", "one").await;
         }
-        let while_limited = limited.runs();
-        expect_that!(while_limited, lt(site.plain[1].runs()));
-        limited.limit.set(None);
+        let while_limited = limited.run_count();
+        expect_that!(while_limited, lt(cluster.plain[1].run_count()));
+        limited.rate_limit.set(None);
         let free = async {
-            while limited.runs() < while_limited + 20 {
-                request(site.callers(), LOOKUP, "", "one").await;
+            while limited.run_count() < while_limited + 20 {
+                send_request(cluster.callers(), LOOKUP, "", "one").await;
                 sleep(Duration::from_millis(10)).await;
             }
         };
-        tokio::time::timeout(crate::standin::LONG, free)
+        tokio::time::timeout(crate::standin::TEST_TIMEOUT, free)
             .await
             .expect("it gets requests again");
     });
--- a/plugins/relay/tests/relay/own_link.rs
+++ b/plugins/relay/tests/relay/own_link.rs
@@ -9,31 +9,35 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-use crate::standin::{BORN_MS, LONG, Manner, Seen, Site, on_one_thread, raw, request};
+use crate::standin::{
+    BORN_MS, Behaviour, Cluster, Response, TEST_TIMEOUT, run_single_threaded, send_raw,
+    send_request,
+};
 use crate::{LOOKUP, NOTES, TOKENS};
 
 /// Two streams under way, so that the silence of their chain is noticed soon.
-async fn two_streams(site: &Site) -> Vec<JoinHandle<Seen>> {
-    let callers = site.callers();
-    let ask = || spawn_local(async move { request(callers, NOTES, TOKENS, "prompt").await });
-    let streams = vec![ask(), ask()];
+async fn two_streams(cluster: &Cluster) -> Vec<JoinHandle<Response>> {
+    let callers = cluster.callers();
+    let open_stream =
+        || spawn_local(async move { send_request(callers, NOTES, TOKENS, "prompt").await });
+    let streams = vec![open_stream(), open_stream()];
     let begun = async {
-        while site.runs() < 2 {
+        while cluster.run_count() < 2 {
             sleep(Duration::from_millis(1)).await;
         }
     };
-    timeout(LONG, begun).await.expect("both run");
+    timeout(TEST_TIMEOUT, begun).await.expect("both run");
     streams
 }
 
-async fn expect_whole_from_one_run_each(site: &Site, streams: Vec<JoinHandle<Seen>>) {
+async fn expect_whole_from_one_run_each(cluster: &Cluster, streams: Vec<JoinHandle<Response>>) {
     for stream in streams {
         let got = stream.await.expect("it ends");
         expect_that!(got.status, eq(200));
-        expect_true!(got.whole);
-        expect_that!(got.events(), eq(&[1, 2, 3, 4, 5, 6]));
+        expect_true!(got.complete);
+        expect_that!(got.event_ids(), eq(&[1, 2, 3, 4, 5, 6]));
     }
-    expect_that!(site.runs(), eq(2));
+    expect_that!(cluster.run_count(), eq(2));
 }
 
 /// Beside a change of the configuration a caller's answer ended in the middle, although all runners
@@ -46,15 +50,15 @@
 /// unanswered=4 took_ms=339`. Silence counts beside witnesses only: here nobody answers at all.
 #[gtest]
 fn an_instance_that_hears_nobody_takes_nobody_for_dead() {
-    on_one_thread(async {
-        let site = Site::patient(|_| {}).await;
-        let streams = two_streams(&site).await;
-        site.hold_all(true);
+    run_single_threaded(async {
+        let cluster = Cluster::with_long_timeouts(|_| {}).await;
+        let streams = two_streams(&cluster).await;
+        cluster.pause_all(true);
         // Callers wait for two seconds and more.
         sleep(Duration::from_millis(1_200)).await;
-        expect_that!(site.dead().await, eq(0));
-        site.hold_all(false);
-        expect_whole_from_one_run_each(&site, streams).await;
+        expect_that!(cluster.dead_runners().await, eq(0));
+        cluster.pause_all(false);
+        expect_whole_from_one_run_each(&cluster, streams).await;
     });
 }
 
@@ -73,7 +77,7 @@
     paces: Vec<(String, u64, f64, u64)>,
 }
 
-async fn tell_dead(site: &Site, runner: &str) {
+async fn tell_dead(cluster: &Cluster, runner: &str) {
     let namers = ["two", "three", "four"].map(str::to_owned).to_vec();
     let news = Message::News(News {
         domain: "b".to_owned(),
@@ -87,8 +91,8 @@
     let head = format!(
         "POST /peer HTTP/1.1\r\nHost: one\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n"
     );
-    let got = raw(
-        site.settings.listen.peers,
+    let got = send_raw(
+        cluster.settings.listen.peers,
         &[head.as_bytes(), &body].concat(),
     )
     .await;
@@ -102,18 +106,18 @@
 /// ask, beside witnesses.
 #[gtest]
 fn a_word_that_a_living_runner_is_dead_is_not_taken_over_in_a_silence() {
-    on_one_thread(async {
-        let site = Site::patient(|_| {}).await;
-        let streams = two_streams(&site).await;
-        site.hold_all(true);
+    run_single_threaded(async {
+        let cluster = Cluster::with_long_timeouts(|_| {}).await;
+        let streams = two_streams(&cluster).await;
+        cluster.pause_all(true);
         sleep(Duration::from_millis(100)).await;
-        for runner in &site.runners[..2] {
-            tell_dead(&site, &runner.id).await;
+        for runner in &cluster.runners[..2] {
+            tell_dead(&cluster, &runner.id).await;
         }
         sleep(Duration::from_millis(50)).await;
-        expect_that!(site.dead().await, eq(0));
-        site.hold_all(false);
-        expect_whole_from_one_run_each(&site, streams).await;
+        expect_that!(cluster.dead_runners().await, eq(0));
+        cluster.pause_all(false);
+        expect_whole_from_one_run_each(&cluster, streams).await;
     });
 }
 
@@ -150,13 +154,13 @@
 /// so it is not silent, and another's word that it is dead must not make it so.
 #[gtest]
 fn a_runner_whose_report_takes_long_is_not_dead() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        let slow = &site.runners[0];
-        slow.report_time.set(Duration::from_millis(120));
-        tell_dead(&site, &slow.id).await;
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        let slow = &cluster.runners[0];
+        slow.report_delay.set(Duration::from_millis(120));
+        tell_dead(&cluster, &slow.id).await;
         sleep(Duration::from_millis(400)).await;
-        expect_that!(site.dead().await, eq(0));
+        expect_that!(cluster.dead_runners().await, eq(0));
     });
 }
 
@@ -166,22 +170,22 @@
 /// about shows nothing while nobody else is heard.
 #[gtest]
 fn a_connection_that_does_not_come_about_is_no_death_while_nobody_is_heard() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        site.hold_all(true);
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        cluster.pause_all(true);
         let mut listeners = Vec::new();
-        for runner in &site.plain {
+        for runner in &cluster.plain {
             let full = Unconnectable::open().await;
             runner.register_at(full.address());
-            site.shows(&full.address().to_string()).await;
+            cluster.wait_for_dump(&full.address().to_string()).await;
             listeners.push(full);
         }
-        let got = request(site.callers(), LOOKUP, "", "").await;
+        let got = send_request(cluster.callers(), LOOKUP, "", "").await;
         expect_that!(got.status, eq(503));
         expect_that!(got.header("retry-after"), some(anything()));
         // Longer than anybody is asked.
         sleep(Duration::from_millis(1_500)).await;
-        expect_that!(site.dead().await, eq(0));
+        expect_that!(cluster.dead_runners().await, eq(0));
     });
 }
 
@@ -189,16 +193,25 @@
 /// dead by all instances, and never heard of again.
 #[gtest]
 fn a_plain_runner_without_reports_that_breaks_a_call_off_is_not_dead() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        site.plain.iter().for_each(|r| r.reports.set(false));
-        site.plain.iter().for_each(|r| r.manner.set(Manner::Closes));
-        request(site.callers(), LOOKUP, "", "").await;
-        site.plain.iter().for_each(|r| r.manner.set(Manner::Well));
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        cluster
+            .plain
+            .iter()
+            .for_each(|r| r.serves_reports.set(false));
+        cluster
+            .plain
+            .iter()
+            .for_each(|r| r.behaviour.set(Behaviour::ClosesConnection));
+        send_request(cluster.callers(), LOOKUP, "", "").await;
+        cluster
+            .plain
+            .iter()
+            .for_each(|r| r.behaviour.set(Behaviour::Normal));
         // Longer than anybody is asked.
         sleep(Duration::from_millis(1_500)).await;
-        expect_that!(site.dead().await, eq(0));
-        let got = request(site.callers(), LOOKUP, "", "").await;
+        expect_that!(cluster.dead_runners().await, eq(0));
+        let got = send_request(cluster.callers(), LOOKUP, "", "").await;
         expect_that!(got.status, eq(200));
     });
 }
@@ -206,42 +219,46 @@
 /// A plain runner was cut off for a while and is back: that it takes connections has to be enough.
 #[gtest]
 fn a_plain_runner_without_reports_that_is_reached_again_is_used_again() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        let plain = &site.plain[0];
-        plain.reports.set(false);
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        let plain = &cluster.plain[0];
+        plain.serves_reports.set(false);
         let full = Unconnectable::open().await;
         plain.register_at(full.address());
-        site.shows(&full.address().to_string()).await;
-        request(site.callers(), LOOKUP, "", "").await;
-        site.dead_are(1).await;
+        cluster.wait_for_dump(&full.address().to_string()).await;
+        send_request(cluster.callers(), LOOKUP, "", "").await;
+        cluster.wait_for_dead(1).await;
         plain.register("ready");
         let back = async {
-            while site.dead().await > 0 {
+            while cluster.dead_runners().await > 0 {
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        timeout(LONG, back).await.expect("it is found again");
+        timeout(TEST_TIMEOUT, back)
+            .await
+            .expect("it is found again");
     });
 }
 
 /// The checks above can fail: one runner that nobody reaches counts as dead while others answer.
 #[gtest]
 fn a_runner_that_alone_is_not_reached_counts_as_dead() {
-    on_one_thread(async {
-        let site = Site::open().await;
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
         let full = Unconnectable::open().await;
-        site.plain[0].register_at(full.address());
-        site.shows(&full.address().to_string()).await;
-        let got = request(site.callers(), LOOKUP, "", "").await;
+        cluster.plain[0].register_at(full.address());
+        cluster.wait_for_dump(&full.address().to_string()).await;
+        let got = send_request(cluster.callers(), LOOKUP, "", "").await;
         expect_that!(got.status, eq(200));
         let found = async {
-            while site.dead().await == 0 {
+            while cluster.dead_runners().await == 0 {
                 sleep(Duration::from_millis(10)).await;
             }
         };
-        timeout(LONG, found).await.expect("it counts as dead");
-        expect_that!(site.dead().await, eq(1));
+        timeout(TEST_TIMEOUT, found)
+            .await
+            .expect("it counts as dead");
+        expect_that!(cluster.dead_runners().await, eq(1));
     });
 }
 
@@ -250,12 +267,12 @@
 /// What is known already is not decoded again: here nothing but the object's revision tells that it is.
 #[gtest]
 fn a_configuration_that_is_known_is_confirmed_without_decoding_it() {
-    on_one_thread(async {
-        let site = Site::bound_by(|bounds| bounds.revocation_ms = 3_000).await;
-        site.store.spoil("config", "main");
+    run_single_threaded(async {
+        let cluster = Cluster::with_bounds(|bounds| bounds.revocation_ms = 3_000).await;
+        cluster.store.corrupt("config", "main");
         // Longer than an unconfirmed configuration is acted on.
         sleep(Duration::from_millis(4_000)).await;
-        let got = request(site.callers(), LOOKUP, "", "").await;
+        let got = send_request(cluster.callers(), LOOKUP, "", "").await;
         expect_that!(got.status, eq(200));
     });
 }
@@ -264,14 +281,14 @@
 /// small fleet is never found, and its chain is silent for good.
 #[gtest]
 fn the_last_witness_is_enough() {
-    on_one_thread(async {
-        let site = Site::patient(|_| {}).await;
-        let others = site.runners[2..].iter().chain(&site.plain);
+    run_single_threaded(async {
+        let cluster = Cluster::with_long_timeouts(|_| {}).await;
+        let others = cluster.runners[2..].iter().chain(&cluster.plain);
         others.for_each(|r| r.register("draining"));
-        let part = site.near((2, 4));
-        part.manner.set(Manner::Silent);
-        tell_dead(&site, &part.id).await;
-        site.dead_are(1).await;
-        expect_that!(site.dead().await, eq(1));
+        let part = cluster.local_runner((2, 4));
+        part.behaviour.set(Behaviour::Unresponsive);
+        tell_dead(&cluster, &part.id).await;
+        cluster.wait_for_dead(1).await;
+        expect_that!(cluster.dead_runners().await, eq(1));
     });
 }
--- a/plugins/relay/tests/relay/repeats.rs
+++ b/plugins/relay/tests/relay/repeats.rs
@@ -7,40 +7,42 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-use crate::standin::{LONG, Manner, Runner, Seen, Site, on_one_thread, request};
+use crate::standin::{
+    Behaviour, Cluster, Response, Runner, TEST_TIMEOUT, run_single_threaded, send_request,
+};
 use crate::{NOTES, TOKENS};
 
 /// A stream, once one of `runners` has begun to work on it.
-async fn begun_stream(site: &Site, runners: &[Rc<Runner>]) -> JoinHandle<Seen> {
-    let callers = site.callers();
-    let streaming = spawn_local(async move { request(callers, NOTES, TOKENS, "one").await });
+async fn begun_stream(cluster: &Cluster, runners: &[Rc<Runner>]) -> JoinHandle<Response> {
+    let callers = cluster.callers();
+    let streaming = spawn_local(async move { send_request(callers, NOTES, TOKENS, "one").await });
     until_one_runs(runners).await;
     streaming
 }
 
 async fn until_one_runs(runners: &[Rc<Runner>]) {
     let begun = async {
-        while runners.iter().all(|r| r.runs() == 0) {
+        while runners.iter().all(|r| r.run_count() == 0) {
             sleep(Duration::from_millis(1)).await;
         }
     };
-    timeout(LONG, begun).await.expect("it runs");
+    timeout(TEST_TIMEOUT, begun).await.expect("it runs");
 }
 
-async fn expect_whole(streaming: JoinHandle<Seen>) {
+async fn expect_whole(streaming: JoinHandle<Response>) {
     let got = streaming.await.expect("it ends");
     expect_that!(got.status, eq(200));
-    expect_true!(got.whole);
-    expect_that!(got.events(), eq(&[1, 2, 3, 4, 5, 6]));
+    expect_true!(got.complete);
+    expect_that!(got.event_ids(), eq(&[1, 2, 3, 4, 5, 6]));
 }
 
 /// Bounds in which an instance has one further send for certain.
-async fn site_with_one_repeat() -> Site {
-    let site = Site::bound_by(|bounds| {
+async fn cluster_with_one_retry() -> Cluster {
+    let cluster = Cluster::with_bounds(|bounds| {
         bounds.repeat_ratio = 0.0;
         bounds.repeat_slack = 7.0;
     });
-    site.await
+    cluster.await
 }
 
 /// A caller's answer ended in the middle while runners were replaced beside a change of the
@@ -50,18 +52,19 @@
 /// be told the truth, that it has not run; a caller that has half an answer cannot.
 #[gtest]
 fn a_stream_under_way_has_a_repeat_though_new_requests_are_refused() {
-    on_one_thread(async {
-        let site = site_with_one_repeat().await;
-        let near = &site.runners[..2];
-        near.iter().for_each(|r| r.held.set(true));
-        let streaming = begun_stream(&site, near).await;
-        near.iter().for_each(|r| r.manner.set(Manner::NotRun));
-        let refused = request(site.callers(), NOTES, TOKENS, "two").await;
+    run_single_threaded(async {
+        let cluster = cluster_with_one_retry().await;
+        let near = &cluster.runners[..2];
+        near.iter().for_each(|r| r.responses_paused.set(true));
+        let streaming = begun_stream(&cluster, near).await;
+        near.iter().for_each(|r| r.behaviour.set(Behaviour::NotRun));
+        let refused = send_request(cluster.callers(), NOTES, TOKENS, "two").await;
         expect_that!(refused.status, eq(503));
         expect_that!(refused.header("retry-after"), some(anything()));
 
-        near.iter().for_each(|r| r.manner.set(Manner::BreaksOff));
-        near.iter().for_each(|r| r.held.set(false));
+        near.iter()
+            .for_each(|r| r.behaviour.set(Behaviour::BreaksMidEvent));
+        near.iter().for_each(|r| r.responses_paused.set(false));
         expect_whole(streaming).await;
     });
 }
@@ -72,23 +75,23 @@
 /// cause="chain broke" given_up="no repeat left" silent_ms=20`. Its caller would have waited.
 #[gtest]
 fn a_stream_without_a_repeat_waits_for_the_layers_that_its_chain_lost() {
-    on_one_thread(async {
-        let site = Site::patient(|bounds| {
+    run_single_threaded(async {
+        let cluster = Cluster::with_long_timeouts(|bounds| {
             bounds.repeat_ratio = 0.0;
             bounds.repeat_slack = 0.0;
         });
-        let site = site.await;
-        let head = site.near((0, 2));
-        head.manner.set(Manner::Stalls);
-        let part = site.near((2, 4));
-        part.manner.set(Manner::Silent);
-        let streaming = begun_stream(&site, &site.runners).await;
-        site.dead_are(1).await;
-        let _spare = Runner::spawn(&site.store, "a3", "pool", "a").await;
+        let cluster = cluster.await;
+        let head = cluster.local_runner((0, 2));
+        head.behaviour.set(Behaviour::StallsUntilRerouted);
+        let part = cluster.local_runner((2, 4));
+        part.behaviour.set(Behaviour::Unresponsive);
+        let streaming = begun_stream(&cluster, &cluster.runners).await;
+        cluster.wait_for_dead(1).await;
+        let _spare = Runner::spawn(&cluster.store, "a3", "pool", "a").await;
 
         expect_whole(streaming).await;
-        expect_that!(site.runs(), eq(1));
-        let rerouted = head.rerouted.borrow();
+        expect_that!(cluster.run_count(), eq(1));
+        let rerouted = head.reroutes.borrow();
         // Whoever was told to hold them, the spare runner or the first one itself.
         let lost = part.address.to_string();
         expect_that!(rerouted.len(), eq(1));
@@ -101,20 +104,24 @@
 /// repaired: a failed try to go on counted as the end, unlike a failed try to begin.
 #[gtest]
 fn a_stream_whose_next_chain_breaks_too_goes_on_when_there_is_one() {
-    on_one_thread(async {
-        let site = Site::patient(|_| {}).await;
-        let head = site.near((0, 2));
-        head.manner.set(Manner::Stalls);
-        site.near((2, 4)).manner.set(Manner::Silent);
-        let far = &site.runners[2..];
-        far.iter().for_each(|r| r.manner.set(Manner::Mute));
-        let streaming = begun_stream(&site, &site.runners).await;
+    run_single_threaded(async {
+        let cluster = Cluster::with_long_timeouts(|_| {}).await;
+        let head = cluster.local_runner((0, 2));
+        head.behaviour.set(Behaviour::StallsUntilRerouted);
+        cluster
+            .local_runner((2, 4))
+            .behaviour
+            .set(Behaviour::Unresponsive);
+        let far = &cluster.runners[2..];
+        far.iter()
+            .for_each(|r| r.behaviour.set(Behaviour::HangsRequests));
+        let streaming = begun_stream(&cluster, &cluster.runners).await;
         until_one_runs(far).await;
-        let part = far.iter().find(|r| r.held() == Some((2, 4)));
-        part.expect("a part").manner.set(Manner::Silent);
-        site.dead_are(2).await;
-        head.manner.set(Manner::Well);
-        let _spare = Runner::spawn(&site.store, "a3", "pool", "a").await;
+        let part = far.iter().find(|r| r.layers() == Some((2, 4)));
+        part.expect("a part").behaviour.set(Behaviour::Unresponsive);
+        cluster.wait_for_dead(2).await;
+        head.behaviour.set(Behaviour::Normal);
+        let _spare = Runner::spawn(&cluster.store, "a3", "pool", "a").await;
 
         expect_whole(streaming).await;
     });
@@ -123,15 +130,15 @@
 /// Nobody asks a runner whose connections broke until the next request is sent there.
 #[gtest]
 fn a_runner_whose_connections_break_is_found_dead_without_another_request() {
-    on_one_thread(async {
-        let site = Site::patient(|_| {}).await;
-        let head = site.near((0, 2));
-        head.manner.set(Manner::Stalls);
-        let streaming = begun_stream(&site, &site.runners).await;
-        head.end();
+    run_single_threaded(async {
+        let cluster = Cluster::with_long_timeouts(|_| {}).await;
+        let head = cluster.local_runner((0, 2));
+        head.behaviour.set(Behaviour::StallsUntilRerouted);
+        let streaming = begun_stream(&cluster, &cluster.runners).await;
+        head.crash();
 
         expect_whole(streaming).await;
-        site.dead_are(1).await;
+        cluster.wait_for_dead(1).await;
     });
 }
 
@@ -140,14 +147,14 @@
 /// never counted as broken, and its streams waited until their callers left.
 #[gtest]
 fn a_stream_goes_on_past_a_part_whose_entry_went_before_it_exited() {
-    on_one_thread(async {
-        let site = Site::patient(|_| {}).await;
-        let head = site.near((0, 2));
-        head.manner.set(Manner::Stalls);
-        let part = site.near((2, 4));
-        let streaming = begun_stream(&site, &site.runners).await;
-        site.store.remove("servers", &part.id);
-        part.manner.set(Manner::Silent);
+    run_single_threaded(async {
+        let cluster = Cluster::with_long_timeouts(|_| {}).await;
+        let head = cluster.local_runner((0, 2));
+        head.behaviour.set(Behaviour::StallsUntilRerouted);
+        let part = cluster.local_runner((2, 4));
+        let streaming = begun_stream(&cluster, &cluster.runners).await;
+        cluster.store.remove("servers", &part.id);
+        part.behaviour.set(Behaviour::Unresponsive);
 
         expect_whole(streaming).await;
     });
--- a/plugins/relay/tests/relay/restored_store.rs
+++ b/plugins/relay/tests/relay/restored_store.rs
@@ -7,7 +7,8 @@
 use tokio::time::{sleep, timeout};
 
 use crate::standin::{
-    LETHAL, LONG, Runner, Site, ask, configuration, on_one_thread, request, wait_for_chains,
+    Cluster, LETHAL, Runner, TEST_TIMEOUT, configuration, get, run_single_threaded, send_request,
+    wait_for_chains,
 };
 use crate::{LOOKUP, NOTES, TOKENS};
 
@@ -17,18 +18,18 @@
 /// A newer configuration has the revision of the one in force, which the store has lost.
 #[gtest]
 fn a_configuration_at_a_revision_that_was_seen_before_is_read() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        let copy = site.store.copy();
-        site.store.put("config", "main", &configuration(2));
-        let revision = site.store.revision();
-        site.in_force(2).await;
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        let snapshot = cluster.store.snapshot();
+        cluster.store.put("config", "main", &configuration(2));
+        let revision = cluster.store.revision();
+        cluster.wait_for_version(2).await;
 
-        site.store.restore(&copy);
-        site.store.advance_to(revision - 1);
-        site.store.put("config", "main", &configuration(3));
-        expect_that!(site.store.revision(), eq(revision));
-        site.in_force(3).await;
+        cluster.store.restore(&snapshot);
+        cluster.store.advance_revision(revision - 1);
+        cluster.store.put("config", "main", &configuration(3));
+        expect_that!(cluster.store.revision(), eq(revision));
+        cluster.wait_for_version(3).await;
     });
 }
 
@@ -36,21 +37,21 @@
 /// were taken away since would be served there.
 #[gtest]
 fn an_instance_that_reads_an_older_configuration_than_others_have_serves_nobody() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        let copy = site.store.copy();
-        site.store.put("config", "main", &configuration(2));
-        site.in_force(2).await;
-        site.store.restore(&copy);
-        site.runners.iter().for_each(|r| r.register("ready"));
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        let snapshot = cluster.store.snapshot();
+        cluster.store.put("config", "main", &configuration(2));
+        cluster.wait_for_version(2).await;
+        cluster.store.restore(&snapshot);
+        cluster.runners.iter().for_each(|r| r.register("ready"));
 
-        let (new, _relay) = site.started("new").await;
+        let (new, _relay) = cluster.start_unready_instance("new").await;
         until_ready(&new, false).await;
-        let got = request(new.listen.callers, LOOKUP, "", "").await;
+        let got = send_request(new.listen.callers, LOOKUP, "", "").await;
         expect_that!(got.status, eq(503));
-        site.store.put("config", "main", &configuration(2));
+        cluster.store.put("config", "main", &configuration(2));
         until_ready(&new, true).await;
-        let got = request(new.listen.callers, LOOKUP, "", "").await;
+        let got = send_request(new.listen.callers, LOOKUP, "", "").await;
         expect_that!(got.status, eq(200));
     });
 }
@@ -59,8 +60,8 @@
 async fn until_ready(at: &RelaySettings, wanted: bool) {
     let found = async {
         loop {
-            let dump = ask(at.listen.operators, "GET /dump HTTP/1.1").await;
-            let ready = ask(at.listen.ready, "GET /api/ready HTTP/1.1").await;
+            let dump = get(at.listen.operators, "GET /dump HTTP/1.1").await;
+            let ready = get(at.listen.ready, "GET /api/ready HTTP/1.1").await;
             let knows = dump.body.contains("\"name\": \"one\"");
             if knows && (ready.status == 200) == wanted {
                 return;
@@ -68,33 +69,37 @@
             sleep(Duration::from_millis(50)).await;
         }
     };
-    timeout(LONG, found).await.expect("it is so in the end");
+    timeout(TEST_TIMEOUT, found)
+        .await
+        .expect("it is so in the end");
 }
 
 /// A request is held, and the store loses that it is: all instances that start later would learn it anew.
 #[gtest]
 fn a_held_request_that_the_store_lost_is_written_again() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        let copy = site.store.copy();
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        let snapshot = cluster.store.snapshot();
         let held = async {
-            while site.store.names(HELD).is_empty() {
-                wait_for_chains(&site.settings, 1).await;
-                request(site.callers(), NOTES, TOKENS, LETHAL).await;
+            while cluster.store.names(HELD).is_empty() {
+                wait_for_chains(&cluster.settings, 1).await;
+                send_request(cluster.callers(), NOTES, TOKENS, LETHAL).await;
                 sleep(Duration::from_millis(100)).await;
             }
         };
-        timeout(LONG, held).await.expect("it is written");
-        let runs: usize = site.runners.iter().map(|r| r.lethal_runs()).sum();
-        site.store.restore(&copy);
-        site.runners.iter().for_each(|r| r.register("ready"));
+        timeout(TEST_TIMEOUT, held).await.expect("it is written");
+        let runs: usize = cluster.runners.iter().map(|r| r.lethal_run_count()).sum();
+        cluster.store.restore(&snapshot);
+        cluster.runners.iter().for_each(|r| r.register("ready"));
         let written = async {
-            while site.store.names(HELD).is_empty() {
+            while cluster.store.names(HELD).is_empty() {
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        timeout(LONG, written).await.expect("it is written again");
-        let after: usize = site.runners.iter().map(|r| r.lethal_runs()).sum();
+        timeout(TEST_TIMEOUT, written)
+            .await
+            .expect("it is written again");
+        let after: usize = cluster.runners.iter().map(|r| r.lethal_run_count()).sum();
         expect_that!(after, eq(runs));
     });
 }
@@ -102,17 +107,17 @@
 /// A runner registers after the restore at a revision up to which everything was known before it.
 #[gtest]
 fn a_runner_that_registers_after_a_restore_is_seen() {
-    on_one_thread(async {
-        let site = Site::open().await;
-        let copy = site.store.copy();
-        site.store.advance_to(copy.revision() + 20);
-        let late = Runner::spawn(&site.store, "late", "pool", "a").await;
-        site.shows("\"late\"").await;
+    run_single_threaded(async {
+        let cluster = Cluster::open().await;
+        let snapshot = cluster.store.snapshot();
+        cluster.store.advance_revision(snapshot.revision() + 20);
+        let late = Runner::spawn(&cluster.store, "late", "pool", "a").await;
+        cluster.wait_for_dump("\"late\"").await;
 
-        site.store.restore(&copy);
-        let _new = Runner::spawn(&site.store, "new", "pool", "a").await;
-        site.store.advance_to(copy.revision() + 40);
+        cluster.store.restore(&snapshot);
+        let _new = Runner::spawn(&cluster.store, "new", "pool", "a").await;
+        cluster.store.advance_revision(snapshot.revision() + 40);
         late.register("ready");
-        site.shows("\"new\"").await;
+        cluster.wait_for_dump("\"new\"").await;
     });
 }
--- a/plugins/relay/tests/support/standin.rs
+++ b/plugins/relay/tests/support/standin.rs
@@ -18,15 +18,15 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout};
 
-pub use caller::{Seen, ask, raw, request, seen};
-pub use runner::{BORN_MS, LETHAL, Manner, Runner};
+pub use caller::{Response, get, parse_response, send_raw, send_request};
+pub use runner::{BORN_MS, Behaviour, LETHAL, Runner};
 pub use store::Store;
 
 /// Longest wait for anything here: a test that waits this long has failed.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs a test on one thread, as the relay runs.
-pub fn on_one_thread<F: Future<Output = ()>>(test: F) {
+pub fn run_single_threaded<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -36,7 +36,7 @@
 
 /// A small deployment: the store, four runners that hold a model in two domains, two plain ones,
 /// and one relay.
-pub struct Site {
+pub struct Cluster {
     pub store: Rc<Store>,
     pub runners: Vec<Rc<Runner>>,
     pub plain: Vec<Rc<Runner>>,
@@ -44,18 +44,18 @@
     pub relay: Option<Relay>,
 }
 
-impl Site {
-    pub async fn open() -> Site {
-        Site::bound_by(|_| {}).await
+impl Cluster {
+    pub async fn open() -> Cluster {
+        Cluster::with_bounds(|_| {}).await
     }
 
-    /// A site whose instances refuse unconfirmed keys after `revocation_ms`.
-    pub async fn with(revocation_ms: u64) -> Site {
-        Site::bound_by(|bounds| bounds.revocation_ms = revocation_ms).await
+    /// A cluster whose instances refuse unconfirmed keys after `revocation_ms`.
+    pub async fn with_revocation_bound(revocation_ms: u64) -> Cluster {
+        Cluster::with_bounds(|bounds| bounds.revocation_ms = revocation_ms).await
     }
 
-    /// A site with bounds that `change` sets.
-    pub async fn bound_by(change: impl FnOnce(&mut Bounds)) -> Site {
+    /// A cluster with bounds that `change` sets.
+    pub async fn with_bounds(change: impl FnOnce(&mut Bounds)) -> Cluster {
         let (store, address) = Store::spawn().await;
         store.put("config", "main", &configuration(1));
         let mut runners = Vec::new();
@@ -69,15 +69,15 @@
         let mut settings = settings(address);
         change(&mut settings.bounds);
         let relay = Relay::spawn(settings.clone()).await.expect("a relay");
-        let site = Site {
+        let cluster = Cluster {
             store,
             runners,
             plain,
             settings,
             relay: Some(relay),
         };
-        site.wait_for_chains().await;
-        site
+        cluster.wait_for_chains().await;
+        cluster
     }
 
     /// Until both domains hold the model and the relay takes callers.
@@ -86,21 +86,21 @@
     }
 
     /// Another instance of the same deployment, in the other domain.
-    pub async fn another(&self, name: &str) -> (RelaySettings, Relay) {
-        let another = self.another_alone(name).await;
-        self.shows(&format!("\"name\": \"{name}\"")).await;
+    pub async fn start_instance(&self, name: &str) -> (RelaySettings, Relay) {
+        let another = self.start_sole_instance(name).await;
+        self.wait_for_dump(&format!("\"name\": \"{name}\"")).await;
         another
     }
 
     /// The same where no other instance lives.
-    pub async fn another_alone(&self, name: &str) -> (RelaySettings, Relay) {
-        let (settings, relay) = self.started(name).await;
+    pub async fn start_sole_instance(&self, name: &str) -> (RelaySettings, Relay) {
+        let (settings, relay) = self.start_unready_instance(name).await;
         wait_for_chains(&settings, 2).await;
         (settings, relay)
     }
 
     /// Another instance that has just started, in the other domain.
-    pub async fn started(&self, name: &str) -> (RelaySettings, Relay) {
+    pub async fn start_unready_instance(&self, name: &str) -> (RelaySettings, Relay) {
         let mut settings = settings(self.settings.store);
         settings.name = name.into();
         settings.failure_domain = "b".into();
@@ -115,77 +115,79 @@
     }
 
     /// Runs of all runners.
-    pub fn runs(&self) -> usize {
+    pub fn run_count(&self) -> usize {
         self.runners
             .iter()
             .chain(&self.plain)
-            .map(|r| r.runs())
+            .map(|r| r.run_count())
             .sum()
     }
 
-    /// A site whose callers of streams wait for a long time, so that a busy machine changes nothing.
-    pub async fn patient(change: impl FnOnce(&mut Bounds)) -> Site {
-        let site = Site::bound_by(change).await;
+    /// A cluster whose callers of streams wait for a long time, so that a busy machine changes nothing.
+    pub async fn with_long_timeouts(change: impl FnOnce(&mut Bounds)) -> Cluster {
+        let cluster = Cluster::with_bounds(change).await;
         let mut patient = configuration(2);
         // Callers wait four times as long for the next event.
         patient["routes"][0]["targetLatencyMs"] = 2_500.into();
         patient["routes"][0]["timeoutMs"] = 20_000.into();
-        site.store.put("config", "main", &patient);
-        site.in_force(2).await;
-        site
+        cluster.store.put("config", "main", &patient);
+        cluster.wait_for_version(2).await;
+        cluster
     }
 
     /// Until the relay's state shows a text.
-    pub async fn shows(&self, wanted: &str) {
+    pub async fn wait_for_dump(&self, wanted: &str) {
         let found = async {
             loop {
-                let dump = ask(self.settings.listen.operators, "GET /dump HTTP/1.1").await;
+                let dump = get(self.settings.listen.operators, "GET /dump HTTP/1.1").await;
                 if dump.body.contains(wanted) {
                     return;
                 }
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        timeout(LONG, found).await.expect("it shows");
+        timeout(TEST_TIMEOUT, found).await.expect("it shows");
     }
 
     /// Until the relay acts on a version of the configuration.
-    pub async fn in_force(&self, version: u64) {
-        self.shows(&format!("\"version\": {version}")).await;
+    pub async fn wait_for_version(&self, version: u64) {
+        self.wait_for_dump(&format!("\"version\": {version}")).await;
     }
 
     /// Whether anything comes from any runner.
-    pub fn hold_all(&self, held: bool) {
+    pub fn pause_all(&self, held: bool) {
         for runner in self.runners.iter().chain(&self.plain) {
-            runner.held.set(held);
+            runner.responses_paused.set(held);
         }
     }
 
     /// Until the relay takes so many runners for dead.
-    pub async fn dead_are(&self, count: usize) {
+    pub async fn wait_for_dead(&self, count: usize) {
         let found = async {
-            while self.dead().await < count {
+            while self.dead_runners().await < count {
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(LONG, found).await.expect("they are found dead");
+        timeout(TEST_TIMEOUT, found)
+            .await
+            .expect("they are found dead");
     }
 
     /// The runner of the first domain that holds a range of layers.
-    pub fn near(&self, layers: (u64, u64)) -> &Runner {
+    pub fn local_runner(&self, layers: (u64, u64)) -> &Runner {
         let mut near = self.runners[..2].iter();
-        near.find(|r| r.held() == Some(layers)).expect("a holder")
+        near.find(|r| r.layers() == Some(layers)).expect("a holder")
     }
 
     /// Runners that the relay takes for dead.
-    pub async fn dead(&self) -> usize {
-        let dump = ask(self.settings.listen.operators, "GET /dump HTTP/1.1").await;
+    pub async fn dead_runners(&self) -> usize {
+        let dump = get(self.settings.listen.operators, "GET /dump HTTP/1.1").await;
         dump.body.matches("\"dead\": true").count()
     }
 
-    pub fn set_all(&self, manner: Manner) {
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         for runner in self.runners.iter().chain(&self.plain) {
-            runner.manner.set(manner);
+            runner.behaviour.set(behaviour);
         }
     }
 }
@@ -194,8 +196,8 @@
 pub async fn wait_for_chains(settings: &RelaySettings, count: usize) {
     let whole = async {
         loop {
-            let dump = ask(settings.listen.operators, "GET /dump HTTP/1.1").await;
-            let ready = ask(settings.listen.ready, "GET /api/ready HTTP/1.1").await;
+            let dump = get(settings.listen.operators, "GET /dump HTTP/1.1").await;
+            let ready = get(settings.listen.ready, "GET /api/ready HTTP/1.1").await;
             let chains = dump.body.matches("\"room_tokens\"").count();
             let broken = dump.body.matches("\"broken\": true").count();
             if chains - broken >= count && ready.status == 200 {
@@ -204,7 +206,7 @@
             sleep(Duration::from_millis(50)).await;
         }
     };
-    timeout(LONG, whole).await.expect("whole chains");
+    timeout(TEST_TIMEOUT, whole).await.expect("whole chains");
 }
 
 /// The desired state: a stream, an idempotent and a non-idempotent route.
--- a/plugins/relay/tests/support/standin/runner.rs
+++ b/plugins/relay/tests/support/standin/runner.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep};
 use tokio_util::sync::CancellationToken;
 
-use super::LONG;
+use super::TEST_TIMEOUT;
 use super::store::Store;
 
 /// When each runner was born first, as its entry says.
@@ -22,46 +22,46 @@
 pub const LETHAL: &str = "lethal";
 
 /// Time between the beginning of such a run and the runner's end, and until the runner is back.
-const DYING: Duration = Duration::from_millis(30);
-const DOWN: Duration = Duration::from_millis(250);
+const CRASH_DELAY: Duration = Duration::from_millis(30);
+const RESTART_DELAY: Duration = Duration::from_millis(250);
 
 /// How a runner treats the next requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
+pub enum Behaviour {
     /// A whole answer.
-    Well,
+    Normal,
     /// Says that it did not run it.
     NotRun,
     /// 500 with its receipt.
-    Fails,
+    ServerError,
     /// Reads the request and closes.
-    Closes,
+    ClosesConnection,
     /// A length that is longer than what it sends.
-    Short,
+    TruncatesBody,
     /// An answer that names another request.
-    Foreign,
+    WrongRequestId,
     /// No receipt.
     NoReceipt,
     /// Breaks off within the third event.
-    BreaksOff,
+    BreaksMidEvent,
     /// One event after another until the caller leaves.
     Endless,
     /// Stops after the second event until it is ordered to go on along another chain.
-    Stalls,
+    StallsUntilRerouted,
     /// Takes a request and says nothing more, but answers when it is asked.
-    Mute,
+    HangsRequests,
     /// Says nothing.
-    Silent,
+    Unresponsive,
 }
 
 /// What a runner was sent.
 #[derive(Clone, Debug)]
-pub struct Received {
+pub struct ReceivedRequest {
     pub head: String,
     pub body: Vec<u8>,
 }
 
-impl Received {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> Option<&str> {
         header(&self.head, name)
     }
@@ -82,26 +82,26 @@
 pub struct Runner {
     pub id: String,
     pub address: SocketAddr,
-    pub manner: Cell<Manner>,
+    pub behaviour: Cell<Behaviour>,
     /// Nothing comes from it while set, as where the link of the one that listens is full.
-    pub held: Cell<bool>,
+    pub responses_paused: Cell<bool>,
     /// Whether it knows of reports: a plain service need not.
-    pub reports: Cell<bool>,
+    pub serves_reports: Cell<bool>,
     /// Time that its report takes.
-    pub report_time: Cell<Duration>,
-    pub received: RefCell<Vec<Received>>,
+    pub report_delay: Cell<Duration>,
+    pub received: RefCell<Vec<ReceivedRequest>>,
     /// Callers that left before the end.
-    pub left: Cell<usize>,
+    pub disconnects: Cell<usize>,
     /// Orders to go on along another chain: the request, and the path.
-    pub rerouted: RefCell<Vec<(String, String)>>,
+    pub reroutes: RefCell<Vec<(String, String)>>,
     /// When requests arrived, those that it refused too.
-    pub arrived: RefCell<Vec<Instant>>,
+    pub arrivals: RefCell<Vec<Instant>>,
     /// Requests a second that it names as its limit.
-    pub limit: Cell<Option<f64>>,
+    pub rate_limit: Cell<Option<f64>>,
     /// Cancelled when it ends.
-    life: RefCell<CancellationToken>,
+    lifetime: RefCell<CancellationToken>,
     /// How long it is away after its end.
-    down: Cell<Duration>,
+    downtime: Cell<Duration>,
     born_ms: Cell<u64>,
     store: Rc<Store>,
     service: String,
@@ -116,17 +116,17 @@
         let runner = Rc::new(Runner {
             id: id.to_owned(),
             address: listener.local_addr().expect("an address"),
-            manner: Cell::new(Manner::Well),
-            held: Cell::new(false),
-            reports: Cell::new(true),
-            report_time: Cell::default(),
+            behaviour: Cell::new(Behaviour::Normal),
+            responses_paused: Cell::new(false),
+            serves_reports: Cell::new(true),
+            report_delay: Cell::default(),
             received: RefCell::default(),
-            left: Cell::new(0),
-            rerouted: RefCell::default(),
-            arrived: RefCell::default(),
-            limit: Cell::default(),
-            life: RefCell::default(),
-            down: Cell::new(DOWN),
+            disconnects: Cell::new(0),
+            reroutes: RefCell::default(),
+            arrivals: RefCell::default(),
+            rate_limit: Cell::default(),
+            lifetime: RefCell::default(),
+            downtime: Cell::new(RESTART_DELAY),
             born_ms: Cell::new(BORN_MS),
             store: Rc::clone(store),
             service: service.to_owned(),
@@ -135,19 +135,19 @@
             layers: Cell::new(None),
         });
         runner.register("ready");
-        spawn_local(Rc::clone(&runner).lives(listener));
+        spawn_local(Rc::clone(&runner).run_lifetimes(listener));
         runner
     }
 
     /// One lifetime after the other.
-    async fn lives(self: Rc<Self>, mut listener: TcpListener) {
+    async fn run_lifetimes(self: Rc<Self>, mut listener: TcpListener) {
         loop {
-            let life = CancellationToken::new();
-            *self.life.borrow_mut() = life.clone();
-            let accepting = Rc::clone(&self).accept(&listener, &life);
-            life.run_until_cancelled(accepting).await;
+            let lifetime = CancellationToken::new();
+            *self.lifetime.borrow_mut() = lifetime.clone();
+            let accepting = Rc::clone(&self).accept(&listener, &lifetime);
+            lifetime.run_until_cancelled(accepting).await;
             drop(listener);
-            sleep(self.down.get()).await;
+            sleep(self.downtime.get()).await;
             self.born_ms.set(self.born_ms.get() + 1);
             self.layers.set(None);
             self.orders.set(0);
@@ -156,21 +156,25 @@
         }
     }
 
-    async fn accept(self: Rc<Self>, listener: &TcpListener, life: &CancellationToken) {
+    async fn accept(self: Rc<Self>, listener: &TcpListener, lifetime: &CancellationToken) {
         while let Ok((stream, _)) = listener.accept().await {
-            let (runner, life) = (Rc::clone(&self), life.clone());
-            spawn_local(async move { life.run_until_cancelled(runner.connection(stream)).await });
+            let (runner, lifetime) = (Rc::clone(&self), lifetime.clone());
+            spawn_local(async move {
+                lifetime
+                    .run_until_cancelled(runner.connection(stream))
+                    .await
+            });
         }
     }
 
     /// It ends for good: its connections break, and nobody listens there.
-    pub fn end(&self) {
-        self.down.set(LONG * 2);
-        self.life.borrow().cancel();
+    pub fn crash(&self) {
+        self.downtime.set(TEST_TIMEOUT * 2);
+        self.lifetime.borrow().cancel();
     }
 
     /// Runs of lethal requests that it began.
-    pub fn lethal_runs(&self) -> usize {
+    pub fn lethal_run_count(&self) -> usize {
         let received = self.received.borrow();
         received.iter().filter(|r| r.is_lethal()).count()
     }
@@ -196,12 +200,12 @@
     }
 
     /// Layers that it holds.
-    pub fn held(&self) -> Option<(u64, u64)> {
+    pub fn layers(&self) -> Option<(u64, u64)> {
         self.layers.get()
     }
 
     /// Requests that it began to work on.
-    pub fn runs(&self) -> usize {
+    pub fn run_count(&self) -> usize {
         self.received.borrow().len()
     }
 
@@ -211,29 +215,29 @@
         };
         let first = head.lines().next().unwrap_or("").to_owned();
         if first.starts_with("GET /api/report") {
-            if self.manner.get() != Manner::Silent {
+            if self.behaviour.get() != Behaviour::Unresponsive {
                 self.report(&mut stream).await;
             }
         } else if first.starts_with("POST /api/order") {
             self.order(&mut stream, &body).await;
         } else {
-            let received = Received { head, body };
+            let received = ReceivedRequest { head, body };
             self.serve(&mut stream, received).await;
         }
     }
 
-    async fn while_held(&self) {
-        while self.held.get() {
+    async fn wait_while_paused(&self) {
+        while self.responses_paused.get() {
             sleep(Duration::from_millis(5)).await;
         }
     }
 
     async fn report(&self, stream: &mut TcpStream) {
-        self.while_held().await;
-        if !self.reports.get() {
+        self.wait_while_paused().await;
+        if !self.serves_reports.get() {
             return write_json(stream, "404 Not Found", &Value::Null).await;
         }
-        sleep(self.report_time.get()).await;
+        sleep(self.report_delay.get()).await;
         let layers = self.layers.get();
         let layers = layers.map(|(from, target)| json!({ "from": from, "target": target }));
         let report = json!({
@@ -247,7 +251,7 @@
         if order["operation"] == "repath" {
             let text = |name: &str| order[name].as_str().expect("a text").to_owned();
             let rerouted = (text("id"), text("path"));
-            self.rerouted.borrow_mut().push(rerouted);
+            self.reroutes.borrow_mut().push(rerouted);
             return write_json(stream, "202 Accepted", &Value::Null).await;
         }
         if order["precondition"].as_u64() != Some(self.orders.get()) {
@@ -260,8 +264,8 @@
         self.register("ready");
     }
 
-    async fn serve(&self, stream: &mut TcpStream, received: Received) {
-        let manner = self.manner.get();
+    async fn serve(&self, stream: &mut TcpStream, received: ReceivedRequest) {
+        let behaviour = self.behaviour.get();
         let id = received
             .header("x-jacinthweir-request-id")
             .unwrap_or("")
@@ -271,11 +275,11 @@
             .and_then(|v| v.parse::<u64>().ok());
         let is_stream = received.header("x-jacinthweir-hop-count").is_some();
         let is_lethal = received.is_lethal();
-        self.arrived.borrow_mut().push(Instant::now());
-        if manner != Manner::NotRun {
+        self.arrivals.borrow_mut().push(Instant::now());
+        if behaviour != Behaviour::NotRun {
             self.received.borrow_mut().push(received);
         }
-        let limit = self.limit.get();
+        let limit = self.rate_limit.get();
         let limit = limit.map_or(String::new(), |l| format!("Server-Limit: {l}\r\n"));
         let receipt = format!("{limit}X-Jacinthweir-Server-Stamp: of-{}\r\n", self.id);
         let own = format!("X-Jacinthweir-Request-Id: {id}\r\n");
@@ -285,27 +289,32 @@
         };
         if is_lethal {
             return self
-                .die(stream, &format!("{own}{receipt}"), is_stream)
+                .crash_mid_run(stream, &format!("{own}{receipt}"), is_stream)
                 .await;
         }
-        let text = match manner {
-            Manner::Silent | Manner::Mute => {
-                sleep(LONG).await;
+        let text = match behaviour {
+            Behaviour::Unresponsive | Behaviour::HangsRequests => {
+                sleep(TEST_TIMEOUT).await;
                 return;
             }
-            Manner::Closes => return,
-            Manner::NotRun => whole("503 Full", "X-Jacinthweir-Not-Run: 1\r\n", ""),
-            Manner::Fails => whole("500 Failed", &format!("{own}{receipt}"), "failed"),
-            Manner::Foreign => {
+            Behaviour::ClosesConnection => return,
+            Behaviour::NotRun => whole("503 Full", "X-Jacinthweir-Not-Run: 1\r\n", ""),
+            Behaviour::ServerError => whole("500 Failed", &format!("{own}{receipt}"), "failed"),
+            Behaviour::WrongRequestId => {
                 let other = "X-Jacinthweir-Request-Id: another\r\n";
                 whole("200 OK", &format!("{other}{receipt}"), "another's")
             }
-            Manner::NoReceipt => whole("200 OK", &own, "answer"),
-            Manner::Short => {
+            Behaviour::NoReceipt => whole("200 OK", &own, "answer"),
+            Behaviour::TruncatesBody => {
                 let head = format!("HTTP/1.1 200 OK\r\n{own}{receipt}Content-Length: 100\r\n\r\n");
                 format!("{head}half an answer")
             }
-            Manner::Well | Manner::BreaksOff | Manner::Endless | Manner::Stalls if is_stream => {
+            Behaviour::Normal
+            | Behaviour::BreaksMidEvent
+            | Behaviour::Endless
+            | Behaviour::StallsUntilRerouted
+                if is_stream =>
+            {
                 return self.stream(stream, &format!("{own}{receipt}"), after).await;
             }
             _ => whole(
@@ -319,13 +328,13 @@
     }
 
     /// Begins an answer and ends, with all that runs here.
-    async fn die(&self, stream: &mut TcpStream, headers: &str, is_stream: bool) {
+    async fn crash_mid_run(&self, stream: &mut TcpStream, headers: &str, is_stream: bool) {
         let head = format!("HTTP/1.1 200 OK\r\n{headers}Transfer-Encoding: chunked\r\n\r\n");
         if is_stream {
             let _ = stream.write_all(head.as_bytes()).await;
         }
-        sleep(DYING).await;
-        self.life.borrow().cancel();
+        sleep(CRASH_DELAY).await;
+        self.lifetime.borrow().cancel();
     }
 
     /// Six events; each names the runner.
@@ -334,31 +343,31 @@
             "HTTP/1.1 200 OK\r\n{headers}Content-Type: text/event-stream\r\n\
              Transfer-Encoding: chunked\r\n\r\n"
         );
-        self.while_held().await;
+        self.wait_while_paused().await;
         if stream.write_all(head.as_bytes()).await.is_err() {
             return;
         }
-        let last = if self.manner.get() == Manner::Endless {
+        let last = if self.behaviour.get() == Behaviour::Endless {
             10_000
         } else {
             6
         };
         for event in after.unwrap_or(0) + 1..=last {
-            self.while_held().await;
+            self.wait_while_paused().await;
             let text = format!("id: {event}\ndata: {}\n\n", self.id);
-            if self.manner.get() == Manner::BreaksOff && event == 3 {
+            if self.behaviour.get() == Behaviour::BreaksMidEvent && event == 3 {
                 let part = &text[..8];
                 let _ = write_chunk(stream, part).await;
                 return;
             }
-            while self.manner.get() == Manner::Stalls
+            while self.behaviour.get() == Behaviour::StallsUntilRerouted
                 && event == 3
-                && self.rerouted.borrow().is_empty()
+                && self.reroutes.borrow().is_empty()
             {
                 sleep(Duration::from_millis(10)).await;
             }
             if write_chunk(stream, &text).await.is_err() {
-                self.left.set(self.left.get() + 1);
+                self.disconnects.set(self.disconnects.get() + 1);
                 return;
             }
             sleep(Duration::from_millis(10)).await;
--- a/plugins/relay/tests/support/standin/store.rs
+++ b/plugins/relay/tests/support/standin/store.rs
@@ -23,21 +23,21 @@
 pub struct Store {
     objects: RefCell<BTreeMap<(String, String), Value>>,
     /// Objects that are gone, by kind, with the revision at which they went.
-    gone: RefCell<Vec<(String, u64, Value)>>,
+    removed: RefCell<Vec<(String, u64, Value)>>,
     revision: Cell<u64>,
     /// Rises with each return from an older copy.
     era: Cell<u64>,
     /// Answers nothing while set.
-    pub silent: Cell<bool>,
+    pub unresponsive: Cell<bool>,
 }
 
 /// An older copy of the store.
-pub struct Copy {
+pub struct Snapshot {
     objects: BTreeMap<(String, String), Value>,
     revision: u64,
 }
 
-impl Copy {
+impl Snapshot {
     /// Revision of its last change.
     pub fn revision(&self) -> u64 {
         self.revision
@@ -70,18 +70,18 @@
     }
 
     /// What it holds now.
-    pub fn copy(&self) -> Copy {
-        Copy {
+    pub fn snapshot(&self) -> Snapshot {
+        Snapshot {
             objects: self.objects.borrow().clone(),
             revision: self.revision.get(),
         }
     }
 
     /// It comes back from an older copy: what was written since is gone, revisions are given out again.
-    pub fn restore(&self, copy: &Copy) {
-        self.objects.borrow_mut().clone_from(&copy.objects);
-        self.gone.borrow_mut().clear();
-        self.revision.set(copy.revision);
+    pub fn restore(&self, snapshot: &Snapshot) {
+        self.objects.borrow_mut().clone_from(&snapshot.objects);
+        self.removed.borrow_mut().clear();
+        self.revision.set(snapshot.revision);
         self.era.set(self.era.get() + 1);
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Changes that concern nobody, up to a revision.
-    pub fn advance_to(&self, revision: u64) {
+    pub fn advance_revision(&self, revision: u64) {
         while self.revision.get() < revision {
             self.put("others", "any", &Value::Null);
         }
@@ -103,7 +103,7 @@
         let key = (kind.to_owned(), name.to_owned());
         let object = self.objects.borrow_mut().remove(&key).expect("it is there");
         let gone = (kind.to_owned(), self.revision.get(), object);
-        self.gone.borrow_mut().push(gone);
+        self.removed.borrow_mut().push(gone);
     }
 
     /// Names of the objects of a kind.
@@ -114,14 +114,14 @@
     }
 
     /// What an object says can't be decoded from now on; its revision stays.
-    pub fn spoil(&self, kind: &str, name: &str) {
+    pub fn corrupt(&self, kind: &str, name: &str) {
         let mut objects = self.objects.borrow_mut();
         let object = objects.get_mut(&(kind.to_owned(), name.to_owned()));
         object.expect("it is there")["spec"] = Value::Null;
     }
 
     async fn answer(&self, req: Request<Incoming>) -> Response<Full<Bytes>> {
-        while self.silent.get() {
+        while self.unresponsive.get() {
             sleep(Duration::from_millis(20)).await;
         }
         let method = req.method().clone();
@@ -142,7 +142,7 @@
                     .expect("a name")
                     .to_owned();
                 if self.has(&kind, &name) {
-                    return answer(StatusCode::CONFLICT, &Value::Null);
+                    return response(StatusCode::CONFLICT, &Value::Null);
                 }
                 self.put(&kind, &name, &object["spec"]);
                 self.get(&kind, &name)
@@ -151,19 +151,19 @@
                 if self.has(&kind, &name) {
                     self.remove(&kind, &name);
                 }
-                answer(StatusCode::OK, &Value::Null)
+                response(StatusCode::OK, &Value::Null)
             }
             (_, Some(name)) => {
                 let object = spec();
                 let standing = self.revision_of(&kind, &name);
                 let wanted = object["metadata"]["revision"].as_u64();
                 if wanted.is_some_and(|w| Some(w) != standing) {
-                    return answer(StatusCode::CONFLICT, &Value::Null);
+                    return response(StatusCode::CONFLICT, &Value::Null);
                 }
                 self.put(&kind, &name, &object["spec"]);
                 self.get(&kind, &name)
             }
-            _ => answer(StatusCode::BAD_REQUEST, &Value::Null),
+            _ => response(StatusCode::BAD_REQUEST, &Value::Null),
         }
     }
 
@@ -180,12 +180,12 @@
     fn get(&self, kind: &str, name: &str) -> Response<Full<Bytes>> {
         let objects = self.objects.borrow();
         match objects.get(&(kind.to_owned(), name.to_owned())) {
-            Some(object) => answer(StatusCode::OK, object),
-            None => answer(StatusCode::NOT_FOUND, &Value::Null),
+            Some(object) => response(StatusCode::OK, object),
+            None => response(StatusCode::NOT_FOUND, &Value::Null),
         }
     }
 
-    fn since(&self, kind: &str, revision: u64) -> Vec<Value> {
+    fn changed_since(&self, kind: &str, revision: u64) -> Vec<Value> {
         let objects = self.objects.borrow();
         let of_kind = objects.iter().filter(|((k, _), _)| k == kind);
         let newer = |o: &&Value| o["metadata"]["revision"].as_u64() > Some(revision);
@@ -200,17 +200,17 @@
                 .find_map(|(_, v)| v.parse::<u64>().ok())
         };
         let Some(revision) = field("watch") else {
-            let items = self.since(kind, 0);
+            let items = self.changed_since(kind, 0);
             let list = json!({ "items": items, "truncated": false, "asOf": self.revision.get() });
-            return answer(StatusCode::OK, &list);
+            return response(StatusCode::OK, &list);
         };
         if revision > self.revision.get() {
-            return answer(StatusCode::GONE, &Value::Null);
+            return response(StatusCode::GONE, &Value::Null);
         }
         let events = || {
-            let changed = self.since(kind, revision);
+            let changed = self.changed_since(kind, revision);
             let changed = changed.into_iter().map(|o| json!({ "object": o }));
-            let gone = self.gone.borrow();
+            let gone = self.removed.borrow();
             let gone = gone.iter().filter(|(k, r, _)| k == kind && *r > revision);
             let gone = gone.map(|(_, _, o)| json!({ "object": o, "deleted": true }));
             changed.chain(gone).collect::<Vec<Value>>()
@@ -222,14 +222,14 @@
             sleep(Duration::from_millis(20)).await;
         }
         let events = events();
-        answer(
+        response(
             StatusCode::OK,
             &json!({ "events": events, "asOf": self.revision.get() }),
         )
     }
 }
 
-fn answer(status: StatusCode, body: &Value) -> Response<Full<Bytes>> {
+fn response(status: StatusCode, body: &Value) -> Response<Full<Bytes>> {
     let mut res = Response::new(Full::new(Bytes::from(body.to_string())));
     *res.status_mut() = status;
     res
