--- a/plugins/relay/tests/relay.rs
+++ b/plugins/relay/tests/relay.rs
@@ -1,18 +1,18 @@
 //! End-to-end tests of the relay against stand-ins for store, runners and callers, over real
 //! sockets.
 
-#[path = "relay/lethal.rs"]
-mod lethal;
-#[path = "relay/named_limits.rs"]
-mod named_limits;
-#[path = "relay/own_link.rs"]
-mod own_link;
-#[path = "relay/repeats.rs"]
-mod repeats;
-#[path = "relay/restored_store.rs"]
-mod restored_store;
+#[path = "relay/failure_detection.rs"]
+mod failure_detection;
+#[path = "relay/quarantine.rs"]
+mod quarantine;
+#[path = "relay/rate_limits.rs"]
+mod rate_limits;
 #[path = "support/standin.rs"]
 mod standin;
+#[path = "relay/store_restore.rs"]
+mod store_restore;
+#[path = "relay/stream_failover.rs"]
+mod stream_failover;
 
 use std::time::Duration;
 
