--- a/plugins/relay/tests/relay/quarantine.rs
+++ b/plugins/relay/tests/relay/quarantine.rs
@@ -72,7 +72,7 @@
         let runs = lethal_run_count(&cluster);
         drop(cluster.relay.take());
 
-        let (new, _relay) = cluster.start_sole_instance("new").await;
+        let (new, _relay) = cluster.start_ready_instance("new").await;
         let got = send_request(new.listen.callers, NOTES, TOKENS, LETHAL).await;
         expect_that!(got.status, eq(503));
         expect_that!(lethal_run_count(&cluster), eq(runs));
--- a/plugins/relay/tests/support/standin.rs
+++ b/plugins/relay/tests/support/standin.rs
@@ -89,13 +89,13 @@
     /// Starts another instance in the other failure domain, and waits until it is ready and known
     /// to the first one.
     pub async fn start_instance(&self, name: &str) -> (RelaySettings, Relay) {
-        let started = self.start_sole_instance(name).await;
+        let started = self.start_ready_instance(name).await;
         self.wait_for_dump(&format!("\"name\": \"{name}\"")).await;
         started
     }
 
-    /// Starts an instance while no other one runs, and waits until it is ready.
-    pub async fn start_sole_instance(&self, name: &str) -> (RelaySettings, Relay) {
+    /// Starts another instance in the other failure domain, and waits until it is ready.
+    pub async fn start_ready_instance(&self, name: &str) -> (RelaySettings, Relay) {
         let (settings, relay) = self.start_unready_instance(name).await;
         wait_for_chains(&settings, 2).await;
         (settings, relay)
