--- a/plugins/callers/src/accept.rs
+++ b/plugins/callers/src/accept.rs
@@ -1,4 +1,4 @@
-//! Checks of a request before anything is done for it.
+//! Validates a request before any work is done for it.
 
 use jacinthweir_kernel::body;
 use jacinthweir_kernel::config::InForce;
@@ -7,43 +7,43 @@
 use jacinthweir_kernel::reply::Refusal;
 use jacinthweir_wire::caller::{ChatRequest, CompletionRequest, ErrorCode};
 
-use crate::prompt::{Form, Prompt};
+use crate::prompt::{Endpoint, Prompt};
 
-/// A request that was understood.
+/// A validated request.
 pub(crate) struct Accepted {
     pub(crate) config: Arc<InForce>,
     pub(crate) caller: Caller,
     pub(crate) pipeline: PipelineId,
     pub(crate) prompt: Prompt,
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub(crate) max_tokens: u32,
-    /// Monotonic time of the deadline, in milliseconds.
+    /// Deadline on the monotonic clock, in milliseconds.
     pub(crate) deadline: Millis,
 }
 
-/// Reads and checks a request.
+/// Reads and validates a request.
 ///
 /// # Errors
-/// A refusal; nothing has run.
+/// Returns the refusal to send to the caller; nothing has run.
 pub(crate) async fn accept(
     cx: &Arc<Kernel>,
-    form: Form,
+    endpoint: Endpoint,
     req: &mut Request,
 ) -> Result<Accepted, Refusal> {
     let arrived = cx.clock.now();
     let config = cx.serving_config()?;
     cx.room_for_one()?;
     let caller = Caller::identify(&config, req)?;
-    let prompt = read(cx, form, req).await?;
-    let pipeline = pipeline(&config, &prompt)?;
+    let prompt = read_prompt(cx, endpoint, req).await?;
+    let pipeline = find_pipeline(&config, &prompt)?;
     let decl = &config.schema.pipelines()[pipeline];
     let max_tokens = match prompt.max_tokens {
-        Some(0) => return Err(bad("max_tokens must be greater than 0")),
+        Some(0) => return Err(bad_request("max_tokens must be greater than 0")),
         Some(n) => n.min(decl.max_tokens),
         None => decl.max_tokens,
     };
     if prompt.text.is_empty() {
-        return Err(bad("the prompt is empty"));
+        return Err(bad_request("the prompt is empty"));
     }
     let deadline_ms = caller.deadline_ms.unwrap_or(decl.default_deadline_ms);
     let deadline = arrived.saturating_add(deadline_ms);
@@ -57,20 +57,24 @@
     })
 }
 
-async fn read(cx: &Kernel, form: Form, req: &mut Request) -> Result<Prompt, Refusal> {
+async fn read_prompt(
+    cx: &Kernel,
+    endpoint: Endpoint,
+    req: &mut Request,
+) -> Result<Prompt, Refusal> {
     let limit = cx.settings.limits.body_bytes;
     let timeout = cx.settings.timing.body_timeout_ms;
-    match form {
-        Form::Chat => Ok(body::read_json::<ChatRequest>(req, limit, timeout)
+    match endpoint {
+        Endpoint::Chat => Ok(body::read_json::<ChatRequest>(req, limit, timeout)
             .await?
             .into()),
-        Form::Plain => Ok(body::read_json::<CompletionRequest>(req, limit, timeout)
+        Endpoint::Text => Ok(body::read_json::<CompletionRequest>(req, limit, timeout)
             .await?
             .into()),
     }
 }
 
-fn pipeline(config: &InForce, prompt: &Prompt) -> Result<PipelineId, Refusal> {
+fn find_pipeline(config: &InForce, prompt: &Prompt) -> Result<PipelineId, Refusal> {
     let found = config.schema.pipeline_named(&prompt.pipeline);
     found.ok_or_else(|| {
         let msg = format!("no such model: {}", prompt.pipeline);
@@ -78,6 +82,6 @@
     })
 }
 
-fn bad(msg: &str) -> Refusal {
+fn bad_request(msg: &str) -> Refusal {
     Refusal::not_run(ErrorCode::BadRequest, msg)
 }
--- a/plugins/callers/src/answer.rs
+++ b/plugins/callers/src/answer.rs
@@ -1,4 +1,4 @@
-//! The forms of an answer: one JSON body, or server-sent events.
+//! Encodes an answer as one JSON body or as server-sent events.
 
 use bytes::Bytes;
 use jacinthweir_kernel::prelude::*;
@@ -6,15 +6,15 @@
 use jacinthweir_wire::caller::{ChatMessage, Choice, Completion, Delta, FinishReason, Usage};
 use jacinthweir_wire::runner::EndFrame;
 
-use crate::prompt::Form;
+use crate::prompt::Endpoint;
 
-/// The last line of a stream that ended well.
+/// Terminates a stream whose answer is complete.
 pub(crate) const DONE: &[u8] = b"data: [DONE]\n\n";
 
-/// What all parts of one answer share.
+/// Fields common to the body or all events of one answer.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerHead {
-    pub(crate) form: Form,
+    pub(crate) endpoint: Endpoint,
     pub(crate) id: Name,
     pub(crate) model: Name,
     /// Unix time, in seconds.
@@ -22,66 +22,66 @@
 }
 
 impl AnswerHead {
-    /// The whole answer.
-    pub(crate) fn whole(&self, text: String, end: &EndFrame) -> Completion {
+    /// Returns the body of a complete answer.
+    pub(crate) fn complete(&self, text: String, end: &EndFrame) -> Completion {
         let mut choice = Choice {
             finish_reason: Some(end.finish),
             ..Choice::default()
         };
-        match self.form {
-            Form::Chat => {
+        match self.endpoint {
+            Endpoint::Chat => {
                 choice.message = Some(ChatMessage {
                     role: "assistant".into(),
                     content: text,
                 });
             }
-            Form::Plain => choice.text = Some(text),
+            Endpoint::Text => choice.text = Some(text),
         }
-        let mut completion = self.completion(choice, Kind::Whole);
+        let mut completion = self.completion(choice, Kind::Full);
         completion.usage = Some(usage(end));
         completion.outcome = Some(Outcome::Answered);
         completion
     }
 
-    /// The event of one token.
+    /// Returns the event for one token.
     pub(crate) fn token(&self, text: String) -> Bytes {
-        let choice = self.piece(Some(text), None);
-        event(&self.completion(choice, Kind::Piece))
+        let choice = self.chunk_choice(Some(text), None);
+        event(&self.completion(choice, Kind::Chunk))
     }
 
-    /// The event that ends a whole answer.
+    /// Returns the final event of a complete answer.
     pub(crate) fn end(&self, end: &EndFrame) -> Bytes {
-        let choice = self.piece(None, Some(end.finish));
-        let mut completion = self.completion(choice, Kind::Piece);
+        let choice = self.chunk_choice(None, Some(end.finish));
+        let mut completion = self.completion(choice, Kind::Chunk);
         completion.usage = Some(usage(end));
         completion.outcome = Some(Outcome::Answered);
         event(&completion)
     }
 
-    /// The event that ends a stream whose answer is not whole.
+    /// Returns the event that ends a stream whose answer is incomplete.
     pub(crate) fn error(&self, refusal: &Refusal) -> Bytes {
         let body = refusal.body(Some(&self.id));
         let json = serde_json::to_string(&body).unwrap_or_default();
         Bytes::from(format!("event: error\ndata: {json}\n\n"))
     }
 
-    fn piece(&self, text: Option<String>, finish_reason: Option<FinishReason>) -> Choice {
+    fn chunk_choice(&self, text: Option<String>, finish_reason: Option<FinishReason>) -> Choice {
         let mut choice = Choice {
             finish_reason,
             ..Choice::default()
         };
-        match self.form {
-            Form::Chat => choice.delta = Some(Delta { content: text }),
-            Form::Plain => choice.text = Some(text.unwrap_or_default()),
+        match self.endpoint {
+            Endpoint::Chat => choice.delta = Some(Delta { content: text }),
+            Endpoint::Text => choice.text = Some(text.unwrap_or_default()),
         }
         choice
     }
 
     fn completion(&self, choice: Choice, kind: Kind) -> Completion {
-        let object = match (self.form, kind) {
-            (Form::Chat, Kind::Whole) => "chat.completion",
-            (Form::Chat, Kind::Piece) => "chat.completion.chunk",
-            (Form::Plain, _) => "text_completion",
+        let object = match (self.endpoint, kind) {
+            (Endpoint::Chat, Kind::Full) => "chat.completion",
+            (Endpoint::Chat, Kind::Chunk) => "chat.completion.chunk",
+            (Endpoint::Text, _) => "text_completion",
         };
         Completion {
             id: self.id.clone(),
@@ -97,8 +97,8 @@
 
 #[derive(Clone, Copy)]
 enum Kind {
-    Whole,
-    Piece,
+    Full,
+    Chunk,
 }
 
 fn usage(end: &EndFrame) -> Usage {
--- a/plugins/callers/src/attempt.rs
+++ b/plugins/callers/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a route of model runners.
+//! Runs one attempt of a request along a route of model runners.
 
 use std::time::Duration;
 
@@ -11,68 +11,71 @@
 use jacinthweir_wire::runner::*;
 use tokio::time::timeout;
 
-use crate::driver::{Driver, Told};
+use crate::driver::{AnswerPart, Driver};
 
 /// How an attempt ended.
 #[derive(Debug)]
 pub(crate) enum AttemptEnd {
-    /// The whole answer is with the caller.
-    Whole(EndFrame),
-    /// The runner refused before anything ran.
+    /// The answer was generated in full and passed to the handler.
+    Completed(EndFrame),
+    /// A runner refused the attempt before anything ran.
     Refused(Refused),
-    /// No byte of the attempt was sent.
+    /// Nothing of the attempt was sent.
     NeverSent,
-    /// It broke off; the runner at fault, where known.
+    /// The attempt failed midway; holds the runner at fault, if known.
     Broken(Option<Name>),
-    /// No frame came in time.
+    /// No frame arrived within the stall threshold.
     Stalled,
     /// The caller's deadline passed.
     DeadlinePassed,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerLeft,
 }
 
-/// The route as operators read it: each runner with its layers, in order.
-fn describe(route: &Route) -> Name {
+/// Formats a route for the journal: each runner with its layers, in order.
+fn describe_route(route: &Route) -> Name {
     let stages = route.stages.iter();
     let stages: Vec<String> = stages.map(|s| format!("{} {}", s.name, s.layers)).collect();
     Name::from(stages.join(", "))
 }
 
-/// What to do after a frame.
-enum Next {
-    Frame,
+/// Whether an attempt goes on after a frame.
+enum Progress {
+    Continue,
     End(AttemptEnd),
 }
 
 impl Driver {
     /// Runs attempt `number` along `route`.
     ///
-    /// The attempt is in the journal as handed over before the first byte may go out.
-    pub(crate) async fn attempt(&mut self, number: u32, route: &Route) -> AttemptEnd {
+    /// The hand-over is recorded in the journal before the first byte may be sent.
+    pub(crate) async fn run_attempt(&mut self, number: u32, route: &Route) -> AttemptEnd {
         let handed = Event::Handed {
             attempt: number,
-            upstream: describe(route),
+            upstream: describe_route(route),
         };
         if let Err(fault) = self.running.record(handed) {
-            error!(request = self.running.request.as_ref(); "not sent: {fault}");
+            error!(
+                request = self.running.request.as_ref();
+                "attempt not sent: the journal refused its hand-over: {fault}"
+            );
             return AttemptEnd::NeverSent;
         }
         fault_point::reach(Step::Handed).await;
-        let req = self.run_request(number, route);
-        self.await_first();
-        let end = self.run(&req, route).await;
-        self.settle(number, &end);
+        let req = self.build_run_request(number, route);
+        self.start_first_token_wait();
+        let end = self.stream_attempt(&req, route).await;
+        self.record_end(number, &end);
         if !matches!(
             end,
-            AttemptEnd::Whole(_) | AttemptEnd::Refused(_) | AttemptEnd::NeverSent
+            AttemptEnd::Completed(_) | AttemptEnd::Refused(_) | AttemptEnd::NeverSent
         ) {
             self.cancel(&req);
         }
         end
     }
 
-    fn run_request(&self, attempt: u32, route: &Route) -> RunRequest {
+    fn build_run_request(&self, attempt: u32, route: &Route) -> RunRequest {
         let stages = route.stages.iter().map(|s| Stage {
             runner: s.name.clone(),
             address: s.address,
@@ -92,30 +95,30 @@
         }
     }
 
-    async fn run(&mut self, req: &RunRequest, route: &Route) -> AttemptEnd {
+    async fn stream_attempt(&mut self, req: &RunRequest, route: &Route) -> AttemptEnd {
         let cx = Arc::clone(&self.cx);
-        let started = timeout(self.frame_wait(), cx.runners.run(req)).await;
+        let started = timeout(self.frame_timeout(), cx.runners.run(req)).await;
         let mut frames = match started {
             Err(_) if self.remaining() == Duration::ZERO => return AttemptEnd::DeadlinePassed,
             Err(_) => {
-                self.note_stall();
+                self.record_stall();
                 return AttemptEnd::Stalled;
             }
-            Ok(Err(e)) => return self.not_started(&e, route),
+            Ok(Err(e)) => return self.start_failure(&e, route),
             Ok(Ok(RunStart::Refused(refused))) => return AttemptEnd::Refused(refused),
             Ok(Ok(RunStart::Accepted(frames))) => frames,
         };
         loop {
             match self.next_frame(&mut frames, req, route).await {
-                Next::Frame => {}
-                Next::End(end) => return end,
+                Progress::Continue => {}
+                Progress::End(end) => return end,
             }
         }
     }
 
-    fn not_started(&self, e: &ClientError, route: &Route) -> AttemptEnd {
+    fn start_failure(&self, e: &ClientError, route: &Route) -> AttemptEnd {
         let first = route.stages.first().map(|s| s.name.clone());
-        info!(request = self.running.request.as_ref(); "attempt not started: {e}");
+        info!(request = self.running.request.as_ref(); "attempt could not be started: {e}");
         match e {
             ClientError::NoEffect { .. } => AttemptEnd::NeverSent,
             ClientError::Unknown { .. } | ClientError::BadAnswer { .. } => {
@@ -124,35 +127,50 @@
         }
     }
 
-    async fn next_frame(&mut self, frames: &mut Frames, req: &RunRequest, route: &Route) -> Next {
-        let wait = self.frame_wait();
+    async fn next_frame(
+        &mut self,
+        frames: &mut Frames,
+        req: &RunRequest,
+        route: &Route,
+    ) -> Progress {
+        let wait = self.frame_timeout();
         let received = tokio::select! {
             received = timeout(wait, frames.next()) => received,
-            () = self.tx.closed() => return Next::End(AttemptEnd::CallerLeft),
+            () = self.tx.closed() => return Progress::End(AttemptEnd::CallerLeft),
         };
         let first = || route.stages.first().map(|s| s.name.clone());
         match received {
-            Err(_) if self.remaining() == Duration::ZERO => Next::End(AttemptEnd::DeadlinePassed),
+            Err(_) if self.remaining() == Duration::ZERO => {
+                Progress::End(AttemptEnd::DeadlinePassed)
+            }
             Err(_) => {
-                info!(request = req.request.as_ref(); "no frame for {} ms", wait.as_millis());
-                self.note_stall();
-                Next::End(AttemptEnd::Stalled)
+                info!(
+                    request = req.request.as_ref();
+                    "attempt {} stalled: no frame for {} ms", req.attempt, wait.as_millis()
+                );
+                self.record_stall();
+                Progress::End(AttemptEnd::Stalled)
             }
             Ok(Err(e)) => {
                 info!(request = req.request.as_ref(); "attempt {} lost: {e}", req.attempt);
-                Next::End(AttemptEnd::Broken(first()))
+                Progress::End(AttemptEnd::Broken(first()))
             }
             Ok(Ok(None)) => {
-                info!(request = req.request.as_ref(); "attempt {} ended early", req.attempt);
-                Next::End(AttemptEnd::Broken(first()))
+                info!(
+                    request = req.request.as_ref();
+                    "attempt {}: stream ended before the end frame", req.attempt
+                );
+                Progress::End(AttemptEnd::Broken(first()))
             }
-            Ok(Ok(Some(frame))) => self.take_frame(frame, route).await,
+            Ok(Ok(Some(frame))) => self.handle_frame(frame, route).await,
         }
     }
 
-    /// Takes one frame. A frame of another request, attempt or index ends the attempt: the
-    /// connection it came on can no longer be trusted to carry this answer.
-    async fn take_frame(&mut self, frame: Frame, route: &Route) -> Next {
+    /// Handles one frame.
+    ///
+    /// A frame of another request or attempt, or with an unexpected index, ends the attempt: its
+    /// connection can no longer be trusted to carry this answer.
+    async fn handle_frame(&mut self, frame: Frame, route: &Route) -> Progress {
         match frame {
             Frame::Token(token) => {
                 let id = journal::Frame {
@@ -161,9 +179,9 @@
                 };
                 let verdict = self.running.journal().accept(id, token.index);
                 if let Verdict::Drop(reason) = verdict {
-                    return self.dropped(&reason.to_string());
+                    return self.reject_frame(&reason.to_string());
                 }
-                self.take_token(token, route).await
+                self.handle_token(token, route).await
             }
             Frame::End(end) => {
                 let id = journal::Frame {
@@ -172,8 +190,8 @@
                 };
                 let verdict = self.running.journal().accept_end(id, end.tokens);
                 match verdict {
-                    Verdict::Accept => Next::End(AttemptEnd::Whole(end)),
-                    Verdict::Drop(reason) => self.dropped(&reason.to_string()),
+                    Verdict::Accept => Progress::End(AttemptEnd::Completed(end)),
+                    Verdict::Drop(reason) => self.reject_frame(&reason.to_string()),
                 }
             }
             Frame::Broken(broken) => {
@@ -183,41 +201,41 @@
                 };
                 let verdict = self.running.journal().accept_other(id);
                 match verdict {
-                    Verdict::Accept => Next::End(AttemptEnd::Broken(broken.runner)),
-                    Verdict::Drop(reason) => self.dropped(&reason.to_string()),
+                    Verdict::Accept => Progress::End(AttemptEnd::Broken(broken.runner)),
+                    Verdict::Drop(reason) => self.reject_frame(&reason.to_string()),
                 }
             }
         }
     }
 
-    async fn take_token(&mut self, token: TokenFrame, route: &Route) -> Next {
+    async fn handle_token(&mut self, token: TokenFrame, route: &Route) -> Progress {
         let event = Event::Token {
             attempt: token.attempt,
             index: token.index,
         };
         self.running.note(event);
-        self.token_came();
-        self.paces.token(route);
+        self.on_token_received();
+        self.retry_states.record_token(route);
         self.cx.router().record_token(self.cx.clock.now(), route);
         self.tokens.push(token.text.clone());
         fault_point::reach(Step::Streaming).await;
-        let sent = self.tx.send(Told::Token(token.text)).await;
-        self.token_passed_on();
+        let sent = self.tx.send(AnswerPart::Token(token.text)).await;
+        self.on_token_forwarded();
         match sent {
-            Ok(()) => Next::Frame,
-            Err(_) => Next::End(AttemptEnd::CallerLeft),
+            Ok(()) => Progress::Continue,
+            Err(_) => Progress::End(AttemptEnd::CallerLeft),
         }
     }
 
-    fn dropped(&self, reason: &str) -> Next {
-        warn!(request = self.running.request.as_ref(); "frame dropped: {reason}");
+    fn reject_frame(&self, reason: &str) -> Progress {
+        warn!(request = self.running.request.as_ref(); "frame rejected: {reason}");
         metrics::counter!("jacinthweir_frames_dropped_total").increment(1);
-        Next::End(AttemptEnd::Broken(None))
+        Progress::End(AttemptEnd::Broken(None))
     }
 
-    fn settle(&self, attempt: u32, end: &AttemptEnd) {
+    fn record_end(&self, attempt: u32, end: &AttemptEnd) {
         let event = match end {
-            AttemptEnd::Whole(end) => Event::Ended {
+            AttemptEnd::Completed(end) => Event::Ended {
                 attempt,
                 tokens: end.tokens,
             },
@@ -245,8 +263,9 @@
         self.running.note(event);
     }
 
-    /// Tells the first stage to stop; it drives the others. Best effort: the attempt number
-    /// already keeps its late frames out.
+    /// Asks the runner of the first stage, which drives the others, to cancel the attempt.
+    ///
+    /// This is best effort: late frames are rejected by their attempt number anyway.
     fn cancel(&self, req: &RunRequest) {
         let Some(first) = req.route.first().map(|s| s.address) else {
             return;
@@ -258,7 +277,10 @@
         let cx = Arc::clone(&self.cx);
         self.cx.tasks.spawn(async move {
             if let Err(e) = cx.runners.cancel(first, &msg).await {
-                debug!(request = msg.request.as_ref(); "cancel of attempt {}: {e}", msg.attempt);
+                debug!(
+                    request = msg.request.as_ref();
+                    "cancelling attempt {} failed: {e}", msg.attempt
+                );
             }
         });
     }
--- a/plugins/callers/src/driver.rs
+++ b/plugins/callers/src/driver.rs
@@ -1,4 +1,4 @@
-//! The driver of one request: admission, attempts, and what the caller is told.
+//! Drives one request: admission, attempts, and the parts of the answer for the handler.
 
 use std::time::Duration;
 
@@ -18,35 +18,35 @@
 use crate::accept::Accepted;
 use crate::answer::AnswerHead;
 use crate::attempt::AttemptEnd;
-use crate::pace::{Awaited, Paces};
+use crate::pace::{AwaitedToken, RetryStates};
 
-/// Tokens that may wait for a slow caller before its upstream is held back.
-const TOLD_CAPACITY: usize = 64;
-/// Bytes of a prompt taken to make a token.
+/// Tokens buffered for a slow caller before backpressure reaches the upstream.
+const ANSWER_CHANNEL_CAPACITY: usize = 64;
+/// Estimated prompt bytes per token.
 const BYTES_PER_TOKEN: usize = 4;
-/// How long a request that has begun waits for a route, in milliseconds.
+/// Longest wait for a route by a request that has started to run, in milliseconds.
 const RESUME_WAIT_MS: Millis = 10_000;
-/// Period of looking for one.
+/// Interval between two tries to find a route during that wait.
 const RESUME_POLL: Duration = Duration::from_millis(50);
-/// When to come back where nothing better is known, in milliseconds.
+/// Default retry delay suggested to callers, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// What the handler passes on to the caller.
+/// A part of the answer, passed to the handler.
 #[derive(Debug)]
-pub(crate) enum Told {
-    /// The next token's text.
+pub(crate) enum AnswerPart {
+    /// Text of the next token.
     Token(String),
-    /// The answer is whole.
+    /// The answer is complete.
     End(EndFrame),
-    /// It is not.
+    /// The request ended without a complete answer.
     Refused(Refusal),
 }
 
-/// Why a request ends without a whole answer.
-enum Stop {
+/// Reason for which a request ends without a complete answer.
+enum StopReason {
     Refused(Refusal),
     NoRoute(String),
-    Busy(Refused),
+    RunnersRefused(Refused),
     GaveUp(String),
     DeadlinePassed,
     CallerLeft,
@@ -57,23 +57,23 @@
     pub(crate) cx: Arc<Kernel>,
     pub(crate) accepted: Accepted,
     pub(crate) running: Running,
-    pub(crate) tx: mpsc::Sender<Told>,
-    /// Text of the tokens that the caller has.
+    pub(crate) tx: mpsc::Sender<AnswerPart>,
+    /// Texts of the tokens received so far; a later attempt resumes after them.
     pub(crate) tokens: Vec<String>,
-    pub(crate) paces: Arc<Paces>,
-    awaited: Awaited,
+    pub(crate) retry_states: Arc<RetryStates>,
+    awaited: AwaitedToken,
     waiting_since: Millis,
     avoid: Vec<RunnerId>,
-    busy: Option<Refused>,
+    last_refusal: Option<Refused>,
 }
 
 impl Driver {
-    /// Starts the driver of an accepted request as a task of its own.
+    /// Starts the driver of an accepted request in a new task.
     pub(crate) fn spawn(
         cx: &Arc<Kernel>,
-        paces: &Arc<Paces>,
+        retry_states: &Arc<RetryStates>,
         accepted: Accepted,
-    ) -> (AnswerHead, mpsc::Receiver<Told>) {
+    ) -> (AnswerHead, mpsc::Receiver<AnswerPart>) {
         let id = cx.new_request_id();
         let journal = Journal::open(id.clone(), Repeat::Idempotent, cx.clock.unix_ms());
         let meta = EntryMeta {
@@ -84,23 +84,23 @@
         };
         let running = cx.records.begin(Entry::new(journal, cx.clock, meta));
         let head = AnswerHead {
-            form: accepted.prompt.form,
+            endpoint: accepted.prompt.endpoint,
             id,
             model: accepted.prompt.pipeline.clone(),
             created: cx.clock.unix_ms() / 1000,
         };
-        let (tx, rx) = mpsc::channel(TOLD_CAPACITY);
+        let (tx, rx) = mpsc::channel(ANSWER_CHANNEL_CAPACITY);
         let driver = Driver {
             cx: Arc::clone(cx),
             accepted,
             running,
             tx,
             tokens: Vec::new(),
-            paces: Arc::clone(paces),
-            awaited: Awaited::First,
+            retry_states: Arc::clone(retry_states),
+            awaited: AwaitedToken::First,
             waiting_since: cx.clock.now(),
             avoid: Vec::new(),
-            busy: None,
+            last_refusal: None,
         };
         cx.tasks.spawn(driver.drive());
         (head, rx)
@@ -112,33 +112,33 @@
         let end = match &served {
             Ok(_) => End::Whole,
             Err(stop) => {
-                self.note_stop(stop);
+                self.record_stop(stop);
                 End::GivenUp
             }
         };
         let outcome = self.running.close(end);
-        self.log(outcome);
+        self.log_end(outcome);
         fault_point::reach(Step::Finished).await;
-        let told = match served {
-            Ok(end) => Told::End(end),
-            Err(stop) => Told::Refused(stop.refusal(outcome)),
+        let last_part = match served {
+            Ok(end) => AnswerPart::End(end),
+            Err(stop) => AnswerPart::Refused(stop.refusal(outcome)),
         };
-        // Fails only where the caller has left: there is nobody to tell.
-        let _ = self.tx.send(told).await;
+        // Fails only if the handler was dropped because the caller disconnected.
+        let _ = self.tx.send(last_part).await;
     }
 
-    async fn serve(&mut self) -> Result<EndFrame, Stop> {
-        let mut permit = self.enter().await?;
+    async fn serve(&mut self) -> Result<EndFrame, StopReason> {
+        let mut permit = self.admit().await?;
         self.running.note(Event::Admitted);
         fault_point::reach(Step::Admitted).await;
-        let result = self.attempts().await;
+        let result = self.run_attempts().await;
         if let Ok(end) = &result {
             permit.spent(end.prompt_tokens.saturating_add(end.tokens));
         }
         result
     }
 
-    async fn enter(&mut self) -> Result<Permit, Stop> {
+    async fn admit(&mut self) -> Result<Permit, StopReason> {
         let gate = Arc::clone(&self.cx.gate);
         let org = &self.accepted.config.schema.orgs()[self.accepted.caller.org];
         let ask = Ask {
@@ -154,30 +154,31 @@
         let queued = || self.running.note(Event::Queued);
         tokio::select! {
             entered = gate.enter(&ask, Work::New, queued) => {
-                entered.map_err(|r| Stop::Refused(refused_entry(r)))
+                entered.map_err(|r| StopReason::Refused(admission_refusal(r)))
             }
-            () = self.tx.closed() => Err(Stop::CallerLeft),
+            () = self.tx.closed() => Err(StopReason::CallerLeft),
         }
     }
 
-    /// Attempts until one gives the whole answer, or no further one makes sense.
-    async fn attempts(&mut self) -> Result<EndFrame, Stop> {
+    /// Runs attempts until one completes the answer or no further attempt may be made.
+    async fn run_attempts(&mut self) -> Result<EndFrame, StopReason> {
         loop {
             if self.remaining() == Duration::ZERO {
-                return Err(Stop::DeadlinePassed);
+                return Err(StopReason::DeadlinePassed);
             }
             let route = self.find_route().await?;
             let number = self.running.journal().next_attempt();
             self.cx.router().record_sent(self.cx.clock.now(), &route);
-            let end = self.attempt(number, &route).await;
-            self.count_route(&route, &end);
+            let end = self.run_attempt(number, &route).await;
+            self.record_route_result(&route, &end);
             match end {
-                AttemptEnd::Whole(end) => {
-                    self.paces.answered(&self.accepted.prompt.pipeline);
+                AttemptEnd::Completed(end) => {
+                    self.retry_states
+                        .record_success(&self.accepted.prompt.pipeline);
                     return Ok(end);
                 }
-                AttemptEnd::DeadlinePassed => return Err(Stop::DeadlinePassed),
-                AttemptEnd::CallerLeft => return Err(Stop::CallerLeft),
+                AttemptEnd::DeadlinePassed => return Err(StopReason::DeadlinePassed),
+                AttemptEnd::CallerLeft => return Err(StopReason::CallerLeft),
                 AttemptEnd::Refused(refused) => self.after_refusal(&route, refused)?,
                 AttemptEnd::NeverSent => self.after_never_sent(&route)?,
                 AttemptEnd::Broken(runner) => self.after_break(&route, runner.as_ref())?,
@@ -186,48 +187,55 @@
         }
     }
 
-    /// A route, at once for a request of which nothing ran. One whose caller has a part of the
-    /// answer waits: the runners it avoids may be the only holders of their layers, and come back
-    /// or be replaced, while giving up would waste what ran.
-    async fn find_route(&mut self) -> Result<Route, Stop> {
+    /// Returns a route for the next attempt.
+    ///
+    /// A request of which nothing ran fails at once if there is none. One that has started waits:
+    /// the runners that it avoids may be the only holders of their layers and may recover or be
+    /// replaced, while giving up would waste the work done.
+    async fn find_route(&mut self) -> Result<Route, StopReason> {
         let give_up_at = self.cx.clock.now().saturating_add(RESUME_WAIT_MS);
         loop {
-            let stop = match self.pick() {
+            let stop = match self.pick_route() {
                 Ok(route) => return Ok(route),
                 Err(stop) => stop,
             };
-            let begun = !self.running.journal().nothing_ran();
-            if !begun || self.cx.clock.now() >= give_up_at {
-                return Err(self.busy.take().map_or(stop, Stop::Busy));
+            let started = !self.running.journal().nothing_ran();
+            if !started || self.cx.clock.now() >= give_up_at {
+                return Err(self
+                    .last_refusal
+                    .take()
+                    .map_or(stop, StopReason::RunnersRefused));
             }
             self.avoid.clear();
             tokio::select! {
                 () = tokio::time::sleep(self.remaining().min(RESUME_POLL)) => {}
-                () = self.tx.closed() => return Err(Stop::CallerLeft),
+                () = self.tx.closed() => return Err(StopReason::CallerLeft),
             }
             if self.remaining() == Duration::ZERO {
-                return Err(Stop::DeadlinePassed);
+                return Err(StopReason::DeadlinePassed);
             }
         }
     }
 
-    /// A route past the runners that stalls speak against, or, where there is none, one over them.
-    fn pick(&mut self) -> Result<Route, Stop> {
-        let blamed = self.paces.blamed(&self.cx);
-        if blamed.is_empty() {
-            return self.pick_past(&self.avoid);
+    /// Picks a route that avoids runners suspected of stalls, if there is one, and otherwise any
+    /// route that avoids the runners that failed this request.
+    fn pick_route(&mut self) -> Result<Route, StopReason> {
+        let suspects = self.retry_states.suspects(&self.cx);
+        if suspects.is_empty() {
+            return self.pick_route_avoiding(&self.avoid);
         }
-        let past: Vec<RunnerId> = self.avoid.iter().copied().chain(blamed).collect();
-        self.pick_past(&past)
-            .or_else(|_| self.pick_past(&self.avoid))
+        let avoid: Vec<RunnerId> = self.avoid.iter().copied().chain(suspects).collect();
+        self.pick_route_avoiding(&avoid)
+            .or_else(|_| self.pick_route_avoiding(&self.avoid))
     }
 
-    fn pick_past(&self, avoid: &[RunnerId]) -> Result<Route, Stop> {
+    fn pick_route_avoiding(&self, avoid: &[RunnerId]) -> Result<Route, StopReason> {
         let now = self.cx.clock.now();
         let router = self.cx.router();
         let name = self.model_name();
         let model = router.model(&name);
-        let model = model.ok_or_else(|| Stop::NoRoute(format!("model {name} is not planned")))?;
+        let model =
+            model.ok_or_else(|| StopReason::NoRoute(format!("model {name} is not planned")))?;
         let pick = RouteRequest {
             model,
             prefix_hash: prefix_hash(&self.accepted.prompt.text),
@@ -236,10 +244,10 @@
             avoid,
         };
         let picked = router.pick(now, &pick, &mut rand::rng());
-        picked.map_err(|e| Stop::NoRoute(e.to_string()))
+        picked.map_err(|e| StopReason::NoRoute(e.to_string()))
     }
 
-    fn count_route(&self, route: &Route, end: &AttemptEnd) {
+    fn record_route_result(&self, route: &Route, end: &AttemptEnd) {
         let now = self.cx.clock.now();
         let mut router = self.cx.router();
         match end {
@@ -256,70 +264,70 @@
                 let runner = refused.runner.as_ref().and_then(|name| router.runner(name));
                 router.record_failure(now, route, runner);
             }
-            AttemptEnd::Whole(_)
+            AttemptEnd::Completed(_)
             | AttemptEnd::Refused(_)
             | AttemptEnd::DeadlinePassed
             | AttemptEnd::CallerLeft => router.record_finished(now, route),
         }
     }
 
-    fn after_refusal(&mut self, route: &Route, refused: Refused) -> Result<(), Stop> {
-        // A later stage that can't be reached is no overload: the attempt cost nobody anything.
-        // Taken from the budget, a lost failure domain used it up on dead runners, and the streams
-        // that had run there could not be resumed.
+    fn after_refusal(&mut self, route: &Route, refused: Refused) -> Result<(), StopReason> {
+        // An unreachable later stage is not overload: the attempt consumed no capacity. If it were
+        // charged to the retry budget, the loss of a failure domain would exhaust the budget on
+        // dead runners, and the streams that had run there could not be resumed.
         let end = match refused.code {
             RefusedCode::Unreachable => AttemptFailure::NeverSent,
             _ => AttemptFailure::Refused {
                 retry_after_ms: refused.retry_after_ms,
             },
         };
-        // The refusal may come from a later stage, or tell of one that can't be reached. Avoiding
-        // the first stage in its place led request after request to the same dead runner, until
-        // the retry budget was empty.
+        // The refusal may come from a later stage, or name one that cannot be reached. Avoiding the
+        // first stage instead would send request after request to the same dead runner until the
+        // retry budget is exhausted.
         self.avoid_named_or_first(route, refused.runner.as_ref());
         let retry = self.may_retry(end);
         if retry.is_err() {
-            return Err(Stop::Busy(refused));
+            return Err(StopReason::RunnersRefused(refused));
         }
-        self.busy = Some(refused);
+        self.last_refusal = Some(refused);
         Ok(())
     }
 
-    fn after_never_sent(&mut self, route: &Route) -> Result<(), Stop> {
+    fn after_never_sent(&mut self, route: &Route) -> Result<(), StopReason> {
         self.avoid_first(route);
         self.may_retry(AttemptFailure::NeverSent)
     }
 
-    fn after_break(&mut self, route: &Route, runner: Option<&Name>) -> Result<(), Stop> {
+    fn after_break(&mut self, route: &Route, runner: Option<&Name>) -> Result<(), StopReason> {
         metrics::counter!("jacinthweir_attempts_broken_total").increment(1);
         self.avoid_named_or_first(route, runner);
         self.may_retry(AttemptFailure::BrokenOff)
     }
 
-    /// A stall does not say which stage is at fault: the next attempt avoids all that were not
-    /// seen alive meanwhile, or else all.
-    fn after_stall(&mut self, route: &Route) -> Result<(), Stop> {
+    /// Handles a stall, which does not tell which stage is at fault: the next attempt avoids the
+    /// runners that have shown no progress since, or all runners of the route if all have.
+    fn after_stall(&mut self, route: &Route) -> Result<(), StopReason> {
         metrics::counter!("jacinthweir_stalls_total").increment(1);
-        let mut blamed = self.paces.blame(route, self.waiting_since);
-        if blamed.is_empty() {
-            blamed = route.stages.iter().map(|s| s.runner).collect();
+        let mut suspects = self.retry_states.record_stall(route, self.waiting_since);
+        if suspects.is_empty() {
+            suspects = route.stages.iter().map(|s| s.runner).collect();
         }
-        blamed.into_iter().for_each(|runner| self.avoid(runner));
+        suspects.into_iter().for_each(|runner| self.avoid(runner));
         self.may_retry(AttemptFailure::BrokenOff)
     }
 
-    fn may_retry(&self, end: AttemptFailure) -> Result<(), Stop> {
+    fn may_retry(&self, end: AttemptFailure) -> Result<(), StopReason> {
         let pipeline = &self.accepted.prompt.pipeline;
         let in_flight = u32::try_from(self.cx.gate.in_flight()).unwrap_or(u32::MAX);
         let left_ms = self.remaining_ms();
         let journal = self.running.journal();
         match self
-            .paces
+            .retry_states
             .decide(pipeline, &journal, end, left_ms, in_flight)
         {
             Decision::Retry { .. } => Ok(()),
-            Decision::GiveUp(GiveUp::Deadline) => Err(Stop::DeadlinePassed),
-            Decision::GiveUp(why) => Err(Stop::GaveUp(format!("not tried again: {why}"))),
+            Decision::GiveUp(GiveUp::Deadline) => Err(StopReason::DeadlinePassed),
+            Decision::GiveUp(why) => Err(StopReason::GaveUp(format!("not tried again: {why}"))),
         }
     }
 
@@ -343,19 +351,19 @@
         }
     }
 
-    fn note_stop(&self, stop: &Stop) {
+    fn record_stop(&self, stop: &StopReason) {
         match stop {
-            Stop::Refused(refusal) => {
+            StopReason::Refused(refusal) => {
                 let code = Name::from(refusal.code.to_string());
                 self.running.note(Event::Refused { code });
             }
-            Stop::DeadlinePassed => self.running.note(Event::DeadlinePassed),
-            Stop::CallerLeft => self.running.note(Event::CallerLeft),
-            Stop::NoRoute(_) | Stop::Busy(_) | Stop::GaveUp(_) => {}
+            StopReason::DeadlinePassed => self.running.note(Event::DeadlinePassed),
+            StopReason::CallerLeft => self.running.note(Event::CallerLeft),
+            StopReason::NoRoute(_) | StopReason::RunnersRefused(_) | StopReason::GaveUp(_) => {}
         }
     }
 
-    fn log(&self, outcome: Outcome) {
+    fn log_end(&self, outcome: Outcome) {
         info!(
             request = self.running.request.as_ref(),
             organisation = self.running.organisation.as_ref(),
@@ -385,41 +393,42 @@
         Duration::from_millis(self.remaining_ms())
     }
 
-    /// How long to wait for the next frame.
-    pub(crate) fn frame_wait(&self) -> Duration {
+    /// Returns how long to wait for the next frame.
+    pub(crate) fn frame_timeout(&self) -> Duration {
         let pipeline = &self.accepted.prompt.pipeline;
-        let threshold = self.paces.threshold(pipeline, self.awaited);
+        let threshold = self.retry_states.stall_threshold(pipeline, self.awaited);
         self.remaining().min(threshold)
     }
 
-    /// An attempt begins: its first token is waited for.
-    pub(crate) fn await_first(&mut self) {
-        self.awaited = Awaited::First;
+    /// Starts the wait for the first token of an attempt.
+    pub(crate) fn start_first_token_wait(&mut self) {
+        self.awaited = AwaitedToken::First;
         self.waiting_since = self.cx.clock.now();
     }
 
-    /// A token came.
-    pub(crate) fn token_came(&mut self) {
+    /// Records the gap before a received token.
+    pub(crate) fn on_token_received(&mut self) {
         let now = self.cx.clock.now();
         let gap_ms = now.saturating_sub(self.waiting_since);
         let pipeline = &self.accepted.prompt.pipeline;
-        self.paces.seen(pipeline, self.awaited, gap_ms);
-        self.awaited = Awaited::Next;
+        self.retry_states.record_gap(pipeline, self.awaited, gap_ms);
+        self.awaited = AwaitedToken::Next;
     }
 
-    /// The token is with the caller: the time it took there is none of the runner's.
-    pub(crate) fn token_passed_on(&mut self) {
+    /// Starts the wait for the next token once the last one is forwarded, so that the runner is not
+    /// charged for the time that a slow caller takes.
+    pub(crate) fn on_token_forwarded(&mut self) {
         self.waiting_since = self.cx.clock.now();
     }
 
-    /// No frame came in time.
-    pub(crate) fn note_stall(&self) {
-        self.paces
-            .stalled(&self.accepted.prompt.pipeline, self.awaited);
+    /// Records that no frame arrived within the stall threshold.
+    pub(crate) fn record_stall(&self) {
+        self.retry_states
+            .record_suspicion(&self.accepted.prompt.pipeline, self.awaited);
     }
 }
 
-fn refused_entry(refusal: admission::Refusal) -> Refusal {
+fn admission_refusal(refusal: admission::Refusal) -> Refusal {
     let (code, msg) = match refusal.code {
         admission::RefuseCode::OrganisationLimit => (
             ErrorCode::OrganisationLimit,
@@ -436,22 +445,24 @@
     Refusal::not_run(code, msg).retry_after(refusal.retry_after_ms)
 }
 
-impl Stop {
-    /// What the caller is told. The outcome is the journal's: "not run" is never decided here.
+impl StopReason {
+    /// Returns the refusal for the caller.
+    ///
+    /// The outcome comes from the journal: "not run" is never decided here.
     fn refusal(self, outcome: Outcome) -> Refusal {
         let (code, message, retry_after_ms) = match self {
-            Stop::Refused(refusal) => (refusal.code, refusal.message, refusal.retry_after_ms),
-            Stop::NoRoute(msg) => (ErrorCode::NoCapacity, msg, Some(RETRY_AFTER_MS)),
-            Stop::Busy(refused) => {
+            StopReason::Refused(refusal) => (refusal.code, refusal.message, refusal.retry_after_ms),
+            StopReason::NoRoute(msg) => (ErrorCode::NoCapacity, msg, Some(RETRY_AFTER_MS)),
+            StopReason::RunnersRefused(refused) => {
                 let msg = format!("runners refused: {}", refused.code);
                 (ErrorCode::Overloaded, msg, Some(refused.retry_after_ms))
             }
-            Stop::GaveUp(msg) => (ErrorCode::NoCapacity, msg, Some(RETRY_AFTER_MS)),
-            Stop::DeadlinePassed => {
+            StopReason::GaveUp(msg) => (ErrorCode::NoCapacity, msg, Some(RETRY_AFTER_MS)),
+            StopReason::DeadlinePassed => {
                 let msg = "the deadline passed".to_owned();
                 (ErrorCode::DeadlineExceeded, msg, None)
             }
-            Stop::CallerLeft => (ErrorCode::UpstreamFailed, "the caller left".into(), None),
+            StopReason::CallerLeft => (ErrorCode::UpstreamFailed, "the caller left".into(), None),
         };
         let code = match (code, outcome) {
             (ErrorCode::DeadlineExceeded, Outcome::NotRun) => ErrorCode::Overloaded,
--- a/plugins/callers/src/lib.rs
+++ b/plugins/callers/src/lib.rs
@@ -1,10 +1,10 @@
-//! The callers' plug-in: the field's usual completion protocol over routes of model runners.
+//! Callers plug-in: the chat and text completion protocol, served over routes of model runners.
 //!
-//! A handler reads and checks a request and hands it to a driver task. The driver asks the policy
-//! for admission and a route, runs attempts and sends what the caller is to see through a
-//! channel; the handler turns that into one JSON body or a stream of server-sent events. The
-//! driver is a task of its own, since the server drops a handler when its caller leaves, and an
-//! attempt must then still be cancelled at the runner.
+//! A handler reads and validates a request and hands it to a driver task. The driver asks the
+//! policy for admission and a route, runs attempts and sends the parts of the answer through a
+//! channel; the handler encodes them as one JSON body or a stream of server-sent events. The
+//! driver has a task of its own because the server drops a handler when its caller disconnects,
+//! and the attempt must then still be cancelled at the runner.
 
 mod accept;
 mod answer;
@@ -36,6 +36,6 @@
 fn dump(cx: &Kernel) -> serde_json::Value {
     serde_json::json!({
         "requests": cx.records.counts(),
-        "pipelines": pace::Paces::of(cx).rows(),
+        "pipelines": pace::RetryStates::of(cx).rows(),
     })
 }
--- a/plugins/callers/src/pace.rs
+++ b/plugins/callers/src/pace.rs
@@ -1,5 +1,4 @@
-//! What the streams of each pipeline have shown: how long a gap between tokens may be, and how
-//! many retries are allowed.
+//! Stall detectors and retry budget of each pipeline, and the runners suspected of stalls.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -14,48 +13,48 @@
 };
 use jacinthweir_policy::route::Route;
 
-/// Which token of an attempt is waited for.
+/// The token of an attempt that is awaited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Awaited {
-    /// The first: the queue at the runner and the prefill come before it.
+pub(crate) enum AwaitedToken {
+    /// The first token, which follows queueing at the runner and prefill.
     First,
-    /// A later one.
+    /// Any later token.
     Next,
 }
 
-/// Paces by pipeline.
-pub(crate) struct Paces {
+/// Stall detectors and retry budgets by pipeline, and the runners suspected of stalls.
+pub(crate) struct RetryStates {
     clock: Clock,
-    by_pipeline: Mutex<BTreeMap<Name, Pace>>,
-    silences: Mutex<StallSuspects>,
+    by_pipeline: Mutex<BTreeMap<Name, RetryState>>,
+    stall_suspects: Mutex<StallSuspects>,
 }
 
-struct Pace {
+struct RetryState {
     budget: RetryBudget,
     first: StallDetector,
     next: StallDetector,
 }
 
-impl Pace {
-    fn new(now: Millis) -> Pace {
-        Pace {
+impl RetryState {
+    fn new(now: Millis) -> RetryState {
+        RetryState {
             budget: RetryBudget::new(RetryBudgetConfig::default(), now),
             first: StallDetector::new(StallConfig::default()),
             next: StallDetector::new(StallConfig::default()),
         }
     }
 
-    fn detector(&mut self, awaited: Awaited) -> &mut StallDetector {
+    fn detector(&mut self, awaited: AwaitedToken) -> &mut StallDetector {
         match awaited {
-            Awaited::First => &mut self.first,
-            Awaited::Next => &mut self.next,
+            AwaitedToken::First => &mut self.first,
+            AwaitedToken::Next => &mut self.next,
         }
     }
 }
 
 /// State of one pipeline, for the dump.
 #[derive(serde::Serialize)]
-pub(crate) struct PaceRow {
+pub(crate) struct RetryStateRow {
     pipeline: Name,
     first_token_threshold_ms: u64,
     next_token_threshold_ms: u64,
@@ -64,64 +63,66 @@
     retries_refused: u64,
 }
 
-impl Paces {
-    /// The paces of an instance.
-    pub(crate) fn of(cx: &Kernel) -> Arc<Paces> {
-        cx.plugin_state(|| Paces {
+impl RetryStates {
+    /// Returns the state shared by all requests of an instance.
+    pub(crate) fn of(cx: &Kernel) -> Arc<RetryStates> {
+        cx.plugin_state(|| RetryStates {
             clock: cx.clock,
             by_pipeline: Mutex::default(),
-            silences: Mutex::default(),
+            stall_suspects: Mutex::default(),
         })
     }
 
-    /// Silence that counts as a stall.
-    pub(crate) fn threshold(&self, pipeline: &Name, awaited: Awaited) -> Duration {
-        let ms = self.with(pipeline, |p| p.detector(awaited).threshold_ms());
+    /// Returns the token gap from which an attempt counts as stalled.
+    pub(crate) fn stall_threshold(&self, pipeline: &Name, awaited: AwaitedToken) -> Duration {
+        let ms = self.with_state(pipeline, |state| state.detector(awaited).threshold_ms());
         Duration::from_millis(ms)
     }
 
-    /// A token came after `gap_ms`.
-    pub(crate) fn seen(&self, pipeline: &Name, awaited: Awaited, gap_ms: u64) {
-        self.with(pipeline, |p| p.detector(awaited).record_gap(gap_ms));
+    /// Records that a token arrived after `gap_ms`.
+    pub(crate) fn record_gap(&self, pipeline: &Name, awaited: AwaitedToken, gap_ms: u64) {
+        self.with_state(pipeline, |state| state.detector(awaited).record_gap(gap_ms));
     }
 
-    /// An attempt was given up as stalled.
-    pub(crate) fn stalled(&self, pipeline: &Name, awaited: Awaited) {
-        self.with(pipeline, |p| p.detector(awaited).record_suspicion());
+    /// Records that an attempt was abandoned as stalled.
+    pub(crate) fn record_suspicion(&self, pipeline: &Name, awaited: AwaitedToken) {
+        self.with_state(pipeline, |state| state.detector(awaited).record_suspicion());
     }
 
-    /// A token came over a route.
-    pub(crate) fn token(&self, route: &Route) {
+    /// Records a token as progress of all runners of its route.
+    pub(crate) fn record_token(&self, route: &Route) {
         let runners = route.stages.iter().map(|s| s.runner);
-        self.silences().record_token(self.clock.now(), runners);
+        self.lock_stall_suspects()
+            .record_token(self.clock.now(), runners);
     }
 
-    /// A route was silent from `since` until now; returns the runners to blame.
-    pub(crate) fn blame(&self, route: &Route, since: Millis) -> Vec<RunnerId> {
+    /// Records that a route gave no token from `since` until now; returns the suspected runners.
+    pub(crate) fn record_stall(&self, route: &Route, since: Millis) -> Vec<RunnerId> {
         let stages = route.stages.iter();
         let runners = stages.map(|s| (s.runner, s.name.clone()));
-        self.silences()
+        self.lock_stall_suspects()
             .record_stall(self.clock.now(), since, runners)
     }
 
-    /// Runners that new work avoids where it can, as they are blamed for stalls.
-    pub(crate) fn blamed(&self, cx: &Kernel) -> Vec<RunnerId> {
+    /// Returns the runners suspected of stalls, which new work avoids where it can.
+    pub(crate) fn suspects(&self, cx: &Kernel) -> Vec<RunnerId> {
         let upstreams = cx.upstreams();
         let reported = |name: &Name| Some(upstreams.get(name)?.load?.sampled_ms);
-        self.silences().suspects(self.clock.now(), reported)
+        self.lock_stall_suspects()
+            .suspects(self.clock.now(), reported)
     }
 
-    /// A request was answered.
-    pub(crate) fn answered(&self, pipeline: &Name) {
-        self.with(pipeline, |p| p.budget.record_success());
+    /// Records an answered request, which replenishes the retry budget.
+    pub(crate) fn record_success(&self, pipeline: &Name) {
+        self.with_state(pipeline, |state| state.budget.record_success());
     }
 
-    /// Whether a request whose attempt ended badly gets another one.
+    /// Decides whether a request whose attempt failed gets another one.
     pub(crate) fn decide(
         &self,
         pipeline: &Name,
         journal: &Journal,
-        end: AttemptFailure,
+        failure: AttemptFailure,
         left_ms: u64,
         in_flight: u32,
     ) -> Decision {
@@ -130,40 +131,42 @@
             left_ms,
             needed_ms: 0,
         };
-        self.with(pipeline, |p| {
-            p.budget.set_in_flight(in_flight);
-            decide(now, journal, end, time, &mut p.budget)
+        self.with_state(pipeline, |state| {
+            state.budget.set_in_flight(in_flight);
+            decide(now, journal, failure, time, &mut state.budget)
         })
     }
 
-    /// Rows for the dump.
-    pub(crate) fn rows(&self) -> Vec<PaceRow> {
-        let paces = self.lock();
-        let rows = paces.iter().map(|(pipeline, p)| PaceRow {
+    /// Returns one row per pipeline for the dump.
+    pub(crate) fn rows(&self) -> Vec<RetryStateRow> {
+        let pipelines = self.lock_pipelines();
+        let rows = pipelines.iter().map(|(pipeline, state)| RetryStateRow {
             pipeline: pipeline.clone(),
-            first_token_threshold_ms: p.first.threshold_ms(),
-            next_token_threshold_ms: p.next.threshold_ms(),
-            stalls: p.first.suspicions() + p.next.suspicions(),
-            retries_taken: p.budget.taken(),
-            retries_refused: p.budget.refused(),
+            first_token_threshold_ms: state.first.threshold_ms(),
+            next_token_threshold_ms: state.next.threshold_ms(),
+            stalls: state.first.suspicions() + state.next.suspicions(),
+            retries_taken: state.budget.taken(),
+            retries_refused: state.budget.refused(),
         });
         rows.collect()
     }
 
-    fn with<T>(&self, pipeline: &Name, act: impl FnOnce(&mut Pace) -> T) -> T {
+    fn with_state<T>(&self, pipeline: &Name, f: impl FnOnce(&mut RetryState) -> T) -> T {
         let now = self.clock.now();
-        let mut paces = self.lock();
-        let pace = paces
+        let mut pipelines = self.lock_pipelines();
+        let state = pipelines
             .entry(pipeline.clone())
-            .or_insert_with(|| Pace::new(now));
-        act(pace)
+            .or_insert_with(|| RetryState::new(now));
+        f(state)
     }
 
-    fn silences(&self) -> MutexGuard<'_, StallSuspects> {
-        self.silences.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_stall_suspects(&self) -> MutexGuard<'_, StallSuspects> {
+        self.stall_suspects
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<Name, Pace>> {
+    fn lock_pipelines(&self) -> MutexGuard<'_, BTreeMap<Name, RetryState>> {
         self.by_pipeline
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/plugins/callers/src/prompt.rs
+++ b/plugins/callers/src/prompt.rs
@@ -1,21 +1,21 @@
-//! What a caller asks for, out of either form of the completion protocol.
+//! Requests of the two completion endpoints, reduced to one type.
 
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_wire::caller::{ChatRequest, CompletionRequest};
 
-/// Form of the protocol: decides the form of the answer.
+/// Endpoint of the completion protocol, which decides how the answer is encoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Form {
+pub(crate) enum Endpoint {
     /// `/v1/chat/completions`.
     Chat,
     /// `/v1/completions`.
-    Plain,
+    Text,
 }
 
-/// A request of either form.
+/// A request to either endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct Prompt {
-    pub(crate) form: Form,
+    pub(crate) endpoint: Endpoint,
     pub(crate) pipeline: Name,
     pub(crate) text: String,
     pub(crate) stream: bool,
@@ -32,7 +32,7 @@
             text.push('\n');
         }
         Prompt {
-            form: Form::Chat,
+            endpoint: Endpoint::Chat,
             pipeline: req.model,
             text,
             stream: req.stream,
@@ -44,7 +44,7 @@
 impl From<CompletionRequest> for Prompt {
     fn from(req: CompletionRequest) -> Self {
         Prompt {
-            form: Form::Plain,
+            endpoint: Endpoint::Text,
             pipeline: req.model,
             text: req.prompt,
             stream: req.stream,
