--- a/plugins/services/src/accept.rs
+++ b/plugins/services/src/accept.rs
@@ -1,4 +1,4 @@
-//! Checks of a call before anything is done for it.
+//! Validates a call before any work is done for it.
 
 use bytes::Bytes;
 use jacinthweir_kernel::body;
@@ -12,17 +12,15 @@
 use jacinthweir_wire::caller::ErrorCode;
 use jacinthweir_wire::header;
 
-/// A call that was understood.
+/// A validated call.
 pub(crate) struct Accepted {
     pub(crate) config: Arc<InForce>,
     pub(crate) caller: Caller,
     pub(crate) service: ServiceId,
-    /// Service's name.
     pub(crate) service_name: Name,
-    /// Call's name.
     pub(crate) call: Name,
     pub(crate) repeat: Repeat,
-    /// Caller's idempotency key.
+    /// Idempotency key given by the caller.
     pub(crate) key: Option<ClaimKey>,
     pub(crate) content_type: Option<String>,
     pub(crate) body: Bytes,
@@ -30,30 +28,30 @@
 }
 
 impl Accepted {
-    /// `service/call`.
+    /// Returns `service/call`.
     pub(crate) fn target(&self) -> Name {
         Name::from(format!("{}/{}", self.service_name, self.call))
     }
 }
 
-/// Reads and checks a call.
+/// Reads and validates a call.
 ///
 /// # Errors
-/// A refusal; nothing has run.
+/// Returns the refusal to send to the caller; nothing has run.
 pub(crate) async fn accept(cx: &Arc<Kernel>, req: &mut Request) -> Result<Accepted, Refusal> {
     let arrived = cx.clock.reading();
     let config = cx.serving_config()?;
     cx.room_for_one()?;
     let caller = Caller::identify(&config, req)?;
-    let service_name: Name = param(req, "service");
-    let call: Name = param(req, "call");
-    let (service, decl) = find(&config, &service_name, &call)?;
+    let service_name: Name = path_param(req, "service");
+    let call: Name = path_param(req, "call");
+    let (service, decl) = find_call(&config, &service_name, &call)?;
     let deadline_ms = caller.deadline_ms.unwrap_or(decl.default_deadline_ms);
     let repeat = match decl.idempotent {
         true => Repeat::Idempotent,
         false => Repeat::NonIdempotent,
     };
-    let key = key(&caller, req)?;
+    let key = idempotency_key(&caller, req)?;
     let content_type = content_type(req);
     let limit = cx.settings.limits.body_bytes;
     let body = body::read(req, limit, cx.settings.timing.body_timeout_ms).await?;
@@ -71,11 +69,15 @@
     })
 }
 
-fn param(req: &Request, name: &str) -> Name {
+fn path_param(req: &Request, name: &str) -> Name {
     req.param::<String>(name).unwrap_or_default().into()
 }
 
-fn find(config: &InForce, service: &str, call: &str) -> Result<(ServiceId, CallDecl), Refusal> {
+fn find_call(
+    config: &InForce,
+    service: &str,
+    call: &str,
+) -> Result<(ServiceId, CallDecl), Refusal> {
     let no_such = |what: String| Refusal::not_run(ErrorCode::NotFound, what);
     let id = config.schema.service_named(service);
     let id = id.ok_or_else(|| no_such(format!("no such service: {service}")))?;
@@ -84,10 +86,12 @@
     Ok((id, decl.clone()))
 }
 
-/// The caller's idempotency key. One that can't be read is refused rather than left out: the call
-/// would run without the protection that its caller asked for.
-fn key(caller: &Caller, req: &Request) -> Result<Option<ClaimKey>, Refusal> {
-    let bad = |msg: String| {
+/// Returns the caller's idempotency key.
+///
+/// An unreadable key is refused, not ignored: the call would otherwise run without the protection
+/// that its caller asked for.
+fn idempotency_key(caller: &Caller, req: &Request) -> Result<Option<ClaimKey>, Refusal> {
+    let bad_request = |msg: String| {
         let msg = format!("header {}: {msg}", header::IDEMPOTENCY_KEY);
         Refusal::not_run(ErrorCode::BadRequest, msg)
     };
@@ -96,11 +100,12 @@
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(bad("given more than once".to_owned()));
+        return Err(bad_request("given more than once".to_owned()));
     }
-    let text = value.to_str().map_err(|e| bad(e.to_string()))?;
+    let text = value.to_str().map_err(|e| bad_request(e.to_string()))?;
     let key = ClaimKey::new(caller.organisation.clone(), text.trim());
-    key.map(Some).map_err(|fault| bad(fault.to_string()))
+    key.map(Some)
+        .map_err(|fault| bad_request(fault.to_string()))
 }
 
 fn content_type(req: &Request) -> Option<String> {
--- a/plugins/services/src/answer.rs
+++ b/plugins/services/src/answer.rs
@@ -1,4 +1,4 @@
-//! What the caller of a service's call is told.
+//! Result of a service call, as returned to its caller.
 
 use bytes::Bytes;
 use jacinthweir_kernel::prelude::*;
@@ -6,20 +6,19 @@
 use jacinthweir_policy::claim::{Finished, NotRunCause, Recorded};
 use jacinthweir_wire::caller::ErrorCode;
 
-/// When to come back where nothing better is known, in milliseconds.
+/// Default retry delay suggested to callers, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// The service's own answer.
+/// The answer given by the service.
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceReply {
-    /// HTTP status.
     pub(crate) status: u16,
     pub(crate) content_type: Option<String>,
     pub(crate) body: Bytes,
 }
 
 impl ServiceReply {
-    /// Writes the answer as the whole response.
+    /// Writes the answer as the HTTP response.
     pub(crate) fn write(self, res: &mut Response, request: &Name) {
         let status = StatusCode::from_u16(self.status).unwrap_or(StatusCode::BAD_GATEWAY);
         res.status_code(status);
@@ -33,63 +32,64 @@
     }
 }
 
-/// What the handler passes on to the caller.
+/// Result of a call, passed to the handler.
 #[derive(Debug)]
-pub(crate) enum Told {
-    /// The service's answer, now or as recorded.
+pub(crate) enum CallResult {
+    /// The service's answer to this call or, if recorded in a claim, to an earlier submission.
     Reply(ServiceReply),
-    /// None.
+    /// There is no answer of the service.
     Refused(Refusal),
 }
 
-/// Why there is no answer of the service. The outcome is added from the journal.
+/// Reason for which there is no answer of the service. The outcome is added from the journal.
 #[derive(Clone, Debug)]
-pub(crate) struct NoReply {
+pub(crate) struct CallFailure {
     pub(crate) code: ErrorCode,
     pub(crate) message: String,
     pub(crate) retry_after_ms: Option<u64>,
 }
 
-impl NoReply {
-    pub(crate) fn new(code: ErrorCode, message: impl Into<String>) -> NoReply {
-        NoReply {
+impl CallFailure {
+    pub(crate) fn new(code: ErrorCode, message: impl Into<String>) -> CallFailure {
+        CallFailure {
             code,
             message: message.into(),
             retry_after_ms: None,
         }
     }
 
-    /// The same with a time to come back, spread so that callers don't return together.
-    pub(crate) fn come_back(mut self, after_ms: Option<u64>) -> NoReply {
+    /// Sets the retry delay, with jitter so that callers do not return in step.
+    pub(crate) fn with_retry_after(mut self, after_ms: Option<u64>) -> CallFailure {
         let base = after_ms.unwrap_or(RETRY_AFTER_MS);
         self.retry_after_ms = Some(base + rand::random_range(0..=base / 2));
         self
     }
 
-    /// A claim that was not made.
-    pub(crate) fn not_run(cause: NotRunCause) -> NoReply {
+    /// Returns the failure for a call that was not run because no claim was made.
+    pub(crate) fn not_run(cause: NotRunCause) -> CallFailure {
         match cause {
-            NotRunCause::KeyExpired => NoReply::new(
+            NotRunCause::KeyExpired => CallFailure::new(
                 ErrorCode::KeyExpired,
                 "the idempotency key is older than claims are kept",
             ),
-            NotRunCause::PlatformDown => NoReply::new(
+            NotRunCause::PlatformDown => CallFailure::new(
                 ErrorCode::PlatformDown,
                 "the platform does not answer and this call may not be repeated",
             )
-            .come_back(None),
-            NotRunCause::DeadlinePassed => NoReply::new(
+            .with_retry_after(None),
+            NotRunCause::DeadlinePassed => CallFailure::new(
                 ErrorCode::Overloaded,
                 "the deadline passed before the call could be sent",
             )
-            .come_back(None),
+            .with_retry_after(None),
             NotRunCause::Cancelled | NotRunCause::NotDispatched => {
-                NoReply::new(ErrorCode::NoCapacity, "the call was not sent").come_back(None)
+                CallFailure::new(ErrorCode::NoCapacity, "the call was not sent")
+                    .with_retry_after(None)
             }
         }
     }
 
-    /// The refusal that the caller sees, given the journal's outcome.
+    /// Returns the refusal for the caller, with the journal's outcome.
     pub(crate) fn refusal(self, outcome: Outcome) -> Refusal {
         Refusal {
             code: self.code,
@@ -100,11 +100,11 @@
     }
 }
 
-/// The answer of an earlier submission with the same key.
-pub(crate) fn recorded(recorded: &Recorded) -> Result<ServiceReply, NoReply> {
+/// Returns the recorded result of an earlier submission with the same idempotency key.
+pub(crate) fn recorded_result(recorded: &Recorded) -> Result<ServiceReply, CallFailure> {
     let finished = &recorded.finished;
     match finished.outcome {
-        Outcome::Answered => whole(finished),
+        Outcome::Answered => recorded_reply(finished),
         outcome => {
             let code = match outcome {
                 Outcome::Unknown => ErrorCode::OutcomeUnknown,
@@ -114,15 +114,15 @@
                 "request {} with this key was sent to {} by {} and ended as {outcome}",
                 recorded.request, finished.upstream, recorded.claimant
             );
-            Err(NoReply::new(code, msg))
+            Err(CallFailure::new(code, msg))
         }
     }
 }
 
-fn whole(finished: &Finished) -> Result<ServiceReply, NoReply> {
+fn recorded_reply(finished: &Finished) -> Result<ServiceReply, CallFailure> {
     let body = finished.body().ok_or_else(|| {
         let msg = "the call ran and was answered; its answer is too large to be kept";
-        NoReply::new(ErrorCode::TooLarge, msg)
+        CallFailure::new(ErrorCode::TooLarge, msg)
     })?;
     Ok(ServiceReply {
         status: finished.status,
--- a/plugins/services/src/claimed.rs
+++ b/plugins/services/src/claimed.rs
@@ -1,40 +1,40 @@
-//! Carries out the actions of a claim: one platform call at a time.
+//! Runs a call under a claim: executes the claim's actions, one platform call at a time.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use jacinthweir_clients::ClientError;
 use jacinthweir_clients::platform::PutResult;
-use jacinthweir_kernel::fault_point::Step as Point;
+use jacinthweir_kernel::fault_point::Step as FaultStep;
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_policy::claim::{
     Action, Answer, Claim, ClaimKey, ClaimRecord, ClaimState, DispatchEnd, EarlierSubmission,
     Event, Finished, ReadAnswer, Submission, WriteAnswer,
 };
-use jacinthweir_policy::journal::Event as Step;
+use jacinthweir_policy::journal::Event as JournalEvent;
 use jacinthweir_policy::member::Phase;
 use jacinthweir_policy::membership::Member;
 use jacinthweir_wire::caller::ErrorCode;
 use jacinthweir_wire::platform::{Condition, Object};
 use sha2::{Digest, Sha256};
 
-use crate::answer::{NoReply, recorded};
-use crate::dispatch::Sent;
+use crate::answer::{CallFailure, recorded_result};
+use crate::dispatch::DispatchResult;
 use crate::driver::{Driver, claim_config};
 
-/// When to ask again for a call that still runs, in milliseconds.
-const STILL_RUNNING_MS: u64 = 1_000;
+/// Retry delay suggested for a call that is still running, in milliseconds.
+const STILL_RUNNING_RETRY_AFTER_MS: u64 = 1_000;
 
 impl Driver {
-    /// Runs the call under a claim of `key`.
+    /// Runs the call under a claim on `key`.
     pub(crate) async fn run_claimed(&mut self, key: ClaimKey) {
-        let place = key.to_string();
+        let object_key = key.to_string();
         let submission = self.submission(key);
         let now = self.cx.clock.reading();
         let (mut claim, actions) = Claim::open(claim_config(&self.cx), submission, now);
-        let mut todo = VecDeque::from(actions);
-        while let Some(action) = todo.pop_front() {
-            todo.extend(self.act(&mut claim, &place, action).await);
+        let mut pending = VecDeque::from(actions);
+        while let Some(action) = pending.pop_front() {
+            pending.extend(self.execute(&mut claim, &object_key, action).await);
         }
     }
 
@@ -56,79 +56,101 @@
         }
     }
 
-    async fn act(&mut self, claim: &mut Claim, place: &str, action: Action) -> Vec<Action> {
+    async fn execute(
+        &mut self,
+        claim: &mut Claim,
+        object_key: &str,
+        action: Action,
+    ) -> Vec<Action> {
         match action {
             Action::Create(record) => {
-                fault_point::reach(Point::ClaimSending).await;
-                let answer = self.write(place, &record, Condition::Absent).await;
+                fault_point::reach(FaultStep::ClaimSending).await;
+                let answer = self
+                    .write_claim(object_key, &record, Condition::Absent)
+                    .await;
                 claim.step(self.cx.clock.reading(), Event::Write(answer))
             }
             Action::Update { record, version } => {
                 if !matches!(record.state, ClaimState::Open) {
-                    fault_point::reach(Point::OutcomeSending).await;
+                    fault_point::reach(FaultStep::OutcomeSending).await;
                 }
                 let condition = Condition::Version(version);
-                let answer = self.write(place, &record, condition).await;
+                let answer = self.write_claim(object_key, &record, condition).await;
                 claim.step(self.cx.clock.reading(), Event::Write(answer))
             }
             Action::Read => {
-                let answer = self.read(place).await;
+                let answer = self.read_claim(object_key).await;
                 claim.step(self.cx.clock.reading(), Event::Read(answer))
             }
             Action::Pause(until) => self.pause_until(claim, until).await,
             Action::Dispatch => self.dispatch_claimed(claim).await,
             Action::Answer(answer) => {
-                self.tell_claim(answer);
+                self.respond_from_claim(answer);
                 Vec::new()
             }
             Action::Over => Vec::new(),
         }
     }
 
-    async fn write(&self, place: &str, record: &ClaimRecord, on: Condition) -> WriteAnswer {
+    async fn write_claim(
+        &self,
+        object_key: &str,
+        record: &ClaimRecord,
+        on: Condition,
+    ) -> WriteAnswer {
         metrics::counter!("jacinthweir_claim_writes_total").increment(1);
-        let answer = self.cx.platform.put(place, record.to_text(), on).await;
+        let answer = self.cx.platform.put(object_key, record.to_text(), on).await;
         match answer {
             Ok(PutResult::Written(version)) => WriteAnswer::Written(version),
             Ok(PutResult::Stands(_)) => WriteAnswer::Stale,
             Err(ClientError::NoEffect { cause }) => {
-                info!(request = self.running.request.as_ref(); "claim not written: {cause}");
+                info!(
+                    request = self.running.request.as_ref();
+                    "claim not written, no effect on the platform: {cause}"
+                );
                 WriteAnswer::NoEffect
             }
             Err(e) => {
-                warn!(request = self.running.request.as_ref(); "claim's write: {e}");
+                warn!(
+                    request = self.running.request.as_ref();
+                    "claim write failed, its effect is unknown: {e}"
+                );
                 WriteAnswer::Lost
             }
         }
     }
 
-    async fn read(&self, place: &str) -> ReadAnswer {
+    async fn read_claim(&self, object_key: &str) -> ReadAnswer {
         metrics::counter!("jacinthweir_claim_reads_total").increment(1);
-        match self.cx.platform.get(place).await {
-            Ok(Some(object)) => self.found(&object),
+        match self.cx.platform.get(object_key).await {
+            Ok(Some(object)) => self.found_claim(&object),
             Ok(None) => ReadAnswer::Absent,
             Err(e) => {
-                info!(request = self.running.request.as_ref(); "claim not read: {e}");
+                info!(request = self.running.request.as_ref(); "claim could not be read: {e}");
                 ReadAnswer::Failed
             }
         }
     }
 
-    fn found(&self, object: &Object) -> ReadAnswer {
+    fn found_claim(&self, object: &Object) -> ReadAnswer {
         let Some(record) = ClaimRecord::parse(&object.value) else {
-            error!(request = self.running.request.as_ref(); "unreadable claim {}", object.key);
+            error!(
+                request = self.running.request.as_ref();
+                "claim {} cannot be parsed", object.key
+            );
             return ReadAnswer::Unreadable;
         };
         ReadAnswer::Found {
-            claimant_gone: self.is_gone(&record.claimant, record.incarnation),
+            claimant_gone: self.has_ended(&record.claimant, record.incarnation),
             record: Box::new(record),
             version: object.version,
         }
     }
 
-    /// Whether an incarnation of an instance is known to be over. One that is merely suspected is
-    /// not: its call may still be answered.
-    fn is_gone(&self, name: &str, incarnation: u64) -> bool {
+    /// Whether an incarnation of an instance is known to have ended.
+    ///
+    /// A suspected one does not count: its call may still be answered.
+    fn has_ended(&self, name: &str, incarnation: u64) -> bool {
         if *name == *self.cx.settings.name {
             return incarnation != self.cx.incarnation;
         }
@@ -143,67 +165,75 @@
         let now = self.cx.clock.reading();
         let mono = until.mono_ms.saturating_sub(now.mono_ms);
         let unix = until.unix_ms.saturating_sub(now.unix_ms);
-        let stays = self.pause(Duration::from_millis(mono.min(unix))).await;
+        let elapsed = self
+            .sleep_unless_cancelled(Duration::from_millis(mono.min(unix)))
+            .await;
         let now = self.cx.clock.reading();
-        match stays {
+        match elapsed {
             true => claim.step(now, Event::Timer),
             false => claim.cancel(now),
         }
     }
 
-    /// Dispatches if the claim grants it. The caller is told before the claim's outcome is
-    /// written: an answer is never held back for a slow platform.
+    /// Dispatches the call if the claim permits it.
+    ///
+    /// The caller gets the result before the outcome is written to the claim, so that a slow
+    /// platform does not delay an answer.
     async fn dispatch_claimed(&mut self, claim: &mut Claim) -> Vec<Action> {
         if let Err(actions) = claim.begin_dispatch(self.cx.clock.reading()) {
             return actions;
         }
-        self.running.note(Step::Claimed);
-        fault_point::reach(Point::Claimed).await;
-        let sent = self.dispatch().await;
-        fault_point::reach(Point::CallRan).await;
-        let outcome = self.tell_sent(&sent);
-        let end = dispatch_end(sent, outcome, self.cx.clock.unix_ms());
+        self.running.note(JournalEvent::Claimed);
+        fault_point::reach(FaultStep::Claimed).await;
+        let dispatched = self.dispatch().await;
+        fault_point::reach(FaultStep::CallRan).await;
+        let outcome = self.respond_to_dispatch(&dispatched);
+        let end = dispatch_end(dispatched, outcome, self.cx.clock.unix_ms());
         claim.step(self.cx.clock.reading(), Event::Dispatched(end))
     }
 
-    fn tell_claim(&mut self, answer: Answer) {
-        if self.has_told() {
+    fn respond_from_claim(&mut self, answer: Answer) {
+        if self.has_responded() {
             return;
         }
-        let told = match answer {
-            Answer::NotRun(cause) => Err(NoReply::not_run(cause)),
+        let result = match answer {
+            Answer::NotRun(cause) => Err(CallFailure::not_run(cause)),
             Answer::Recorded(it) => {
                 let outcome = it.finished.outcome;
-                self.running.note(Step::Recorded { outcome });
-                recorded(&it)
+                self.running.note(JournalEvent::Recorded { outcome });
+                recorded_result(&it)
             }
-            Answer::KeyConflict => Err(NoReply::new(
+            Answer::KeyConflict => Err(CallFailure::new(
                 ErrorCode::KeyConflict,
                 "the idempotency key was used for another call or body",
             )),
             Answer::StillRunning => {
-                self.note_unknown();
+                self.record_unknown_outcome();
                 let msg = "a call with this idempotency key is still running";
-                let why = NoReply::new(ErrorCode::StillRunning, msg);
-                Err(why.come_back(Some(STILL_RUNNING_MS)))
+                let failure = CallFailure::new(ErrorCode::StillRunning, msg);
+                Err(failure.with_retry_after(Some(STILL_RUNNING_RETRY_AFTER_MS)))
             }
             Answer::Unknown(earlier) => {
-                self.note_unknown();
-                Err(NoReply::new(ErrorCode::OutcomeUnknown, unknown(earlier)))
+                self.record_unknown_outcome();
+                Err(CallFailure::new(
+                    ErrorCode::OutcomeUnknown,
+                    unknown_outcome_message(earlier),
+                ))
             }
         };
-        self.tell(told);
+        self.respond(result);
     }
 
-    /// An earlier submission may have run: "not run" would mislead whoever sends it again.
-    fn note_unknown(&self) {
-        self.running.note(Step::Recorded {
+    /// Records an unknown outcome: an earlier submission may have run, and "not run" would mislead
+    /// a caller into sending the call again.
+    fn record_unknown_outcome(&self) {
+        self.running.note(JournalEvent::Recorded {
             outcome: Outcome::Unknown,
         });
     }
 }
 
-fn unknown(earlier: Option<EarlierSubmission>) -> String {
+fn unknown_outcome_message(earlier: Option<EarlierSubmission>) -> String {
     match earlier {
         Some(it) => format!(
             "request {} with this key was claimed by {}, which left no outcome",
@@ -213,19 +243,19 @@
     }
 }
 
-fn dispatch_end(sent: Sent, outcome: Outcome, at_ms: Millis) -> DispatchEnd {
+fn dispatch_end(dispatched: DispatchResult, outcome: Outcome, at_ms: Millis) -> DispatchEnd {
     if outcome == Outcome::NotRun {
         return DispatchEnd::NotRun;
     }
-    match sent {
-        Sent::Replied { upstream, reply } => {
+    match dispatched {
+        DispatchResult::Replied { upstream, reply } => {
             let mut finished = Finished::without_answer(outcome, upstream, at_ms);
             finished.status = reply.status;
             finished.content_type = reply.content_type.map(Name::from);
             finished.set_body(&reply.body);
             DispatchEnd::Ran(finished)
         }
-        Sent::NoReply { upstream, .. } => {
+        DispatchResult::Failed { upstream, .. } => {
             let upstream = upstream.unwrap_or_else(|| Name::from("none"));
             DispatchEnd::Ran(Finished::without_answer(outcome, upstream, at_ms))
         }
--- a/plugins/services/src/dispatch.rs
+++ b/plugins/services/src/dispatch.rs
@@ -1,5 +1,7 @@
-//! Sends a call to upstreams of its service: each attempt is in the journal as handed over before
-//! its first byte may go out, and only the policy gives it another one.
+//! Sends a call to upstreams of its service.
+//!
+//! The hand-over of each attempt is recorded in the journal before its first byte may be sent, and
+//! only the policy decides on a retry.
 
 use std::time::Duration;
 
@@ -14,76 +16,78 @@
 use jacinthweir_wire::caller::ErrorCode;
 use rand::seq::IndexedRandom;
 
-use crate::answer::{NoReply, ServiceReply};
+use crate::answer::{CallFailure, ServiceReply};
 use crate::driver::Driver;
 
-/// Least time left for which another attempt is made, in milliseconds.
-const LEAST_TIME_MS: u64 = 10;
+/// Minimum time before the deadline for another attempt, in milliseconds.
+const MIN_ATTEMPT_TIME_MS: u64 = 10;
 
-/// How the dispatch of a call ended.
-pub(crate) enum Sent {
-    /// The service gave its whole answer.
-    Replied {
-        /// Upstream's name.
-        upstream: Name,
-        reply: ServiceReply,
-    },
-    /// It did not; whether any of it ran is in the journal.
-    NoReply {
-        /// Upstream of the last attempt, if there was one.
+/// Result of dispatching a call.
+pub(crate) enum DispatchResult {
+    /// The service answered in full.
+    Replied { upstream: Name, reply: ServiceReply },
+    /// There is no answer; the journal tells whether any of the call ran.
+    Failed {
+        /// Upstream of the last attempt, if any was made.
         upstream: Option<Name>,
-        why: NoReply,
+        failure: CallFailure,
     },
 }
 
-/// How one attempt ended.
+/// Result of one attempt.
 enum AttemptEnd {
     Replied(ServiceReply),
-    Bad(AttemptFailure, String),
+    Failed(AttemptFailure, String),
 }
 
 impl Driver {
     /// Sends the call until an upstream answers or no further attempt may be made.
-    pub(crate) async fn dispatch(&mut self) -> Sent {
+    pub(crate) async fn dispatch(&mut self) -> DispatchResult {
         let mut tried: Vec<Name> = Vec::new();
         let mut attempt = 1;
-        let mut last = NoReply::new(ErrorCode::NoCapacity, "no upstream of the service is there")
-            .come_back(None);
+        let mut last_failure =
+            CallFailure::new(ErrorCode::NoCapacity, "no upstream of the service is there")
+                .with_retry_after(None);
         loop {
-            let Some(upstream) = self.pick(&tried) else {
-                return no_reply(tried.pop(), last);
+            let Some(upstream) = self.pick_upstream(&tried) else {
+                return failed(tried.pop(), last_failure);
             };
             let name = upstream.name.clone();
-            let (end, cause) = match self.attempt(attempt, &upstream).await {
+            let (end, cause) = match self.run_attempt(attempt, &upstream).await {
                 AttemptEnd::Replied(reply) => {
-                    self.shared.budget().record_success();
+                    self.limits.budget().record_success();
                     let upstream = name;
-                    return Sent::Replied { upstream, reply };
+                    return DispatchResult::Replied { upstream, reply };
                 }
-                AttemptEnd::Bad(end, cause) => (end, cause),
+                AttemptEnd::Failed(end, cause) => (end, cause),
             };
-            info!(request = self.running.request.as_ref(); "attempt {attempt} at {name}: {cause}");
-            last = self.no_reply_after(end, &name, &cause);
+            info!(
+                request = self.running.request.as_ref();
+                "attempt {attempt} at {name} failed: {cause}"
+            );
+            last_failure = self.failure_after(end, &name, &cause);
             tried.push(name);
             match self.decide(end) {
                 Decision::Retry { attempt: next, .. } => attempt = next,
-                Decision::GiveUp(why) => return no_reply(tried.pop(), given_up(why, last)),
+                Decision::GiveUp(reason) => {
+                    return failed(tried.pop(), final_failure(reason, last_failure));
+                }
             }
         }
     }
 
-    fn decide(&self, end: AttemptFailure) -> Decision {
+    fn decide(&self, failure: AttemptFailure) -> Decision {
         let time = TimeLeft {
             left_ms: self.remaining_ms(),
-            needed_ms: LEAST_TIME_MS,
+            needed_ms: MIN_ATTEMPT_TIME_MS,
         };
         let now = self.cx.clock.now();
-        let mut budget = self.shared.budget();
-        retry::decide(now, &self.running.journal(), end, time, &mut budget)
+        let mut budget = self.limits.budget();
+        retry::decide(now, &self.running.journal(), failure, time, &mut budget)
     }
 
-    /// An upstream of the service that is open for new work and was not tried.
-    fn pick(&self, tried: &[Name]) -> Option<ListedInstance> {
+    /// Picks an upstream of the service that is open for new work and was not tried yet.
+    fn pick_upstream(&self, tried: &[Name]) -> Option<ListedInstance> {
         let schema = &self.accepted.config.schema;
         let serves = GroupServes::Service(self.accepted.service);
         let groups = schema.groups().values().filter(|g| g.serves == serves);
@@ -96,26 +100,28 @@
             .map(|listed| (*listed).clone())
     }
 
-    /// Makes one attempt.
-    async fn attempt(&mut self, attempt: u32, upstream: &ListedInstance) -> AttemptEnd {
+    async fn run_attempt(&mut self, attempt: u32, upstream: &ListedInstance) -> AttemptEnd {
         let handed = Event::Handed {
             attempt,
             upstream: upstream.name.clone(),
         };
         if let Err(fault) = self.running.record(handed) {
-            error!(request = self.running.request.as_ref(); "not sent: {fault}");
-            return AttemptEnd::Bad(AttemptFailure::BrokenOff, fault.to_string());
+            error!(
+                request = self.running.request.as_ref();
+                "attempt not sent: the journal refused its hand-over: {fault}"
+            );
+            return AttemptEnd::Failed(AttemptFailure::BrokenOff, fault.to_string());
         }
         fault_point::reach(Step::CallHanded).await;
-        // The time left is read after the hand-over was recorded, on both clocks: an instance that
-        // was frozen until after the deadline sends nothing.
+        // The remaining time is read on both clocks after the hand-over was recorded, so that an
+        // instance that was suspended past the deadline sends nothing.
         let call = self.service_call(attempt, upstream);
         if call.timeout.is_zero() {
             self.running.note(Event::NeverSent { attempt });
-            return AttemptEnd::Bad(AttemptFailure::NeverSent, "deadline passed".to_owned());
+            return AttemptEnd::Failed(AttemptFailure::NeverSent, "deadline passed".to_owned());
         }
         let result = self.cx.services.call(&call).await;
-        self.settle(attempt, result)
+        self.record_end(attempt, result)
     }
 
     fn service_call(&self, attempt: u32, upstream: &ListedInstance) -> ServiceCall {
@@ -132,7 +138,7 @@
         }
     }
 
-    fn settle(&self, attempt: u32, result: Result<ServiceAnswer, ClientError>) -> AttemptEnd {
+    fn record_end(&self, attempt: u32, result: Result<ServiceAnswer, ClientError>) -> AttemptEnd {
         let (event, end) = match result {
             Ok(ServiceAnswer::Answered {
                 status,
@@ -151,13 +157,13 @@
                 let retry_after_ms = retry_after_ms.unwrap_or(0);
                 let end = AttemptFailure::Refused { retry_after_ms };
                 let refused = Event::RefusedByUpstream { attempt };
-                (refused, AttemptEnd::Bad(end, "refused".to_owned()))
+                (refused, AttemptEnd::Failed(end, "refused".to_owned()))
             }
             Err(e @ ClientError::NoEffect { .. }) => {
                 let never = Event::NeverSent { attempt };
                 (
                     never,
-                    AttemptEnd::Bad(AttemptFailure::NeverSent, e.to_string()),
+                    AttemptEnd::Failed(AttemptFailure::NeverSent, e.to_string()),
                 )
             }
             Err(e) => {
@@ -166,22 +172,23 @@
                     attempt,
                     cause: cause.as_str().into(),
                 };
-                (lost, AttemptEnd::Bad(AttemptFailure::BrokenOff, cause))
+                (lost, AttemptEnd::Failed(AttemptFailure::BrokenOff, cause))
             }
         };
         self.running.note(event);
         end
     }
 
-    fn no_reply_after(&self, end: AttemptFailure, upstream: &Name, cause: &str) -> NoReply {
-        match end {
+    fn failure_after(&self, failure: AttemptFailure, upstream: &Name, cause: &str) -> CallFailure {
+        match failure {
             AttemptFailure::Refused { retry_after_ms } => {
                 let after = Some(retry_after_ms).filter(|ms| *ms > 0);
-                NoReply::new(ErrorCode::NoCapacity, "the service refused the call").come_back(after)
+                CallFailure::new(ErrorCode::NoCapacity, "the service refused the call")
+                    .with_retry_after(after)
             }
             AttemptFailure::NeverSent => {
-                NoReply::new(ErrorCode::NoCapacity, format!("{upstream} is not reached"))
-                    .come_back(None)
+                CallFailure::new(ErrorCode::NoCapacity, format!("{upstream} is not reached"))
+                    .with_retry_after(None)
             }
             AttemptFailure::BrokenOff => match (self.accepted.repeat, self.remaining_ms()) {
                 (Repeat::NonIdempotent, _) => {
@@ -189,31 +196,32 @@
                     let msg = format!(
                         "{instance} sent the call to {upstream} and its answer is lost: {cause}"
                     );
-                    NoReply::new(ErrorCode::OutcomeUnknown, msg)
+                    CallFailure::new(ErrorCode::OutcomeUnknown, msg)
                 }
                 (Repeat::Idempotent, 0) => {
-                    NoReply::new(ErrorCode::DeadlineExceeded, "the deadline passed")
+                    CallFailure::new(ErrorCode::DeadlineExceeded, "the deadline passed")
                 }
                 (Repeat::Idempotent, _) => {
                     let msg = format!("the answer of {upstream} is lost: {cause}");
-                    NoReply::new(ErrorCode::UpstreamFailed, msg)
+                    CallFailure::new(ErrorCode::UpstreamFailed, msg)
                 }
             },
         }
     }
 }
 
-fn no_reply(upstream: Option<Name>, why: NoReply) -> Sent {
-    Sent::NoReply { upstream, why }
+fn failed(upstream: Option<Name>, failure: CallFailure) -> DispatchResult {
+    DispatchResult::Failed { upstream, failure }
 }
 
-/// What the last attempt said stands, but for a deadline that passed before any of it ran.
-fn given_up(why: GiveUp, last: NoReply) -> NoReply {
-    match (why, last.code) {
+/// Returns the failure to report once no further attempt is made: that of the last attempt, unless
+/// the deadline passed before anything ran.
+fn final_failure(reason: GiveUp, last_failure: CallFailure) -> CallFailure {
+    match (reason, last_failure.code) {
         (GiveUp::Deadline, ErrorCode::NoCapacity) => {
             let msg = "the deadline passed before an upstream took the call";
-            NoReply::new(ErrorCode::Overloaded, msg).come_back(None)
+            CallFailure::new(ErrorCode::Overloaded, msg).with_retry_after(None)
         }
-        _ => last,
+        _ => last_failure,
     }
 }
--- a/plugins/services/src/driver.rs
+++ b/plugins/services/src/driver.rs
@@ -1,4 +1,4 @@
-//! The driver of one call: with or without a claim, and what the caller is told.
+//! Drives one call, with or without a claim, and reports the result to the handler.
 
 use std::time::Duration;
 
@@ -10,19 +10,19 @@
 use tokio::sync::oneshot;
 
 use crate::accept::Accepted;
-use crate::answer::{NoReply, ServiceReply, Told};
-use crate::dispatch::Sent;
-use crate::shared::{Place, Shared};
+use crate::answer::{CallFailure, CallResult, ServiceReply};
+use crate::dispatch::DispatchResult;
+use crate::shared::{CallLimits, CallPermit};
 
-/// Greatest difference between the clocks of two instances for which a deleted claim is still
-/// safe, in milliseconds.
-const CLOCK_DIFFERENCE_MS: u64 = 3_600_000;
+/// Largest clock difference between two instances at which deleting an expired claim is safe, in
+/// milliseconds.
+const MAX_CLOCK_SKEW_MS: u64 = 3_600_000;
 
-/// Settings of claims, with the retention from the instance's settings.
+/// Returns the configuration of claims, with the retention from the instance's settings.
 pub(crate) fn claim_config(cx: &Kernel) -> ClaimConfig {
     ClaimConfig {
         retention_ms: cx.settings.timing.claim_retention_ms,
-        margin_ms: MAX_DEADLINE_MS + CLOCK_DIFFERENCE_MS,
+        margin_ms: MAX_DEADLINE_MS + MAX_CLOCK_SKEW_MS,
         ..ClaimConfig::default()
     }
 }
@@ -30,21 +30,21 @@
 /// The driver of one call.
 pub(crate) struct Driver {
     pub(crate) cx: Arc<Kernel>,
-    pub(crate) shared: Arc<Shared>,
+    pub(crate) limits: Arc<CallLimits>,
     pub(crate) accepted: Accepted,
     pub(crate) running: Running,
-    tx: Option<oneshot::Sender<Told>>,
-    _place: Place,
+    tx: Option<oneshot::Sender<CallResult>>,
+    _permit: CallPermit,
 }
 
 impl Driver {
-    /// Starts the driver of an accepted call as a task of its own; gives the request id.
+    /// Starts the driver of an accepted call in a new task; returns the request id.
     pub(crate) fn spawn(
         cx: &Arc<Kernel>,
-        shared: &Arc<Shared>,
+        limits: &Arc<CallLimits>,
         accepted: Accepted,
-        place: Place,
-    ) -> (Name, oneshot::Receiver<Told>) {
+        permit: CallPermit,
+    ) -> (Name, oneshot::Receiver<CallResult>) {
         let id = cx.new_request_id();
         let journal = Journal::open(id.clone(), accepted.repeat, cx.clock.unix_ms());
         let meta = EntryMeta {
@@ -57,11 +57,11 @@
         let (tx, rx) = oneshot::channel();
         let driver = Driver {
             cx: Arc::clone(cx),
-            shared: Arc::clone(shared),
+            limits: Arc::clone(limits),
             accepted,
             running,
             tx: Some(tx),
-            _place: place,
+            _permit: permit,
         };
         cx.tasks.spawn(driver.drive());
         (id, rx)
@@ -73,54 +73,59 @@
         match (self.accepted.repeat, key) {
             (Repeat::NonIdempotent, Some(key)) => self.run_claimed(key).await,
             _ => {
-                let sent = self.dispatch().await;
-                self.tell_sent(&sent);
+                let dispatched = self.dispatch().await;
+                self.respond_to_dispatch(&dispatched);
             }
         }
     }
 
-    /// Tells the caller how the dispatch went; gives the outcome.
-    pub(crate) fn tell_sent(&mut self, sent: &Sent) -> Outcome {
-        match sent {
-            Sent::Replied { reply, .. } => self.tell(Ok(reply.clone())),
-            Sent::NoReply { why, .. } => self.tell(Err(why.clone())),
+    /// Reports the result of the dispatch to the caller; returns the outcome.
+    pub(crate) fn respond_to_dispatch(&mut self, dispatched: &DispatchResult) -> Outcome {
+        match dispatched {
+            DispatchResult::Replied { reply, .. } => self.respond(Ok(reply.clone())),
+            DispatchResult::Failed { failure, .. } => self.respond(Err(failure.clone())),
         }
     }
 
-    /// Closes the journal and tells the caller, at once. Only the first time counts.
-    pub(crate) fn tell(&mut self, told: Result<ServiceReply, NoReply>) -> Outcome {
+    /// Closes the journal and sends the result to the handler; returns the outcome.
+    ///
+    /// Only the first result is sent.
+    pub(crate) fn respond(&mut self, result: Result<ServiceReply, CallFailure>) -> Outcome {
         let Some(tx) = self.tx.take() else {
             return self.running.close(End::GivenUp);
         };
-        if let Err(why) = &told {
-            let code = Name::from(why.code.to_string());
+        if let Err(failure) = &result {
+            let code = Name::from(failure.code.to_string());
             self.running.note(Event::Refused { code });
         }
-        let end = match told {
+        let end = match result {
             Ok(_) => End::Whole,
             Err(_) => End::GivenUp,
         };
         let outcome = self.running.close(end);
-        self.log(outcome);
-        let told = match told {
-            Ok(reply) if outcome == Outcome::Answered => Told::Reply(reply),
-            // The journal doesn't bear out the answer: a fault of this program, told as one.
-            Ok(_) => Told::Refused(jacinthweir_kernel::reply::Refusal::internal()),
-            Err(why) => Told::Refused(why.refusal(outcome)),
+        self.log_end(outcome);
+        let result = match result {
+            Ok(reply) if outcome == Outcome::Answered => CallResult::Reply(reply),
+            // The journal contradicts the answer: a bug in this program, reported as such.
+            Ok(_) => CallResult::Refused(jacinthweir_kernel::reply::Refusal::internal()),
+            Err(failure) => CallResult::Refused(failure.refusal(outcome)),
         };
-        // Fails only where the caller has left: there is nobody to tell.
-        let _ = tx.send(told);
+        // Fails only if the handler was dropped because the caller disconnected.
+        let _ = tx.send(result);
         outcome
     }
 
-    /// Whether the caller was told.
-    pub(crate) fn has_told(&self) -> bool {
+    /// Whether a result was sent.
+    pub(crate) fn has_responded(&self) -> bool {
         self.tx.is_none()
     }
 
-    /// Waits for a time, or until the caller left or the instance ends; `false`: the latter.
-    pub(crate) async fn pause(&mut self, pause: Duration) -> bool {
-        let sleep = tokio::time::sleep(pause);
+    /// Sleeps for `duration`; returns `false` early if the caller disconnects or the instance
+    /// stops.
+    ///
+    /// Once a result was sent, neither of the two interrupts the sleep.
+    pub(crate) async fn sleep_unless_cancelled(&mut self, duration: Duration) -> bool {
+        let sleep = tokio::time::sleep(duration);
         let Some(tx) = &mut self.tx else {
             sleep.await;
             return true;
@@ -132,7 +137,7 @@
         }
     }
 
-    /// Time left until the deadline, on the clock on which less is left.
+    /// Returns the time until the deadline, on whichever clock has less left.
     pub(crate) fn remaining_ms(&self) -> u64 {
         let now = self.cx.clock.reading();
         let deadline = self.accepted.deadline;
@@ -141,7 +146,7 @@
         mono.min(unix)
     }
 
-    fn log(&self, outcome: Outcome) {
+    fn log_end(&self, outcome: Outcome) {
         info!(
             request = self.running.request.as_ref(),
             organisation = self.running.organisation.as_ref(),
--- a/plugins/services/src/handler.rs
+++ b/plugins/services/src/handler.rs
@@ -1,26 +1,26 @@
-//! Handler of the services' calls.
+//! HTTP handler of service calls.
 
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_kernel::reply::Refusal;
 
 use crate::accept::accept;
-use crate::answer::Told;
+use crate::answer::CallResult;
 use crate::driver::Driver;
-use crate::shared::Shared;
+use crate::shared::CallLimits;
 
-/// Routes on the callers' listener.
+/// Returns the routes on the callers' listener.
 pub(crate) fn routes(cx: &Arc<Kernel>) -> Vec<Router> {
-    let shared = Shared::open(cx);
+    let limits = CallLimits::open(cx);
     let calls = Calls {
         cx: Arc::clone(cx),
-        shared,
+        limits,
     };
     vec![Router::with_path("v1/services/{service}/{call}").post(calls)]
 }
 
 struct Calls {
     cx: Arc<Kernel>,
-    shared: Arc<Shared>,
+    limits: Arc<CallLimits>,
 }
 
 #[handler]
@@ -31,14 +31,14 @@
             Err(refusal) => return refusal.write(res, None),
         };
         let org = &accepted.config.schema.orgs()[accepted.caller.org];
-        let place = match self.shared.enter(&self.cx, org) {
-            Ok(place) => place,
+        let permit = match self.limits.admit(&self.cx, org) {
+            Ok(permit) => permit,
             Err(refusal) => return refusal.write(res, None),
         };
-        let (request, rx) = Driver::spawn(&self.cx, &self.shared, accepted, place);
+        let (request, rx) = Driver::spawn(&self.cx, &self.limits, accepted, permit);
         match rx.await {
-            Ok(Told::Reply(reply)) => reply.write(res, &request),
-            Ok(Told::Refused(refusal)) => refusal.write(res, Some(&request)),
+            Ok(CallResult::Reply(reply)) => reply.write(res, &request),
+            Ok(CallResult::Refused(refusal)) => refusal.write(res, Some(&request)),
             Err(_) => Refusal::internal().write(res, Some(&request)),
         }
     }
--- a/plugins/services/src/lib.rs
+++ b/plugins/services/src/lib.rs
@@ -1,14 +1,14 @@
-//! The services' plug-in: `POST /v1/services/{service}/{call}`, one call of a plain service.
+//! Services plug-in: `POST /v1/services/{service}/{call}`, one call to a service.
 //!
-//! A handler reads and checks the call and hands it to a driver task, which is a task of its own:
-//! the server drops a handler when its caller leaves, and a call that was sent must still have
-//! its outcome recorded.
+//! A handler reads and validates the call and hands it to a driver task. The driver has a task of
+//! its own because the server drops a handler when its caller disconnects, and a call that was sent
+//! must still have its outcome recorded.
 //!
-//! | call | key from the caller | what the driver does |
+//! | call | idempotency key | what the driver does |
 //! |---|---|---|
-//! | idempotent | any | sends it, again elsewhere if an attempt is lost, within the retry budget |
-//! | non-idempotent | none | sends it once; again elsewhere only where nothing of it ran |
-//! | non-idempotent | given | the same, under a claim in the platform ([`jacinthweir_policy::claim`]) |
+//! | idempotent | any | sends it; if an attempt is lost, retries within the retry budget |
+//! | non-idempotent | none | sends it; retries elsewhere only if nothing of it ran |
+//! | non-idempotent | given | the same, under a claim ([`jacinthweir_policy::claim`]) |
 
 mod accept;
 mod answer;
--- a/plugins/services/src/shared.rs
+++ b/plugins/services/src/shared.rs
@@ -1,4 +1,5 @@
-//! What all calls of an instance share: the retry budget, and each organisation's places.
+//! Limits shared by all calls of an instance: the retry budget and the number of concurrent calls
+//! per organisation.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -10,25 +11,25 @@
 use jacinthweir_policy::schema::compiled::Org;
 use jacinthweir_wire::caller::ErrorCode;
 
-/// When to come back where an organisation's places are taken, in milliseconds.
+/// Minimum retry delay suggested to an organisation at its limit, in milliseconds.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// What all calls of an instance share.
-pub(crate) struct Shared {
+/// Retry budget and concurrent calls per organisation.
+pub(crate) struct CallLimits {
     budget: Mutex<RetryBudget>,
     calls: Mutex<BTreeMap<Name, u32>>,
 }
 
-/// One call's place; given back when dropped.
-pub(crate) struct Place {
-    shared: Arc<Shared>,
+/// Permission for one concurrent call of an organisation; released when dropped.
+pub(crate) struct CallPermit {
+    limits: Arc<CallLimits>,
     organisation: Name,
 }
 
-impl Shared {
-    pub(crate) fn open(cx: &Kernel) -> Arc<Shared> {
+impl CallLimits {
+    pub(crate) fn open(cx: &Kernel) -> Arc<CallLimits> {
         let budget = RetryBudget::new(RetryBudgetConfig::default(), cx.clock.now());
-        Arc::new(Shared {
+        Arc::new(CallLimits {
             budget: Mutex::new(budget),
             calls: Mutex::default(),
         })
@@ -38,26 +39,26 @@
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a place for a call of an organisation.
+    /// Admits a call of an organisation.
     ///
     /// # Errors
-    /// `organisation_limit`: nothing ran.
-    pub(crate) fn enter(self: &Arc<Self>, cx: &Kernel, org: &Org) -> Result<Place, Refusal> {
-        let most = most_calls(cx, org);
+    /// Returns `organisation_limit` if the organisation is at its limit; nothing ran.
+    pub(crate) fn admit(self: &Arc<Self>, cx: &Kernel, org: &Org) -> Result<CallPermit, Refusal> {
+        let max = max_calls(cx, org);
         let mut calls = self.calls();
         let own = calls.get(&org.name).copied().unwrap_or(0);
-        if own >= most {
+        if own >= max {
             let msg = format!("the organisation has {own} calls in progress here");
             let refusal = Refusal::not_run(ErrorCode::OrganisationLimit, msg);
-            let spread = rand::random_range(0..=RETRY_AFTER_MS);
-            return Err(refusal.retry_after(RETRY_AFTER_MS + spread));
+            let jitter = rand::random_range(0..=RETRY_AFTER_MS);
+            return Err(refusal.retry_after(RETRY_AFTER_MS + jitter));
         }
         calls.insert(org.name.clone(), own + 1);
-        let all: u32 = calls.values().sum();
+        let in_flight: u32 = calls.values().sum();
         drop(calls);
-        self.budget().set_in_flight(all);
-        Ok(Place {
-            shared: Arc::clone(self),
+        self.budget().set_in_flight(in_flight);
+        Ok(CallPermit {
+            limits: Arc::clone(self),
             organisation: org.name.clone(),
         })
     }
@@ -67,25 +68,27 @@
     }
 }
 
-/// The most calls of an organisation in this instance: half of the instance's places, so that one
-/// organisation's flood leaves room for the others, and an even share of its own limit.
-fn most_calls(cx: &Kernel, org: &Org) -> u32 {
+/// Returns the maximum number of concurrent calls of an organisation at this instance.
+///
+/// It is at most half of the instance's request limit, so that a burst of one organisation leaves
+/// headroom for the others, and at most an even share of the organisation's own limit.
+fn max_calls(cx: &Kernel, org: &Org) -> u32 {
     let half = u32::try_from(cx.settings.limits.requests / 2).unwrap_or(u32::MAX);
     let Some(limit) = org.max_in_flight else {
         return half.max(1);
     };
     let instances = u32::try_from(cx.live_instances()).unwrap_or(1).max(1);
-    let even = Demand {
+    let even_share = Demand {
         own: 1,
         all: instances,
         instances,
     };
-    share_of(limit, even).min(half).max(1)
+    share_of(limit, even_share).min(half).max(1)
 }
 
-impl Drop for Place {
+impl Drop for CallPermit {
     fn drop(&mut self) {
-        let mut calls = self.shared.calls();
+        let mut calls = self.limits.calls();
         let left = calls.get(&self.organisation).map_or(0, |n| n - 1);
         match left {
             0 => calls.remove(&self.organisation),
--- a/plugins/services/src/sweep.rs
+++ b/plugins/services/src/sweep.rs
@@ -1,8 +1,8 @@
-//! Deletes expired claims, slowly.
+//! Deletes expired claims at a limited rate.
 //!
-//! Each organisation's claims are swept by one instance. Every round looks at the newest span
-//! that may be deleted and at one older span, in turn, so that spans that were missed while no
-//! instance ran are found in time.
+//! Each organisation's claims are swept by one instance. Every round sweeps the newest time span
+//! that may be deleted and one older span, in turn, so that spans missed while no instance ran are
+//! still swept in time.
 
 use std::time::Duration;
 
@@ -12,23 +12,24 @@
 use crate::driver::claim_config;
 
 /// Time between two rounds.
-const ROUND: Duration = Duration::from_secs(3_600);
-/// Longest time before the first round: instances that start together don't sweep together.
-const FIRST_ROUND_SECS: u64 = 600;
-/// Older spans that are looked at in turn: 32 of 4.7 hours are six days.
+const ROUND_PERIOD: Duration = Duration::from_secs(3_600);
+/// Maximum delay of the first round, chosen at random so that instances that start together do not
+/// sweep together.
+const MAX_START_DELAY_S: u64 = 600;
+/// Number of older spans that are swept in turn: 32 spans of 4.7 hours cover six days.
 const OLDER_SPANS: usize = 32;
-/// Deletions a second that all instances together may make: they are writes of the platform.
-const DELETIONS_PER_S: f64 = 20.0;
+/// Maximum deletions per second of all instances together: each is a write to the platform.
+const MAX_DELETIONS_PER_S: f64 = 20.0;
 
-/// Sweeps until the instance ends.
+/// Sweeps until the instance stops.
 pub(crate) async fn run(cx: Arc<Kernel>) {
-    let first = rand::random_range(1..=FIRST_ROUND_SECS);
+    let first = rand::random_range(1..=MAX_START_DELAY_S);
     tokio::time::sleep(Duration::from_secs(first)).await;
     let mut older = 1;
     loop {
         round(&cx, older).await;
         older = older % OLDER_SPANS + 1;
-        tokio::time::sleep(ROUND).await;
+        tokio::time::sleep(ROUND_PERIOD).await;
     }
 }
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// Organisations whose claims this instance sweeps.
+/// Returns the organisations whose claims this instance sweeps.
 fn own_organisations(cx: &Kernel) -> Vec<Name> {
     let config = cx.config.get();
     let Some(config) = config.served() else {
@@ -62,17 +63,17 @@
 async fn sweep(cx: &Kernel, prefix: &str) {
     let listed = match cx.platform.list(prefix).await {
         Ok(listed) => listed,
-        Err(e) => return info!("claims {prefix}* not listed: {e}"),
+        Err(e) => return info!("claims {prefix}* could not be listed: {e}"),
     };
     let cfg = claim_config(cx);
-    let pause = Duration::from_secs_f64(cx.live_instances().max(1) as f64 / DELETIONS_PER_S);
+    let pause = Duration::from_secs_f64(cx.live_instances().max(1) as f64 / MAX_DELETIONS_PER_S);
     for object in listed.objects {
         if !Sweep::may_delete(&object.key, cx.clock.unix_ms(), &cfg) {
             continue;
         }
         match cx.platform.delete(&object.key, object.version).await {
             Ok(_) => metrics::counter!("jacinthweir_claims_deleted_total").increment(1),
-            Err(e) => info!("claim {} not deleted: {e}", object.key),
+            Err(e) => info!("claim {} could not be deleted: {e}", object.key),
         }
         tokio::time::sleep(pause).await;
     }
