--- a/plugins/schema/src/apply.rs
+++ b/plugins/schema/src/apply.rs
@@ -12,37 +12,39 @@
     ApplyRefused, ApplyReply, ApplyRequest, Fault, Head, PlanReply, PlanRequest,
 };
 
-use crate::commit::{self, Committed};
-use crate::head::{self, Standing};
-use crate::long::LongSteps;
+use crate::commit::{self, CommitOutcome};
+use crate::head::{self, StoredHead};
+use crate::long::SchemaWorker;
 
-/// How long an apply waits until the standing head is in force here, to compare with it.
-const CATCH_UP: Duration = Duration::from_secs(3);
-/// Period of looking whether it is.
+/// Longest time an apply waits for the stored head to be in force here, to diff against it.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval between checks during that wait.
 const CATCH_UP_POLL: Duration = Duration::from_millis(20);
 
-/// A schema that was found valid.
-struct Prepared {
+/// A valid schema with its parts.
+struct PreparedSchema {
     schema: Schema,
     parts: Vec<PartText>,
 }
 
-/// What applying a schema would change against what is in force here.
+/// Returns what applying a schema would change against the revision in force here.
 pub(crate) async fn plan(cx: &Kernel, req: &PlanRequest) -> Result<PlanReply, ApplyRefused> {
     let prepared = prepare(cx, &req.text).await?;
-    let (base, changes) = changes(cx, &prepared.schema);
+    let (base, changes) = diff_in_force(cx, &prepared.schema);
     Ok(PlanReply { base, changes })
 }
 
-/// Commits a schema; answers only once the commit is confirmed.
+/// Commits a schema; returns only once the commit is confirmed or has failed.
 pub(crate) async fn apply(
     cx: &Arc<Kernel>,
     req: &ApplyRequest,
 ) -> Result<ApplyReply, ApplyRefused> {
-    let Prepared { schema, parts } = prepare(cx, &req.text).await?;
-    let standing = head::read(cx).await.map_err(|e| down(&e.to_string()))?;
-    check_not_gone_back(cx, standing.head.as_deref())?;
-    let changes = changes_since(cx, &standing, &schema).await;
+    let PreparedSchema { schema, parts } = prepare(cx, &req.text).await?;
+    let stored = head::read(cx)
+        .await
+        .map_err(|e| platform_down(&e.to_string()))?;
+    check_not_rolled_back(cx, stored.head.as_deref())?;
+    let changes = diff_stored(cx, &stored, &schema).await;
     let proposal = Proposal {
         base: req.base,
         change: req.change.clone(),
@@ -51,10 +53,10 @@
         parts: parts.iter().map(|part| part.part.clone()).collect(),
         summary: changes.clone(),
     };
-    match decide(standing.head.as_deref(), &proposal) {
+    match decide(stored.head.as_deref(), &proposal) {
         Decision::Commit(next) => {
             fault_point::reach(Step::ChangeReceived).await;
-            write(cx, &standing, &next, parts).await?;
+            write_commit(cx, &stored, &next, parts).await?;
             info!(
                 "change {} of {} committed as revision {}",
                 req.change, req.operator, next.revision
@@ -73,22 +75,24 @@
             changes: Vec::new(),
         }),
         Decision::ChangeReused { revision } => Err(ApplyRefused::ChangeReused { revision }),
-        Decision::Conflict { .. } => Err(conflict(standing.head.as_deref(), req.base)),
+        Decision::Conflict { .. } => Err(conflict(stored.head.as_deref(), req.base)),
     }
 }
 
-/// Reads, checks and splits a schema, on the thread for long steps.
-async fn prepare(cx: &Kernel, text: &str) -> Result<Prepared, ApplyRefused> {
+/// Parses, validates and splits a schema on the schema worker.
+async fn prepare(cx: &Kernel, text: &str) -> Result<PreparedSchema, ApplyRefused> {
     let text = text.to_owned();
-    let prepared = LongSteps::of(cx).run(move || prepare_now(&text)).await;
+    let prepared = SchemaWorker::of(cx)
+        .run(move || parse_and_split(&text))
+        .await;
     let internal = "internal error, see the instance's log";
     prepared.unwrap_or_else(|| Err(invalid(internal)))
 }
 
-fn prepare_now(text: &str) -> Result<Prepared, ApplyRefused> {
+fn parse_and_split(text: &str) -> Result<PreparedSchema, ApplyRefused> {
     let schema = parse_schema(text).map_err(|faults| ApplyRefused::Invalid { faults })?;
     let parts = split(&schema).map_err(|e| invalid(&e.to_string()))?;
-    Ok(Prepared { schema, parts })
+    Ok(PreparedSchema { schema, parts })
 }
 
 fn invalid(message: &str) -> ApplyRefused {
@@ -97,8 +101,8 @@
     }
 }
 
-/// Revision in force here, and the difference against it.
-fn changes(cx: &Kernel, schema: &Schema) -> (u64, Vec<String>) {
+/// Returns the revision in force here and the difference of `schema` against it.
+fn diff_in_force(cx: &Kernel, schema: &Schema) -> (u64, Vec<String>) {
     let applied = cx.convergence().in_force().cloned();
     let empty = Schema::default();
     let (base, old) = match &applied {
@@ -109,40 +113,43 @@
     (base, changes)
 }
 
-/// The difference against the standing head. It goes into the history, so a difference against an
-/// older revision, which this instance may still have in force, would be untrue there for good.
-async fn changes_since(cx: &Arc<Kernel>, standing: &Standing, schema: &Schema) -> Vec<String> {
-    let revision = standing.head.as_ref().map_or(0, |head| head.revision);
+/// Returns the difference of `schema` against the stored head.
+///
+/// It is recorded in the history for good, so a difference against an older revision, which this
+/// instance may still have in force, would be wrong.
+async fn diff_stored(cx: &Arc<Kernel>, stored: &StoredHead, schema: &Schema) -> Vec<String> {
+    let revision = stored.head.as_ref().map_or(0, |head| head.revision);
     let caught_up = async {
-        while in_force(cx) < revision {
+        while revision_in_force(cx) < revision {
             tokio::time::sleep(CATCH_UP_POLL).await;
         }
     };
-    let _ = tokio::time::timeout(CATCH_UP, caught_up).await;
-    match changes(cx, schema) {
+    let _ = tokio::time::timeout(CATCH_UP_TIMEOUT, caught_up).await;
+    match diff_in_force(cx, schema) {
         (base, changes) if base == revision => changes,
         _ => vec![format!("not compared with revision {revision}")],
     }
 }
 
-fn in_force(cx: &Kernel) -> u64 {
+fn revision_in_force(cx: &Kernel) -> u64 {
     let convergence = cx.convergence();
     convergence
         .in_force()
         .map_or(0, |applied| applied.head.revision)
 }
 
-fn down(cause: &str) -> ApplyRefused {
+fn platform_down(cause: &str) -> ApplyRefused {
     ApplyRefused::PlatformDown {
         cause: cause.to_owned(),
     }
 }
 
-/// A commit over a head that is older than the accepted one would make a second history under
-/// the same numbers, which every instance that has the first one refuses for good. It is refused
-/// here, and the accepted head is written back meanwhile.
-fn check_not_gone_back(cx: &Kernel, standing: Option<&Head>) -> Result<(), ApplyRefused> {
-    let shown = standing.map_or(0, |head| head.revision);
+/// Refuses a commit over a stored head that is older than the accepted one.
+///
+/// Such a commit would start a second history with the same revision numbers, which every instance
+/// that has the first one refuses for good. Meanwhile, the accepted head is written back.
+fn check_not_rolled_back(cx: &Kernel, stored: Option<&Head>) -> Result<(), ApplyRefused> {
+    let stored_revision = stored.map_or(0, |head| head.revision);
     let peers = cx
         .membership()
         .peers()
@@ -152,21 +159,21 @@
     let applied = cx.convergence().in_force().cloned();
     let ours = applied.as_ref().map_or(0, |applied| applied.head.revision);
     let accepted = peers.max(ours);
-    let foreign = match (&applied, standing) {
+    let foreign = match (&applied, stored) {
         (Some(applied), Some(head)) => relation(&applied.head, head) == Relation::Foreign,
         _ => false,
     };
-    if accepted > shown || foreign {
+    if accepted > stored_revision || foreign {
         return Err(ApplyRefused::WentBack {
-            standing: shown,
+            standing: stored_revision,
             accepted,
         });
     }
     Ok(())
 }
 
-fn conflict(standing: Option<&Head>, base: u64) -> ApplyRefused {
-    let Some(head) = standing else {
+fn conflict(stored: Option<&Head>, base: u64) -> ApplyRefused {
+    let Some(head) = stored else {
         return ApplyRefused::Conflict {
             standing: 0,
             changes: Vec::new(),
@@ -186,39 +193,44 @@
     }
 }
 
-async fn write(
+async fn write_commit(
     cx: &Arc<Kernel>,
-    standing: &Standing,
+    stored: &StoredHead,
     next: &Head,
     parts: Vec<PartText>,
 ) -> Result<(), ApplyRefused> {
-    let stands = |part: &PartText| {
-        let head = standing.head.as_ref();
+    let is_stored = |part: &PartText| {
+        let head = stored.head.as_ref();
         head.is_some_and(|head| head.parts.contains(&part.part))
     };
-    let missing: Vec<PartText> = parts.iter().filter(|part| !stands(part)).cloned().collect();
+    let missing: Vec<PartText> = parts
+        .iter()
+        .filter(|part| !is_stored(part))
+        .cloned()
+        .collect();
     let written = commit::write_parts(cx, missing).await;
-    written.map_err(|e| down(&format!("parts not written: {e}")))?;
+    written.map_err(|e| platform_down(&format!("parts not written: {e}")))?;
     fault_point::reach(Step::PartsWritten).await;
-    match commit::write_head(cx, next, standing.version).await {
-        Committed::Yes => {
+    match commit::write_head(cx, next, stored.version).await {
+        CommitOutcome::Committed => {
             fault_point::reach(Step::Committed).await;
-            take_up(cx, next, parts).await;
+            put_in_force(cx, next, parts).await;
             Ok(())
         }
-        Committed::No { cause } => Err(down(&cause)),
-        Committed::Unconfirmed => Err(ApplyRefused::Unconfirmed {
+        CommitOutcome::NotCommitted { cause } => Err(platform_down(&cause)),
+        CommitOutcome::Unconfirmed => Err(ApplyRefused::Unconfirmed {
             change: next.history[0].change.clone(),
         }),
-        Committed::Overtaken => {
-            let standing = head::read(cx).await.ok().and_then(|standing| standing.head);
-            Err(conflict(standing.as_deref(), next.revision - 1))
+        CommitOutcome::Superseded => {
+            let stored = head::read(cx).await.ok().and_then(|stored| stored.head);
+            Err(conflict(stored.as_deref(), next.revision - 1))
         }
     }
 }
 
-/// Puts the commit in force here at once, without fetching what this instance just wrote.
-async fn take_up(cx: &Arc<Kernel>, next: &Head, parts: Vec<PartText>) {
+/// Puts the commit in force here at once, without fetching the parts that this instance has just
+/// written.
+async fn put_in_force(cx: &Arc<Kernel>, next: &Head, parts: Vec<PartText>) {
     {
         let mut convergence = cx.convergence();
         for part in parts {
@@ -227,7 +239,10 @@
     }
     let asked_at = cx.elapsed_ms();
     match head::read(cx).await {
-        Ok(standing) => head::take(cx, standing, asked_at).await,
-        Err(e) => debug!("revision {} not read back: {e}", next.revision),
+        Ok(stored) => head::handle_head(cx, stored, asked_at).await,
+        Err(e) => debug!(
+            "head could not be read back after committing revision {}: {e}",
+            next.revision
+        ),
     }
 }
--- a/plugins/schema/src/clean.rs
+++ b/plugins/schema/src/clean.rs
@@ -1,4 +1,4 @@
-//! Deletes parts that no head names any more; one instance does, by rank.
+//! Garbage collection of parts that the head no longer references, run by the instance of rank 0.
 
 use std::time::Duration;
 
@@ -9,29 +9,33 @@
 };
 use jacinthweir_policy::config::lineage::{Relation, relation};
 
-use crate::head::{self, Standing};
+use crate::head::{self, StoredHead};
 use crate::keys;
 
-/// Looks over and over until the instance stops.
+/// Collects periodically until the instance stops.
 pub(crate) async fn run(cx: Arc<Kernel>) {
     let period = Duration::from_millis(cx.settings.timing.part_clean_ms);
-    let mut before = UnreferencedParts::new();
+    let mut previous = UnreferencedParts::new();
     loop {
         tokio::time::sleep(period).await;
-        if !head::is_cleaner(&cx) {
-            before.clear();
+        if !head::collects_garbage(&cx) {
+            previous.clear();
             continue;
         }
-        match clean(&cx, &before).await {
-            Ok(now) => before = now,
-            Err(e) => debug!("clean-up of parts: {e}"),
+        match collect(&cx, &previous).await {
+            Ok(unreferenced) => previous = unreferenced,
+            Err(e) => debug!("garbage collection of parts failed: {e}"),
         }
     }
 }
 
-/// Deletes what this look and the one before found needless; gives what this one found.
-async fn clean(cx: &Kernel, before: &UnreferencedParts) -> Result<UnreferencedParts, ClientError> {
-    let Standing { head, version } = head::read(cx).await?;
+/// Deletes the parts that were unreferenced in this pass and the previous one; returns those
+/// unreferenced in this pass.
+async fn collect(
+    cx: &Kernel,
+    previous: &UnreferencedParts,
+) -> Result<UnreferencedParts, ClientError> {
+    let StoredHead { head, version } = head::read(cx).await?;
     let Some(head) = head.filter(|head| is_in_force(cx, head)) else {
         return Ok(UnreferencedParts::new());
     };
@@ -41,16 +45,19 @@
         let hash = object.key.strip_prefix(keys::PARTS)?;
         Some((Name::from(hash), object.version))
     });
-    let now = unreferenced_parts(&head, version, parts);
-    for (hash, version) in deletable(before, &now) {
+    let unreferenced = unreferenced_parts(&head, version, parts);
+    for (hash, version) in deletable(previous, &unreferenced) {
         if cx.platform.delete(&keys::part(&hash), version).await? {
             metrics::counter!("jacinthweir_config_parts_deleted_total").increment(1);
         }
     }
-    Ok(now)
+    Ok(unreferenced)
 }
 
-/// A platform that went back or forked is left as it is: what it lacks is in force elsewhere.
+/// Whether the stored head is the one in force here.
+///
+/// After a rollback or a fork of the platform nothing is deleted: the parts that the stored head
+/// does not reference may be in force.
 fn is_in_force(cx: &Kernel, head: &jacinthweir_wire::peer::Head) -> bool {
     let applied = cx.convergence().in_force().cloned();
     applied.is_some_and(|applied| relation(&applied.head, head) == Relation::Same)
--- a/plugins/schema/src/commit.rs
+++ b/plugins/schema/src/commit.rs
@@ -1,4 +1,4 @@
-//! Writes a change to the platform: parts first, then the head by compare-and-set.
+//! Writes a commit to the platform: first the parts, then the head by compare-and-set.
 
 use std::time::Duration;
 
@@ -12,51 +12,48 @@
 use jacinthweir_wire::peer::Head;
 use jacinthweir_wire::platform::Condition;
 
-use crate::head::{self, Standing};
+use crate::head::{self, StoredHead};
 use crate::keys;
 
-/// Parts written at a time.
-const PARTS_AT_A_TIME: usize = 8;
-/// Time in which a commit is tried and confirmed.
+/// Maximum number of parts written concurrently.
+const MAX_CONCURRENT_PART_WRITES: usize = 8;
+/// Time within which the head must be written and confirmed.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(8);
-/// Tries of one part.
-const PART_TRIES: u32 = 4;
-/// First pause between two tries; it doubles.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause between two tries.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+/// Attempts to write one part.
+const MAX_PART_ATTEMPTS: u32 = 4;
+/// Initial delay between two attempts; doubles with each attempt.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// Maximum delay between two attempts.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// What became of a commit.
+/// Outcome of writing a head.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Committed {
-    /// The head stands.
-    Yes,
-    /// Another commit came first; nothing was committed.
-    Overtaken,
+pub(crate) enum CommitOutcome {
+    /// The head is stored.
+    Committed,
+    /// Another commit was stored first; nothing was committed.
+    Superseded,
     /// No write of the head had an effect.
-    No {
-        /// Cause.
-        cause: String,
-    },
-    /// A write of the head may have had its effect, or may have it later.
+    NotCommitted { cause: String },
+    /// A write of the head may have taken effect, or may still do so.
     Unconfirmed,
 }
 
-/// Writes parts; those that stand already are the same, since the hash names the text.
+/// Writes parts. Overwriting a stored part is harmless, as its key is the hash of its text.
 ///
-/// A part that stands, though the head does not name it, is written once more: its version
-/// thereby exceeds the head's, which tells the clean-up that a commit in progress needs it.
+/// A stored part that the head does not reference is written again: its version then exceeds the
+/// head's, which tells garbage collection that a commit in progress needs it.
 pub(crate) async fn write_parts(cx: &Kernel, parts: Vec<PartText>) -> Result<(), ClientError> {
     let writes = parts.into_iter().map(|part| write_part(cx, part));
-    let mut writes = stream::iter(writes).buffer_unordered(PARTS_AT_A_TIME);
+    let mut writes = stream::iter(writes).buffer_unordered(MAX_CONCURRENT_PART_WRITES);
     while writes.try_next().await?.is_some() {}
     Ok(())
 }
 
 async fn write_part(cx: &Kernel, part: PartText) -> Result<(), ClientError> {
     let key = keys::part(&part.part.hash);
-    let mut pause = FIRST_PAUSE;
-    let mut tries = 1;
+    let mut backoff = INITIAL_BACKOFF;
+    let mut attempts = 1;
     loop {
         match cx
             .platform
@@ -64,36 +61,45 @@
             .await
         {
             Ok(_) => return Ok(()),
-            Err(e) if tries == PART_TRIES => return Err(e),
+            Err(e) if attempts == MAX_PART_ATTEMPTS => return Err(e),
             Err(_) => {}
         }
-        tries += 1;
-        tokio::time::sleep(pause).await;
-        pause = LONGEST_PAUSE.min(pause * 2);
+        attempts += 1;
+        tokio::time::sleep(backoff).await;
+        backoff = MAX_BACKOFF.min(backoff * 2);
     }
 }
 
-/// Replaces the head that stands at `expected` (0: absent) and says what is known of it.
+/// Replaces the head stored at version `expected` (0 if absent) and returns the outcome.
 ///
-/// A write whose answer is lost is read back. While the old head still stands the write may land
-/// later, so the same compare-and-set is repeated: at most one of the copies finds the version
-/// it expects.
-pub(crate) async fn write_head(cx: &Kernel, head: &Head, expected: u64) -> Committed {
+/// If the answer to a write is lost, the head is read back. While the old head is still stored, the
+/// write may take effect later, so the same compare-and-set is repeated: at most one of the copies
+/// finds the version that it expects.
+pub(crate) async fn write_head(cx: &Kernel, head: &Head, expected: u64) -> CommitOutcome {
     fault_point::reach(Step::HeadSending).await;
-    let mut lost = false;
-    let tried = tokio::time::timeout(COMMIT_TIMEOUT, try_head(cx, head, expected, &mut lost)).await;
-    match tried {
-        Ok(committed) => committed,
-        Err(_) if lost => Committed::Unconfirmed,
-        Err(_) => Committed::No {
+    let mut effect_unknown = false;
+    let result = tokio::time::timeout(
+        COMMIT_TIMEOUT,
+        try_write_head(cx, head, expected, &mut effect_unknown),
+    )
+    .await;
+    match result {
+        Ok(outcome) => outcome,
+        Err(_) if effect_unknown => CommitOutcome::Unconfirmed,
+        Err(_) => CommitOutcome::NotCommitted {
             cause: "the platform refuses writes".to_owned(),
         },
     }
 }
 
-async fn try_head(cx: &Kernel, head: &Head, expected: u64, lost: &mut bool) -> Committed {
+async fn try_write_head(
+    cx: &Kernel,
+    head: &Head,
+    expected: u64,
+    effect_unknown: &mut bool,
+) -> CommitOutcome {
     let Ok(value) = serde_json::to_string(head) else {
-        return Committed::No {
+        return CommitOutcome::NotCommitted {
             cause: "the head cannot be encoded".to_owned(),
         };
     };
@@ -101,30 +107,30 @@
         0 => Condition::Absent,
         version => Condition::Version(version),
     };
-    let mut pause = FIRST_PAUSE;
+    let mut backoff = INITIAL_BACKOFF;
     loop {
-        // From the send on and until the answer, a time-out leaves the effect unknown.
-        let earlier = std::mem::replace(lost, true);
+        // A time-out between sending the write and receiving the answer leaves the effect unknown.
+        let was_unknown = std::mem::replace(effect_unknown, true);
         match cx.platform.put(keys::HEAD, value.clone(), condition).await {
-            Ok(PutResult::Written(_)) => return Committed::Yes,
-            Err(e) if e.had_no_effect() => *lost = earlier,
+            Ok(PutResult::Written(_)) => return CommitOutcome::Committed,
+            Err(e) if e.had_no_effect() => *effect_unknown = was_unknown,
             Ok(PutResult::Stands(_)) | Err(_) => {}
         }
-        if *lost && let Some(known) = told(cx, head, expected).await {
-            return known;
+        if *effect_unknown && let Some(outcome) = read_outcome(cx, head, expected).await {
+            return outcome;
         }
-        tokio::time::sleep(pause).await;
-        pause = LONGEST_PAUSE.min(pause * 2);
+        tokio::time::sleep(backoff).await;
+        backoff = MAX_BACKOFF.min(backoff * 2);
     }
 }
 
-/// What the head that stands tells of the write; `None`: nothing yet.
-async fn told(cx: &Kernel, sent: &Head, expected: u64) -> Option<Committed> {
-    let Standing { head, version } = head::read(cx).await.ok()?;
+/// Reads the stored head back to find the outcome of a write; `None` if it is still pending.
+async fn read_outcome(cx: &Kernel, sent: &Head, expected: u64) -> Option<CommitOutcome> {
+    let StoredHead { head, version } = head::read(cx).await.ok()?;
     match read_back(sent, expected, head.as_deref().map(|head| (head, version))) {
-        ReadBack::Committed => Some(Committed::Yes),
-        ReadBack::Superseded { .. } => Some(Committed::Overtaken),
-        ReadBack::Indeterminate => Some(Committed::Unconfirmed),
+        ReadBack::Committed => Some(CommitOutcome::Committed),
+        ReadBack::Superseded { .. } => Some(CommitOutcome::Superseded),
+        ReadBack::Indeterminate => Some(CommitOutcome::Unconfirmed),
         ReadBack::Pending => None,
     }
 }
--- a/plugins/schema/src/drive.rs
+++ b/plugins/schema/src/drive.rs
@@ -1,15 +1,17 @@
-//! Feeds events to the convergence and carries out its actions.
+//! Passes events to the convergence and executes its actions.
 
 use jacinthweir_kernel::config::{Config, InForce};
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_policy::config::converge::{Action, Alarm, Applied, Convergence, Event};
 use jacinthweir_policy::member::Phase;
 
-use crate::long::LongSteps;
+use crate::long::SchemaWorker;
 use crate::{fetch, republish};
 
-/// Takes an event in. Actions that change what is in force are carried out under the lock: two
-/// tasks could otherwise put two revisions in force in the wrong order.
+/// Handles an event.
+///
+/// Actions that change the revision in force are executed under the lock: two tasks could otherwise
+/// put two revisions in force in the wrong order.
 pub(crate) fn drive(cx: &Arc<Kernel>, event: Event) {
     let mut convergence = cx.convergence();
     let actions = convergence.handle(cx.elapsed_ms(), event);
@@ -18,17 +20,17 @@
             Action::Fetch { part, from } => fetch::spawn(cx, part, from),
             Action::PutInForce(applied) => put_in_force(cx, &convergence, &applied),
             Action::Republish { head, over } => republish::spawn(cx, head, over),
-            Action::Raise(alarm) => raise(&alarm),
+            Action::Raise(alarm) => raise_alarm(&alarm),
         }
     }
-    refresh(cx, &convergence);
+    refresh_serving(cx, &convergence);
 }
 
-/// Takes an event in that may put a revision in force, on the thread for long steps.
-pub(crate) async fn drive_long(cx: &Arc<Kernel>, event: Event) {
-    let steps = LongSteps::of(cx);
+/// Handles, on the schema worker, an event that may put a revision in force.
+pub(crate) async fn drive_on_worker(cx: &Arc<Kernel>, event: Event) {
+    let worker = SchemaWorker::of(cx);
     let cx = Arc::clone(cx);
-    steps.run(move || drive(&cx, event)).await;
+    worker.run(move || drive(&cx, event)).await;
 }
 
 fn put_in_force(cx: &Arc<Kernel>, convergence: &Convergence, applied: &Applied) {
@@ -44,14 +46,14 @@
     let in_force = InForce::new(head.revision, since, Arc::clone(&applied.schema));
     in_force.set_serve_until(convergence.serve_until());
     cx.config.set(Config::InForce(Arc::new(in_force)));
-    publish(cx, head.revision, since);
+    update_own_record(cx, head.revision, since);
     info!(revision = head.revision; "revision {} is in force", head.revision);
     metrics::gauge!("jacinthweir_config_revision").set(head.revision as f64);
 }
 
-/// Brings the own record up to date at once, and not with the next round: an operator who has just
-/// applied asks for the status, and the next exchange is to carry it.
-fn publish(cx: &Kernel, revision: u64, since_unix_ms: Millis) {
+/// Updates the own membership record at once instead of in the next gossip round: an operator may
+/// ask for the status right after an apply, and the next exchange should carry the new revision.
+fn update_own_record(cx: &Kernel, revision: u64, since_unix_ms: Millis) {
     let mut membership = cx.membership();
     membership.set_revision(revision, since_unix_ms);
     if cx.is_ready() {
@@ -59,8 +61,8 @@
     }
 }
 
-/// Keeps what requests are served by in step with the confirmations.
-fn refresh(cx: &Kernel, convergence: &Convergence) {
+/// Updates whether requests are served from the confirmations of the revision in force.
+fn refresh_serving(cx: &Kernel, convergence: &Convergence) {
     let config = cx.config.get();
     let Some(in_force) = config.known() else {
         return;
@@ -75,8 +77,8 @@
         (Config::InForce(_), false) => {
             let revision = in_force.revision;
             warn!(
-                "revision {revision} is confirmed neither by the platform nor by a majority of \
-                 the instances for too long: requests are refused"
+                "revision {revision} was not confirmed in time by the platform or by a majority of \
+                 the instances: refusing requests"
             );
             metrics::counter!("jacinthweir_config_unconfirmed_total").increment(1);
             cx.config.set(Config::Unconfirmed(Arc::clone(in_force)));
@@ -85,7 +87,7 @@
     }
 }
 
-fn raise(alarm: &Alarm) {
+fn raise_alarm(alarm: &Alarm) {
     let kind = match alarm {
         Alarm::HeadRolledBack { .. } => "head_went_back",
         Alarm::HeadForeign { .. } => "head_foreign",
--- a/plugins/schema/src/fetch.rs
+++ b/plugins/schema/src/fetch.rs
@@ -1,20 +1,20 @@
-//! Fetches a part from where the convergence says.
+//! Fetches parts from the sources that the convergence names.
 
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_policy::config::converge::{Event, Source};
 use jacinthweir_policy::config::parts::MAX_PART_BYTES;
 use jacinthweir_wire::peer::PartRef;
 
-use crate::drive::drive_long;
+use crate::drive::drive_on_worker;
 use crate::keys;
 
-/// Fetches a part in a task of its own, which ends in an event.
+/// Fetches a part in a new task, which passes the result to the convergence as an event.
 pub(crate) fn spawn(cx: &Arc<Kernel>, part: PartRef, from: Source) {
     let task = Arc::clone(cx);
     cx.spawn(async move {
-        let found = match &from {
-            Source::Platform => from_platform(&task, &part.hash).await,
-            Source::Peer(name) => from_peer(&task, name, &part.hash).await,
+        let fetched = match &from {
+            Source::Platform => fetch_from_platform(&task, &part.hash).await,
+            Source::Peer(name) => fetch_from_peer(&task, name, &part.hash).await,
         };
         let hash = part.hash;
         let source = if from == Source::Platform {
@@ -23,18 +23,18 @@
             "peer"
         };
         metrics::counter!("jacinthweir_config_fetches_total", "source" => source).increment(1);
-        let event = match found {
+        let event = match fetched {
             Ok(text) => Event::PartArrived { hash, text, from },
             Err(cause) => {
-                debug!("part {hash} from {from}: {cause}");
+                debug!("part {hash} could not be fetched from {from}: {cause}");
                 Event::FetchFailed { hash, from }
             }
         };
-        drive_long(&task, event).await;
+        drive_on_worker(&task, event).await;
     });
 }
 
-async fn from_platform(cx: &Kernel, hash: &str) -> Result<Name, String> {
+async fn fetch_from_platform(cx: &Kernel, hash: &str) -> Result<Name, String> {
     let found = cx.platform.get(&keys::part(hash)).await;
     let object = found.map_err(|e| e.to_string())?;
     object
@@ -42,7 +42,7 @@
         .ok_or_else(|| "absent".to_owned())
 }
 
-async fn from_peer(cx: &Kernel, name: &str, hash: &str) -> Result<Name, String> {
+async fn fetch_from_peer(cx: &Kernel, name: &str, hash: &str) -> Result<Name, String> {
     let address = cx
         .peer_address(name)
         .ok_or("not among the live instances")?;
--- a/plugins/schema/src/head.rs
+++ b/plugins/schema/src/head.rs
@@ -1,4 +1,4 @@
-//! Reads the head from the platform: by a watch on a few instances, by polling on the others.
+//! Reads the head from the platform: a few instances watch it, the others poll.
 
 use std::time::Duration;
 
@@ -9,92 +9,93 @@
 use jacinthweir_wire::peer::Head;
 use rand::RngExt;
 
-use crate::drive::{drive, drive_long};
+use crate::drive::{drive, drive_on_worker};
 use crate::keys;
 
-/// Pause after a failed call, in milliseconds; up to as much again is added at random, so that
-/// instances do not return to a platform that comes back in step.
-const FAILED_PAUSE_MS: u64 = 300;
+/// Minimum delay after a failed call, in milliseconds. Jitter of up to the same amount is added, so
+/// that instances do not return in step to a platform that has recovered.
+const RETRY_DELAY_MS: u64 = 300;
 
-/// A head as it stands on the platform.
-pub(crate) struct Standing {
-    /// The head; absent: none.
+/// The head as stored on the platform.
+pub(crate) struct StoredHead {
+    /// The head, if there is one.
     pub(crate) head: Option<Arc<Head>>,
-    /// Version of the object; 0: absent.
+    /// Version of the object; 0 if absent.
     pub(crate) version: u64,
 }
 
-/// Follows the head until the instance stops.
+/// Tracks the head until the instance stops.
 pub(crate) async fn run(cx: Arc<Kernel>) {
     let mut after = 0;
     loop {
         let next = match read_and_drive(&cx).await {
-            Ok(()) => wait(&cx, after).await,
+            Ok(()) => wait_for_change(&cx, after).await,
             Err(e) => Err(e),
         };
         match next {
             Ok(next) => after = next,
             Err(e) => {
-                debug!("head: {e}");
+                debug!("head could not be read: {e}");
                 metrics::counter!("jacinthweir_platform_errors_total", "call" => "head")
                     .increment(1);
                 drive(&cx, Event::PlatformFailed);
-                let ms = FAILED_PAUSE_MS + rand::rng().random_range(0..FAILED_PAUSE_MS);
+                let ms = RETRY_DELAY_MS + rand::rng().random_range(0..RETRY_DELAY_MS);
                 tokio::time::sleep(Duration::from_millis(ms)).await;
             }
         }
     }
 }
 
-/// Waits until the head may have changed; gives the number to watch after.
-async fn wait(cx: &Kernel, after: u64) -> Result<u64, ClientError> {
+/// Waits until the head may have changed; returns the watch position to continue from.
+async fn wait_for_change(cx: &Kernel, after: u64) -> Result<u64, ClientError> {
     let period = Duration::from_millis(cx.settings.timing.head_poll_ms);
     if !is_watcher(cx) {
         tokio::time::sleep(period).await;
         return Ok(after);
     }
     let answer = cx.platform.watch(keys::HEAD, after, period).await?;
-    // A platform that was restored counts from a lower number again; its own is then taken.
+    // A restored platform may count from a lower number again, so its own number is always used.
     Ok(answer.next)
 }
 
 /// Whether this instance watches the head.
 pub(crate) fn is_watcher(cx: &Kernel) -> bool {
-    should_watch(&cx.settings.name, &live(cx))
+    should_watch(&cx.settings.name, &live_instances(cx))
 }
 
-/// Whether this instance is the one that cleans up.
-pub(crate) fn is_cleaner(cx: &Kernel) -> bool {
-    rank(&cx.settings.name, &live(cx)) == 0
+/// Whether this instance is the one that runs garbage collection of parts.
+pub(crate) fn collects_garbage(cx: &Kernel) -> bool {
+    rank(&cx.settings.name, &live_instances(cx)) == 0
 }
 
-fn live(cx: &Kernel) -> Vec<Name> {
+fn live_instances(cx: &Kernel) -> Vec<Name> {
     let membership = cx.membership();
     membership.peers().map(|s| s.name.clone()).collect()
 }
 
 async fn read_and_drive(cx: &Arc<Kernel>) -> Result<(), ClientError> {
     let asked_at = cx.elapsed_ms();
-    let standing = read(cx).await?;
-    take(cx, standing, asked_at).await;
+    let stored = read(cx).await?;
+    handle_head(cx, stored, asked_at).await;
     Ok(())
 }
 
-/// Takes in what stands, read at `asked_at` of the convergence's clock or later.
-pub(crate) async fn take(cx: &Arc<Kernel>, standing: Standing, asked_at: Millis) {
-    let Standing { head, version } = standing;
+/// Passes the stored head to the convergence. It was read at `asked_at` or later, on the
+/// convergence's clock.
+pub(crate) async fn handle_head(cx: &Arc<Kernel>, stored: StoredHead, asked_at: Millis) {
+    let StoredHead { head, version } = stored;
     let event = Event::PlatformHead {
         head,
         version,
         asked_at,
     };
-    drive_long(cx, event).await;
+    drive_on_worker(cx, event).await;
 }
 
-/// Reads the head as it stands.
-pub(crate) async fn read(cx: &Kernel) -> Result<Standing, ClientError> {
+/// Reads the stored head.
+pub(crate) async fn read(cx: &Kernel) -> Result<StoredHead, ClientError> {
     let Some(object) = cx.platform.get(keys::HEAD).await? else {
-        return Ok(Standing {
+        return Ok(StoredHead {
             head: None,
             version: 0,
         });
@@ -102,7 +103,7 @@
     let head: Head = serde_json::from_str(&object.value).map_err(|e| ClientError::BadAnswer {
         cause: format!("the head cannot be read: {e}"),
     })?;
-    Ok(Standing {
+    Ok(StoredHead {
         head: Some(Arc::new(head)),
         version: object.version,
     })
--- a/plugins/schema/src/keys.rs
+++ b/plugins/schema/src/keys.rs
@@ -1,12 +1,12 @@
-//! Keys of the configuration's objects on the platform.
+//! Object keys of the configuration on the platform.
 
-/// The one head.
+/// Key of the head.
 pub(crate) const HEAD: &str = "config/head";
 
-/// What the keys of all parts begin with.
+/// Key prefix of all parts.
 pub(crate) const PARTS: &str = "config/parts/";
 
-/// A part, by its hash.
+/// Returns the key of the part with this hash.
 pub(crate) fn part(hash: &str) -> String {
     format!("{PARTS}{hash}")
 }
--- a/plugins/schema/src/lib.rs
+++ b/plugins/schema/src/lib.rs
@@ -1,8 +1,9 @@
-//! The schema's plug-in: keeps the newest configuration in force and takes operators' changes.
+//! Schema plug-in: keeps the newest configuration in force and applies operators' changes.
 //!
-//! The decisions are [`jacinthweir_policy::config`]'s. The tasks here read the head from the
-//! platform ([`head`]), hear of newer ones from peers ([`peers`]), fetch parts ([`fetch`]) and
-//! feed all of it to the convergence, whose actions [`drive`] carries out. [`apply`] commits.
+//! The decisions are made by [`jacinthweir_policy::config`]. The tasks here read the head from the
+//! platform ([`head`]), learn of newer heads from peers ([`peers`]) and fetch parts ([`fetch`]).
+//! They pass events to the convergence, whose actions [`drive`] executes. [`apply`] commits
+//! changes.
 
 mod apply;
 mod clean;
--- a/plugins/schema/src/long.rs
+++ b/plugins/schema/src/long.rs
@@ -1,9 +1,9 @@
-//! One thread for the long steps of a schema change: reading, comparing and compiling.
+//! Dedicated thread for the CPU-heavy jobs of a schema change: parsing, comparing and compiling.
 //!
-//! At 19,000 organisations a step takes up to 140 ms, in which the requests on the same worker
-//! thread would stand still. And the C library's allocator keeps memory by thread: with the steps
-//! on whichever worker came, an instance kept several times what it holds (docs/CAPACITY.md). On
-//! one thread the next step uses the memory that the one before gave back.
+//! With 19,000 organisations a job takes up to 140 ms, during which it would block the requests on
+//! the same runtime worker. Besides, the C library's allocator caches memory per thread: with jobs
+//! on arbitrary runtime workers, an instance retained several times the memory that it uses
+//! (docs/CAPACITY.md). On one thread, each job reuses the memory freed by the one before.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::mpsc;
@@ -12,45 +12,45 @@
 use tokio::runtime::Handle;
 use tokio::sync::oneshot;
 
-type Step = Box<dyn FnOnce() + Send>;
+type Job = Box<dyn FnOnce() + Send>;
 
-/// The thread's inbox.
-pub(crate) struct LongSteps {
-    tx: mpsc::Sender<Step>,
+/// Handle of the worker thread.
+pub(crate) struct SchemaWorker {
+    tx: mpsc::Sender<Job>,
 }
 
-impl LongSteps {
-    /// The thread of an instance; it ends with the instance.
-    pub(crate) fn of(cx: &Kernel) -> Arc<LongSteps> {
-        cx.plugin_state(LongSteps::spawn)
+impl SchemaWorker {
+    /// Returns the worker of an instance; its thread ends with the instance.
+    pub(crate) fn of(cx: &Kernel) -> Arc<SchemaWorker> {
+        cx.plugin_state(SchemaWorker::spawn)
     }
 
-    fn spawn() -> LongSteps {
-        let (tx, rx) = mpsc::channel::<Step>();
+    fn spawn() -> SchemaWorker {
+        let (tx, rx) = mpsc::channel::<Job>();
         let runtime = Handle::current();
         std::thread::spawn(move || {
-            // Steps start tasks of the runtime.
+            // Jobs spawn tasks on the runtime.
             let _entered = runtime.enter();
-            for step in rx {
-                // A step that panics ends its own waiter, not the steps after it.
-                if catch_unwind(AssertUnwindSafe(step)).is_err() {
-                    error!("a long step of a schema change panicked");
+            for job in rx {
+                // A panicking job fails only its own caller, not the jobs after it.
+                if catch_unwind(AssertUnwindSafe(job)).is_err() {
+                    error!("a job of the schema worker panicked");
                 }
             }
         });
-        LongSteps { tx }
+        SchemaWorker { tx }
     }
 
-    /// Runs a step after those before it; `None`: it panicked.
+    /// Runs a job after those submitted before; returns `None` if it panicked.
     pub(crate) async fn run<T: Send + 'static>(
         &self,
-        step: impl FnOnce() -> T + Send + 'static,
+        job: impl FnOnce() -> T + Send + 'static,
     ) -> Option<T> {
         let (done, result) = oneshot::channel();
-        let step = Box::new(move || {
-            let _ = done.send(step());
+        let job = Box::new(move || {
+            let _ = done.send(job());
         });
-        self.tx.send(step).ok()?;
+        self.tx.send(job).ok()?;
         result.await.ok()
     }
 }
--- a/plugins/schema/src/operators.rs
+++ b/plugins/schema/src/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' calls on the schema.
+//! HTTP handlers of the operators' schema calls.
 
 use jacinthweir_kernel::body;
 use jacinthweir_kernel::prelude::*;
@@ -13,11 +13,11 @@
 
 use crate::{apply, status};
 
-/// A schema travels as a JSON string, whose escapes make it longer; twice covers all but texts
-/// made of escapes.
+/// Ratio of the body limit to the schema limit. A schema is sent as a JSON string, which escapes
+/// lengthen; twice its size suffices unless most characters are escaped.
 const ENVELOPE_FACTOR: usize = 2;
 
-/// Routes on the operators' listener.
+/// Returns the routes on the operators' listener.
 pub(crate) fn routes(cx: &Arc<Kernel>) -> Vec<Router> {
     let call = |call| OperatorCall {
         cx: Arc::clone(cx),
@@ -62,24 +62,24 @@
     }
 }
 
-async fn read<T: DeserializeOwned>(cx: &Kernel, req: &mut Request) -> Result<T, Refusal> {
+async fn read_body<T: DeserializeOwned>(cx: &Kernel, req: &mut Request) -> Result<T, Refusal> {
     let limit = cx.settings.limits.schema_bytes * ENVELOPE_FACTOR;
     body::read_json(req, limit, cx.settings.timing.body_timeout_ms).await
 }
 
 async fn plan(cx: &Kernel, req: &mut Request, res: &mut Response) {
-    let req: PlanRequest = match read(cx, req).await {
+    let req: PlanRequest = match read_body(cx, req).await {
         Ok(req) => req,
         Err(refusal) => return refusal.write(res, None),
     };
     match apply::plan(cx, &req).await {
         Ok(reply) => res.render(Json(reply)),
-        Err(refused) => refuse(res, &refused),
+        Err(refused) => write_refusal(res, &refused),
     }
 }
 
 async fn apply(cx: &Arc<Kernel>, req: &mut Request, res: &mut Response) {
-    let req: ApplyRequest = match read(cx, req).await {
+    let req: ApplyRequest = match read_body(cx, req).await {
         Ok(req) => req,
         Err(refusal) => return refusal.write(res, None),
     };
@@ -89,15 +89,15 @@
             return refusal.write(res, None);
         }
     }
-    match in_task(cx, req).await {
+    match apply_in_task(cx, req).await {
         Ok(reply) => res.render(Json(reply)),
-        Err(refused) => refuse(res, &refused),
+        Err(refused) => write_refusal(res, &refused),
     }
 }
 
-/// Applies in a task of its own: a handler's future is dropped when its caller leaves, and a
-/// commit must not stop between two writes for that.
-async fn in_task(cx: &Arc<Kernel>, req: ApplyRequest) -> Result<ApplyReply, ApplyRefused> {
+/// Applies a change in a new task: the handler's future is dropped when its caller disconnects,
+/// which must not interrupt a commit between two writes.
+async fn apply_in_task(cx: &Arc<Kernel>, req: ApplyRequest) -> Result<ApplyReply, ApplyRefused> {
     let change = req.change.clone();
     let task = Arc::clone(cx);
     let applied = cx
@@ -127,7 +127,7 @@
         .unwrap_or_default()
 }
 
-fn refuse(res: &mut Response, refused: &ApplyRefused) {
+fn write_refusal(res: &mut Response, refused: &ApplyRefused) {
     res.status_code(match refused {
         ApplyRefused::Invalid { .. } => StatusCode::BAD_REQUEST,
         ApplyRefused::Conflict { .. } | ApplyRefused::ChangeReused { .. } => StatusCode::CONFLICT,
--- a/plugins/schema/src/peers.rs
+++ b/plugins/schema/src/peers.rs
@@ -1,7 +1,7 @@
-//! Hears of newer revisions from other instances, and gives them its head and parts.
+//! Learns of newer revisions from other instances, and serves the own head and parts to them.
 //!
-//! A member's record names the revision in force there, and records spread with the peers'
-//! exchanges. The head itself travels only to an instance that lacks it, on its request.
+//! A membership record names the revision in force at its instance, and records spread by gossip.
+//! The head itself is sent only on request of an instance that lacks it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,41 +14,43 @@
 use jacinthweir_wire::caller::ErrorCode;
 use rand::seq::IndexedRandom;
 
-use crate::drive::{drive, drive_long};
+use crate::drive::{drive, drive_on_worker};
 
-/// Period of looking at the members.
-const PERIOD: Duration = Duration::from_millis(100);
+/// Period of checking the members' revisions.
+const CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// A gap between two looks that shows that the process was stopped, in milliseconds.
-const WOKEN_MS: Millis = 2_000;
+/// Gap between two checks from which the process counts as having been suspended, in milliseconds.
+const SUSPENSION_GAP_MS: Millis = 2_000;
 
-/// Looks at the members until the instance stops.
+/// Checks the members' revisions until the instance stops.
 pub(crate) async fn run(cx: Arc<Kernel>) {
-    let mut looked_at = cx.elapsed_ms();
+    let mut last_check = cx.elapsed_ms();
     let mut trusted_from = 0;
-    let mut ask_from = 0;
+    let mut next_fetch_at = 0;
     loop {
         let now = cx.elapsed_ms();
-        // What peers sent before this process was stopped still lies in its sockets and reads
-        // like news. Only what is heard a few rounds after waking confirms anything.
-        if now > looked_at + WOKEN_MS {
-            warn!("stopped for {} ms", now - looked_at);
+        // Messages that peers sent before this process was suspended are still buffered in its
+        // sockets and look recent. Only contacts from two gossip rounds after the resumption on
+        // confirm a revision.
+        if now > last_check + SUSPENSION_GAP_MS {
+            warn!("process was suspended for {} ms", now - last_check);
             trusted_from = now + 2 * cx.settings.timing.gossip_ms;
         }
-        looked_at = now;
-        drive(&cx, Event::Members(members(&cx, now, trusted_from)));
-        if now >= ask_from
+        last_check = now;
+        drive(&cx, Event::Members(peer_views(&cx, now, trusted_from)));
+        if now >= next_fetch_at
             && let Some(peer) = peer_ahead(&cx)
         {
-            ask(&cx, peer).await;
-            // A head that is refused stays ahead: without a pause it would be asked for at once.
-            ask_from = now + cx.settings.timing.gossip_ms;
+            fetch_head(&cx, peer).await;
+            // A peer whose head was refused remains ahead: without a delay it would be asked again
+            // at once.
+            next_fetch_at = now + cx.settings.timing.gossip_ms;
         }
-        tokio::time::sleep(PERIOD).await;
+        tokio::time::sleep(CHECK_PERIOD).await;
     }
 }
 
-fn members(cx: &Kernel, now: Millis, trusted_from: Millis) -> Vec<PeerView> {
+fn peer_views(cx: &Kernel, now: Millis, trusted_from: Millis) -> Vec<PeerView> {
     let mono = cx.clock.now();
     let membership = cx.membership();
     let known = membership
@@ -65,8 +67,8 @@
     known.map(view).collect()
 }
 
-/// A live instance with a newer revision than this one has or fetches; the newest revision
-/// first, and one of its holders at random.
+/// Returns a live instance with a newer revision than this one has or fetches: a random one of
+/// those with the newest revision.
 fn peer_ahead(cx: &Kernel) -> Option<NamedPeer> {
     let known = {
         let convergence = cx.convergence();
@@ -94,11 +96,11 @@
     address: SocketAddr,
 }
 
-async fn ask(cx: &Arc<Kernel>, peer: NamedPeer) {
+async fn fetch_head(cx: &Arc<Kernel>, peer: NamedPeer) {
     match cx.peers.head(peer.address).await {
         Ok(Some(head)) => {
             let head = Arc::new(head);
-            drive_long(
+            drive_on_worker(
                 cx,
                 Event::PeerHead {
                     peer: peer.name,
@@ -108,47 +110,47 @@
             .await;
         }
         Ok(None) => {}
-        Err(e) => debug!("head of {}: {e}", peer.name),
+        Err(e) => debug!("head could not be fetched from {}: {e}", peer.name),
     }
 }
 
-/// Routes on the peers' listener.
+/// Returns the routes on the peers' listener.
 pub(crate) fn routes(cx: &Arc<Kernel>) -> Vec<Router> {
     vec![
-        Router::with_path("peer/head").get(OwnHead(Arc::clone(cx))),
-        Router::with_path("peer/parts/{hash}").get(OwnPart(Arc::clone(cx))),
+        Router::with_path("peer/head").get(HeadHandler(Arc::clone(cx))),
+        Router::with_path("peer/parts/{hash}").get(PartHandler(Arc::clone(cx))),
     ]
 }
 
 /// `GET /peer/head`.
-struct OwnHead(Arc<Kernel>);
+struct HeadHandler(Arc<Kernel>);
 
 #[handler]
-impl OwnHead {
+impl HeadHandler {
     async fn handle(&self, res: &mut Response) {
         let applied = self.0.convergence().in_force().cloned();
         match applied.map(|a| rmp_serde::to_vec_named(&*a.head)) {
             Some(Ok(bytes)) => reply::message_pack(res, bytes),
             Some(Err(_)) => Refusal::internal().write(res, None),
-            None => absent("no head").write(res, None),
+            None => not_found("no head").write(res, None),
         }
     }
 }
 
 /// `GET /peer/parts/{hash}`.
-struct OwnPart(Arc<Kernel>);
+struct PartHandler(Arc<Kernel>);
 
 #[handler]
-impl OwnPart {
+impl PartHandler {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         let hash = req.param::<String>("hash").unwrap_or_default();
         match self.0.parts.get(&hash) {
             Some(text) => res.render(text.to_string()),
-            None => absent("no such part").write(res, None),
+            None => not_found("no such part").write(res, None),
         }
     }
 }
 
-fn absent(msg: &str) -> Refusal {
+fn not_found(msg: &str) -> Refusal {
     Refusal::not_run(ErrorCode::NotFound, msg)
 }
--- a/plugins/schema/src/status.rs
+++ b/plugins/schema/src/status.rs
@@ -1,4 +1,4 @@
-//! What is in force where.
+//! Status for operators: the revision in force at each instance, and the upstreams.
 
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_policy::member::Phase;
@@ -6,7 +6,7 @@
 use jacinthweir_policy::upstreams::UpstreamRow;
 use jacinthweir_wire::operator::{InstanceStatus, PlatformReach, StatusReply, UpstreamStatus};
 
-/// What this instance knows of all instances and upstreams.
+/// Returns the status of all instances and upstreams known to this instance.
 pub(crate) fn status(cx: &Kernel) -> StatusReply {
     let (ours, reached) = {
         let convergence = cx.convergence();
@@ -19,13 +19,13 @@
         )
     };
     let instances = instances(cx);
-    let heard = instances
+    let newest_member = instances
         .iter()
         .map(|i| i.member.revision)
         .max()
         .unwrap_or(0);
     StatusReply {
-        newest: ours.max(heard),
+        newest: ours.max(newest_member),
         confirmed: cx.serving_config().is_ok(),
         platform: if reached {
             PlatformReach::Reached
