--- a/plugins/schema/tests/schema.rs
+++ b/plugins/schema/tests/schema.rs
@@ -1,4 +1,5 @@
-//! The schema's plug-in: applying on several instances, and how a configuration spreads.
+//! Tests of the schema plug-in: applying changes at several instances, and how a configuration
+//! propagates.
 
 #[path = "schema/apply.rs"]
 mod apply;
--- a/plugins/schema/tests/schema/apply.rs
+++ b/plugins/schema/tests/schema/apply.rs
@@ -1,8 +1,8 @@
-//! Applying schemas on several instances over a stand-in platform that fails as asked.
+//! Applies schemas at several instances over a stand-in platform with injected faults.
 
 use std::time::Duration;
 
-use crate::rig::{HEAD, PATIENCE, rig, schema};
+use crate::rig::{HEAD, TIMEOUT, schema, start_cluster};
 use googletest::prelude::*;
 use jacinthweir_clients::platform::Platform as _;
 use jacinthweir_testkit::platform::fault::Fault;
@@ -14,28 +14,28 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_schema_applied_at_one_instance_is_in_force_at_all() {
-    let rig = rig(3).await;
-    let (status, plan): (_, PlanReply) = rig.call(0, "plan", json!({"text": schema(1)})).await;
+    let cluster = start_cluster(3).await;
+    let (status, plan): (_, PlanReply) = cluster.call(0, "plan", json!({"text": schema(1)})).await;
     expect_that!(status, eq(StatusCode::OK));
     expect_that!(plan.base, eq(0));
     expect_that!(plan.changes, len(eq(1)));
-    expect_that!(rig.apply(0, 0, "c1", 1).await.unwrap().revision, eq(1));
-    rig.everywhere(1).await;
-    expect_that!(rig.apply(1, 1, "c2", 2).await.unwrap().revision, eq(2));
-    rig.everywhere(2).await;
+    expect_that!(cluster.apply(0, 0, "c1", 1).await.unwrap().revision, eq(1));
+    cluster.wait_for_revision(1).await;
+    expect_that!(cluster.apply(1, 1, "c2", 2).await.unwrap().revision, eq(2));
+    cluster.wait_for_revision(2).await;
     expect_that!(
-        rig.history(2).await,
+        cluster.history(2).await,
         eq(&vec!["c2".to_owned(), "c1".to_owned()])
     );
-    let unchanged = rig.apply(2, 2, "c3", 2).await.unwrap();
+    let unchanged = cluster.apply(2, 2, "c3", 2).await.unwrap();
     expect_that!(unchanged.revision, eq(2));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_faulty_schema_is_refused_before_anything_is_written() {
-    let rig = rig(1).await;
-    let refused = rig.apply(0, 0, "c1", 0).await.unwrap_err();
+async fn an_invalid_schema_is_refused_before_anything_is_written() {
+    let cluster = start_cluster(1).await;
+    let refused = cluster.apply(0, 0, "c1", 0).await.unwrap_err();
     let ApplyRefused::Invalid { faults } = refused else {
         panic!("{refused:?}")
     };
@@ -43,19 +43,19 @@
         faults[0].to_string(),
         starts_with("line 2: organisations[0].weight")
     );
-    expect_that!(rig.platform.counts().puts, eq(0));
+    expect_that!(cluster.platform.counts().puts, eq(0));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_operators_that_race_one_commits_and_the_others_see_a_conflict() {
-    // Three operators plan against nothing and apply at three instances at once. One is told
-    // "committed"; the others are told what came before them, and none of their change stands.
-    let rig = rig(3).await;
+async fn of_concurrent_applies_one_commits_and_the_others_get_a_conflict() {
+    // Three operators apply on base 0 at three instances at once. One commits; the others get a
+    // conflict with the revision that is stored, and none of their changes is stored.
+    let cluster = start_cluster(3).await;
     let (a, b, c) = tokio::join!(
-        rig.apply(0, 0, "a", 1),
-        rig.apply(1, 0, "b", 2),
-        rig.apply(2, 0, "c", 3)
+        cluster.apply(0, 0, "a", 1),
+        cluster.apply(1, 0, "b", 2),
+        cluster.apply(2, 0, "c", 3)
     );
     let answers = [a, b, c];
     expect_that!(
@@ -71,121 +71,126 @@
             })
         );
     }
-    rig.everywhere(1).await;
-    expect_that!(rig.history(0).await, len(eq(1)));
+    cluster.wait_for_revision(1).await;
+    expect_that!(cluster.history(0).await, len(eq(1)));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_commit_whose_answer_is_lost_is_confirmed_by_reading_back() {
-    // The head's write takes effect, but its connection breaks. The operator is told "committed"
-    // since the change id stands in the head, and asking again commits nothing more.
-    let rig = rig(1).await;
-    rig.platform.set_fault(Fault::LoseAnswers {
+    // The write of the head takes effect, but its connection breaks. The apply succeeds, since the
+    // change id is found in the stored head, and repeating it commits nothing more.
+    let cluster = start_cluster(1).await;
+    cluster.platform.set_fault(Fault::LoseAnswers {
         next: 1,
         prefix: HEAD.into(),
     });
-    expect_that!(rig.apply(0, 0, "c1", 1).await.unwrap().revision, eq(1));
-    expect_that!(rig.apply(0, 0, "c1", 1).await.unwrap().revision, eq(1));
-    let reused = rig.apply(0, 1, "c1", 9).await.unwrap_err();
+    expect_that!(cluster.apply(0, 0, "c1", 1).await.unwrap().revision, eq(1));
+    expect_that!(cluster.apply(0, 0, "c1", 1).await.unwrap().revision, eq(1));
+    let reused = cluster.apply(0, 1, "c1", 9).await.unwrap_err();
     expect_that!(
         reused,
         matches_pattern!(ApplyRefused::ChangeReused { revision: eq(&1) })
     );
-    expect_that!(rig.history(0).await, len(eq(1)));
+    expect_that!(cluster.history(0).await, len(eq(1)));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_commit_that_lands_late_stands_once() {
-    // The head's write is applied after its connection broke. The instance reads the old head
-    // and repeats the same compare-and-set; whichever copy lands, the other finds another
-    // version, so the change stands once.
-    let rig = rig(1).await;
-    rig.platform.set_fault(Fault::LateWrites {
+async fn a_commit_that_takes_effect_late_is_stored_once() {
+    // The write of the head takes effect after its connection broke. The instance reads the old
+    // head and repeats the same compare-and-set. Whichever copy is applied first, the other finds
+    // another version, so the change is stored once.
+    let cluster = start_cluster(1).await;
+    cluster.platform.set_fault(Fault::LateWrites {
         next: 1,
         ms: 300,
         prefix: HEAD.into(),
     });
-    expect_that!(rig.apply(0, 0, "c1", 1).await.unwrap().revision, eq(1));
+    expect_that!(cluster.apply(0, 0, "c1", 1).await.unwrap().revision, eq(1));
     tokio::time::sleep(Duration::from_millis(600)).await;
-    rig.everywhere(1).await;
-    expect_that!(rig.history(0).await, eq(&vec!["c1".to_owned()]));
+    cluster.wait_for_revision(1).await;
+    expect_that!(cluster.history(0).await, eq(&vec!["c1".to_owned()]));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_outage_refuses_changes_and_keeps_what_is_in_force() {
-    let rig = rig(1).await;
-    rig.apply(0, 0, "c1", 1).await.unwrap();
-    rig.platform.set_fault(Fault::Outage);
-    let refused = rig.apply(0, 1, "c2", 2).await.unwrap_err();
+async fn during_an_outage_changes_are_refused_and_the_revision_stays_in_force() {
+    let cluster = start_cluster(1).await;
+    cluster.apply(0, 0, "c1", 1).await.unwrap();
+    cluster.platform.set_fault(Fault::Outage);
+    let refused = cluster.apply(0, 1, "c2", 2).await.unwrap_err();
     expect_that!(refused, matches_pattern!(ApplyRefused::PlatformDown { .. }));
-    expect_that!(rig.revision(0), eq(1));
-    rig.platform.set_fault(Fault::None);
-    expect_that!(rig.apply(0, 1, "c2", 2).await.unwrap().revision, eq(2));
+    expect_that!(cluster.revision(0), eq(1));
+    cluster.platform.set_fault(Fault::None);
+    expect_that!(cluster.apply(0, 1, "c2", 2).await.unwrap().revision, eq(2));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_restored_platform_gets_the_accepted_head_back() {
-    // The platform's owners restore a copy that still has revision 1. An operator who applies
-    // meanwhile is refused, the instances go on serving by revision 2, and it is written back.
-    let rig = rig(2).await;
-    rig.apply(0, 0, "c1", 1).await.unwrap();
-    let old = rig.head().await.value;
-    rig.apply(0, 1, "c2", 2).await.unwrap();
-    let accepted = rig.head().await.value;
-    rig.everywhere(2).await;
-    rig.objects.put(HEAD, old, Condition::Any).await.unwrap();
-    let refused = rig.apply(0, 1, "c3", 3).await.unwrap_err();
-    let wanted = matches_pattern!(ApplyRefused::WentBack {
+async fn the_accepted_head_is_written_back_to_a_restored_platform() {
+    // The platform is restored from a backup that still has revision 1. An apply is refused
+    // meanwhile, the instances continue to serve revision 2, and it is written back.
+    let cluster = start_cluster(2).await;
+    cluster.apply(0, 0, "c1", 1).await.unwrap();
+    let old = cluster.head().await.value;
+    cluster.apply(0, 1, "c2", 2).await.unwrap();
+    let accepted = cluster.head().await.value;
+    cluster.wait_for_revision(2).await;
+    cluster
+        .objects
+        .put(HEAD, old, Condition::Any)
+        .await
+        .unwrap();
+    let refused = cluster.apply(0, 1, "c3", 3).await.unwrap_err();
+    let expected = matches_pattern!(ApplyRefused::WentBack {
         standing: eq(&1),
         accepted: eq(&2)
     });
-    expect_that!(refused, wanted);
+    expect_that!(refused, expected);
     let wait = async {
-        while rig.head().await.value != accepted {
+        while cluster.head().await.value != accepted {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait)
+    tokio::time::timeout(TIMEOUT, wait)
         .await
-        .expect("written back");
-    expect_that!(rig.revision(0), eq(2));
-    expect_that!(rig.revision(1), eq(2));
-    expect_that!(rig.apply(1, 2, "c3", 3).await.unwrap().revision, eq(3));
+        .expect("the accepted head is written back");
+    expect_that!(cluster.revision(0), eq(2));
+    expect_that!(cluster.revision(1), eq(2));
+    expect_that!(cluster.apply(1, 2, "c3", 3).await.unwrap().revision, eq(3));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn parts_that_no_head_names_are_deleted() {
-    let rig = rig(2).await;
+async fn unreferenced_parts_are_deleted() {
+    let cluster = start_cluster(2).await;
     for revision in 1..=4 {
         let change = format!("c{revision}");
-        rig.apply(0, revision - 1, &change, revision as u32)
+        cluster
+            .apply(0, revision - 1, &change, revision as u32)
             .await
             .unwrap();
     }
     let wait = async {
-        while rig.stored_parts().await != 2 {
+        while cluster.stored_parts().await != 2 {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait)
+    tokio::time::timeout(TIMEOUT, wait)
         .await
-        .expect("the core and one slice are left");
-    // Back to an earlier schema, whose part is gone by now: the commit writes it again.
-    expect_that!(rig.apply(1, 4, "c5", 1).await.unwrap().revision, eq(5));
-    rig.everywhere(5).await;
+        .expect("only the core and one slice remain");
+    // Applying an earlier schema, whose part has been deleted, writes the part again.
+    expect_that!(cluster.apply(1, 4, "c5", 1).await.unwrap().revision, eq(5));
+    cluster.wait_for_revision(5).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_wrong_token_is_refused() {
-    let rig = rig(1).await;
-    let url = format!("http://{}/operator/status", rig.instances[0].operators);
-    let answer = rig
+    let cluster = start_cluster(1).await;
+    let url = format!("http://{}/operator/status", cluster.instances[0].operators);
+    let answer = cluster
         .client
         .get(url)
         .bearer_auth("guess")
--- a/plugins/schema/tests/schema/bad_input.rs
+++ b/plugins/schema/tests/schema/bad_input.rs
@@ -1,28 +1,28 @@
-//! Bad input on the operators' listener: a clear refusal, and nothing is written.
+//! Bad input on the operators' listener is refused with a clear answer, and nothing is written.
 
 use googletest::prelude::*;
 use reqwest::{Client, Method};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::rig::{TOKEN, rig};
+use crate::rig::{TOKEN, start_cluster};
 
 struct Case {
     method: Method,
     path: &'static str,
     body: String,
     status: u16,
-    says: &'static str,
+    message: &'static str,
 }
 
-fn case(path: &'static str, body: &str, status: u16, says: &'static str) -> Case {
+fn case(path: &'static str, body: &str, status: u16, message: &'static str) -> Case {
     let (method, body) = (Method::POST, body.to_owned());
     Case {
         method,
         path,
         body,
         status,
-        says,
+        message,
     }
 }
 
@@ -83,12 +83,12 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn bad_input_is_refused_with_a_clear_answer() {
-    let rig = rig(1).await;
+    let cluster = start_cluster(1).await;
     let client = Client::new();
     for case in cases() {
         let url = format!(
             "http://{}/operator/{}",
-            rig.instances[0].operators, case.path
+            cluster.instances[0].operators, case.path
         );
         let call = client
             .request(case.method.clone(), url)
@@ -97,23 +97,23 @@
         let answer = call.send().await.unwrap();
         let status = answer.status().as_u16();
         let text = answer.text().await.unwrap().replace("\"line\":", "line ");
-        let what = format!("{} {}", case.method, case.path);
-        expect_that!(status, eq(case.status), "{what}: {text}");
-        expect_that!(text, contains_substring(case.says), "{what}");
-        expect_that!(text.len(), lt(2_000), "{what}");
-        expect_that!(text.contains("\\u001b"), eq(false), "{what}");
+        let label = format!("{} {}", case.method, case.path);
+        expect_that!(status, eq(case.status), "{label}: {text}");
+        expect_that!(text, contains_substring(case.message), "{label}");
+        expect_that!(text.len(), lt(2_000), "{label}");
+        expect_that!(text.contains("\\u001b"), eq(false), "{label}");
     }
-    expect_that!(rig.platform.counts().puts, eq(0));
+    expect_that!(cluster.platform.counts().puts, eq(0));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_oversized_body_is_refused_by_its_declared_length() {
-    // The head of a request declares more than the limit and the body never comes. The answer
-    // comes at once all the same, and nothing was buffered. (A client that goes on sending may
-    // find the connection closed before it reads the answer, so the test sends no body.)
-    let rig = rig(1).await;
-    let address = rig.instances[0].operators;
+    // The request declares a body above the limit and never sends it. The answer must come at once,
+    // without waiting for the body or buffering it. The test sends no body because a client that goes on sending
+    // may find the connection closed before it reads the answer.
+    let cluster = start_cluster(1).await;
+    let address = cluster.instances[0].operators;
     let mut stream = TcpStream::connect(address).await.unwrap();
     let head = format!(
         "POST /operator/plan HTTP/1.1\r\nhost: {address}\r\nauthorization: Bearer {TOKEN}\r\n\
--- a/plugins/schema/tests/schema/race.rs
+++ b/plugins/schema/tests/schema/race.rs
@@ -1,4 +1,5 @@
-//! Operators race on three instances while the platform loses answers and applies writes late.
+//! Operators apply concurrently at three instances while the platform loses answers and applies
+//! writes late.
 
 use googletest::prelude::*;
 use jacinthweir_policy::config::check::{ApplyRecord, ReportedOutcome, check_reported_outcomes};
@@ -6,13 +7,13 @@
 use jacinthweir_wire::operator::ApplyRefused;
 use jacinthweir_wire::peer::Head;
 
-use crate::rig::{Rig, rig};
+use crate::rig::{Cluster, start_cluster};
 
 const OPERATORS: u64 = 4;
 const APPLIES: u64 = 10;
 const HEAD: &str = "config/head";
 
-/// The fault before an operator's n-th apply: each operator changes it for all.
+/// Returns the fault that is set for the platform before an operator's n-th apply.
 fn fault(operator: u64, n: u64) -> Fault {
     let prefix = HEAD.to_owned();
     match (operator * 7 + n * 3) % 5 {
@@ -27,15 +28,18 @@
     }
 }
 
-async fn operator(rig: &Rig, operator: u64) -> Vec<ApplyRecord> {
+async fn operator(cluster: &Cluster, operator: u64) -> Vec<ApplyRecord> {
     let mut records = Vec::new();
     for n in 0..APPLIES {
-        rig.platform.set_fault(fault(operator, n));
+        cluster.platform.set_fault(fault(operator, n));
         let at = ((operator + n) % 3) as usize;
         let change = format!("o{operator}-{n}");
-        // Each change is another schema, so that none is taken for one that stands already.
+        // Each change has another schema, so that none is answered as unchanged.
         let weight = (1 + operator * 100 + n) as u32;
-        let outcome = match rig.apply(at, rig.revision(at), &change, weight).await {
+        let outcome = match cluster
+            .apply(at, cluster.revision(at), &change, weight)
+            .await
+        {
             Ok(reply) => ReportedOutcome::Committed(reply.revision),
             Err(ApplyRefused::Unconfirmed { .. }) => ReportedOutcome::Unknown,
             Err(_) => ReportedOutcome::Refused,
@@ -50,16 +54,16 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn what_operators_are_told_is_true_while_they_race_and_answers_get_lost() {
-    // Four operators apply ten schemas each at changing instances, with whatever base these have
-    // in force. Head writes lose their answers or land late meanwhile. Whoever is told
-    // "committed" finds the change in the history under that revision, whoever is told
-    // "refused" doesn't, and each change stands at most once, with no revision left out.
-    let rig = rig(3).await;
-    let runs = (0..OPERATORS).map(|n| operator(&rig, n));
+async fn reported_outcomes_hold_under_concurrent_applies_and_lost_answers() {
+    // Four operators apply ten schemas each at changing instances, on the base in force there,
+    // while head writes lose their answers or take effect late. A change reported as committed must
+    // be in the history under that revision, a refused one must not, each change is there at most
+    // once, and no revision is missing.
+    let cluster = start_cluster(3).await;
+    let runs = (0..OPERATORS).map(|n| operator(&cluster, n));
     let applies = futures::future::join_all(runs).await.concat();
-    rig.platform.set_fault(Fault::None);
-    let head: Head = serde_json::from_str(&rig.head().await.value).unwrap();
+    cluster.platform.set_fault(Fault::None);
+    let head: Head = serde_json::from_str(&cluster.head().await.value).unwrap();
     expect_that!(
         check_reported_outcomes(&applies, &head.history),
         ok(eq(&()))
@@ -75,5 +79,5 @@
         .iter()
         .filter(|apply| matches!(apply.outcome, ReportedOutcome::Committed(_)));
     expect_that!(committed.count(), ge(1));
-    rig.everywhere(head.revision).await;
+    cluster.wait_for_revision(head.revision).await;
 }
--- a/plugins/schema/tests/schema/rig.rs
+++ b/plugins/schema/tests/schema/rig.rs
@@ -1,4 +1,4 @@
-//! Instances over a stand-in platform, in one process.
+//! Test cluster: instances over a stand-in platform, in one process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,8 +23,8 @@
 
 pub const TOKEN: &str = "operators";
 pub const HEAD: &str = "config/head";
-/// How long something is waited for before the test gives up; no verdict hangs on less.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Time after which a wait fails the test. No test depends on a shorter wait.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
 pub struct Instance {
     pub kernel: Arc<Kernel>,
@@ -33,15 +33,15 @@
     listening: Vec<Listening>,
 }
 
-pub struct Rig {
+pub struct Cluster {
     pub platform: Platform,
     pub objects: HttpPlatform,
     pub instances: Vec<Instance>,
     pub client: reqwest::Client,
 }
 
-/// An address that nothing else uses: on a loopback address of this process's own, below the
-/// range of ports from which outgoing connections take theirs.
+/// Returns an unused address: a loopback address specific to this process, with a port below the
+/// ephemeral range of outgoing connections.
 pub fn free_address() -> SocketAddr {
     static NEXT_PORT: AtomicU16 = AtomicU16::new(20_000);
     let [_, a, b, c] = std::process::id().to_be_bytes();
@@ -49,8 +49,8 @@
     SocketAddr::from(([127, 64 + (a & 63), b, c], port))
 }
 
-/// Starts an instance that knows the peers' addresses `seeds`.
-async fn instance(n: usize, platform: SocketAddr, seeds: &[SocketAddr]) -> Instance {
+/// Starts an instance with the peers' addresses `seeds`.
+async fn start_instance(n: usize, platform: SocketAddr, seeds: &[SocketAddr]) -> Instance {
     let (operators, peers) = (free_address(), free_address());
     let settings = json!({
         "name": format!("entry-{n}"),
@@ -82,7 +82,7 @@
 }
 
 impl Instance {
-    /// Ends the instance without a word, as a kill does.
+    /// Stops the instance abruptly, without announcing it, as a crash would.
     pub fn kill(&self) {
         self.kernel.stop.cancel();
         for listening in &self.listening {
@@ -91,21 +91,21 @@
     }
 }
 
-pub async fn rig(instances: usize) -> Rig {
+pub async fn start_cluster(instances: usize) -> Cluster {
     let platform = Platform::bind(PlatformCfg::default(), CancellationToken::new())
         .await
         .unwrap();
     let objects = HttpPlatform::open(platform.address, Duration::from_secs(5)).unwrap();
-    let mut rig = Rig {
+    let mut cluster = Cluster {
         platform,
         objects,
         instances: vec![],
         client: reqwest::Client::new(),
     };
     for _ in 0..instances {
-        rig.join(rig.platform.address).await;
+        cluster.add_instance(cluster.platform.address).await;
     }
-    rig
+    cluster
 }
 
 pub fn schema(weight: u32) -> String {
@@ -115,13 +115,13 @@
     )
 }
 
-/// The parts of a schema with this weight.
+/// Returns the parts of a schema with this weight.
 pub fn parts(weight: u32) -> Vec<PartText> {
     split(&parse_schema(&schema(weight)).unwrap()).unwrap()
 }
 
-impl Rig {
-    /// Writes parts alone, as an instance has that dies before it writes the head.
+impl Cluster {
+    /// Writes parts without a head, as an instance does that is killed in between.
     pub async fn write_parts(&self, parts: &[PartText]) {
         for part in parts {
             let key = format!("config/parts/{}", part.part.hash);
@@ -132,14 +132,14 @@
         }
     }
 
-    /// Starts one more instance, with the platform at an address.
-    pub async fn join(&mut self, platform: SocketAddr) {
+    /// Starts another instance, with the platform at this address.
+    pub async fn add_instance(&mut self, platform: SocketAddr) {
         let seeds: Vec<SocketAddr> = self.instances.iter().map(|i| i.peers).collect();
-        let joined = instance(self.instances.len(), platform, &seeds).await;
-        self.instances.push(joined);
+        let instance = start_instance(self.instances.len(), platform, &seeds).await;
+        self.instances.push(instance);
     }
 
-    /// Whether an instance answers requests by what is in force there.
+    /// Whether an instance serves requests.
     pub fn serves(&self, at: usize) -> bool {
         self.instances[at].kernel.serving_config().is_ok()
     }
@@ -186,21 +186,23 @@
             .map_or(0, |c| c.revision)
     }
 
-    pub async fn everywhere(&self, revision: u64) {
-        self.until(|| (0..self.instances.len()).all(|at| self.revision(at) == revision))
+    pub async fn wait_for_revision(&self, revision: u64) {
+        self.wait_until(|| (0..self.instances.len()).all(|at| self.revision(at) == revision))
             .await;
     }
 
-    pub async fn until(&self, done: impl Fn() -> bool) {
+    pub async fn wait_until(&self, condition: impl Fn() -> bool) {
         let wait = async {
-            while !done() {
+            while !condition() {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, wait).await.expect("happens");
+        tokio::time::timeout(TIMEOUT, wait)
+            .await
+            .expect("the condition holds before the time-out");
     }
 
-    /// Number of parts on the platform.
+    /// Returns the number of parts stored on the platform.
     pub async fn stored_parts(&self) -> usize {
         let listed = self.objects.list("config/parts/").await.unwrap();
         listed.objects.len()
