--- a/plugins/peers/src/entry.rs
+++ b/plugins/peers/src/entry.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/entry`: the addresses to use.
+//! `GET /v1/entry`: addresses of the instances that serve.
 
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_kernel::reply::Refusal;
@@ -7,20 +7,20 @@
 use jacinthweir_wire::header;
 use salvo::prelude::Json;
 
-/// When to ask again where no instance serves, in milliseconds.
-const RETRY_MS: u64 = 1_000;
+/// Retry delay suggested while no instance serves, in milliseconds.
+const RETRY_AFTER_MS: u64 = 1_000;
 
-/// `GET /v1/entry`, without a key: the answer holds nothing but addresses.
-pub(crate) struct Entry(pub(crate) Arc<Kernel>);
+/// Handles `GET /v1/entry`. No key is required, since the answer holds nothing but addresses.
+pub(crate) struct EntryHandler(pub(crate) Arc<Kernel>);
 
 #[handler]
-impl Entry {
+impl EntryHandler {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         let domain = req.header::<String>(header::DOMAIN);
         let answer = answer(&self.0, domain.as_deref());
         if answer.addresses.is_empty() {
             let refusal = Refusal::not_run(ErrorCode::NoConfiguration, "no instance serves");
-            refusal.retry_after(RETRY_MS).write(res, None);
+            refusal.retry_after(RETRY_AFTER_MS).write(res, None);
         } else {
             res.render(Json(answer));
         }
@@ -32,7 +32,8 @@
         ttl_ms: cx.settings.timing.entry_ttl_ms,
         ..EntryConfig::default()
     };
-    // The own phase never goes back, while the configuration may stop being vouched for.
+    // The own phase never goes back to an earlier one, but the configuration may become
+    // unconfirmed, and then this instance does not serve.
     let serves = cx.config.get().served().is_some();
     let membership = cx.membership();
     let own = &cx.settings.name;
--- a/plugins/peers/src/exchange.rs
+++ b/plugins/peers/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges: the asking and the answering side.
+//! Gossip exchanges: the initiating and the answering side.
 
 use jacinthweir_clients::ClientError;
 use jacinthweir_kernel::prelude::*;
@@ -7,25 +7,25 @@
 
 use crate::probe;
 
-/// Starts what the membership asked for, each in a task of its own.
-pub(crate) fn carry_out(cx: &Arc<Kernel>, actions: Vec<Action>) {
+/// Starts the actions requested by the membership, each in a new task.
+pub(crate) fn execute(cx: &Arc<Kernel>, actions: Vec<Action>) {
     for action in actions {
         match action {
             Action::Exchange {
                 peer,
                 round,
                 digest,
-            } => cx.spawn(ask(Arc::clone(cx), peer, round, digest)),
+            } => cx.spawn(initiate(Arc::clone(cx), peer, round, digest)),
             Action::Probe {
                 via,
                 suspect,
                 round,
-            } => cx.spawn(probe::ask(Arc::clone(cx), via, suspect, round)),
+            } => cx.spawn(probe::request(Arc::clone(cx), via, suspect, round)),
         }
     }
 }
 
-async fn ask(cx: Arc<Kernel>, peer: Peer, round: u64, digest: MemberDigest) {
+async fn initiate(cx: Arc<Kernel>, peer: Peer, round: u64, digest: MemberDigest) {
     let asked_ms = cx.clock.now();
     let upstreams = upstream_digest(&cx, &peer, digest.salt);
     let msg = Exchange {
@@ -35,22 +35,22 @@
     };
     let answer: Result<ExchangeAnswer, ClientError> =
         cx.peers.post(peer.address, "/peer/exchange", &msg).await;
-    let failed = match answer {
+    let cause = match answer {
         Ok(answer) if peer.name.as_ref().is_none_or(|n| *n == answer.from) => {
-            take_answer(&cx, &peer, asked_ms, answer).await;
+            apply_answer(&cx, &peer, asked_ms, answer).await;
             return;
         }
-        // Another instance took over the address: it says nothing about the one meant.
+        // Another instance now has the address; its answer tells nothing about the intended peer.
         Ok(answer) => format!("{} answered in its place", answer.from),
         Err(e) => e.to_string(),
     };
-    debug!("exchange with {peer}: {failed}");
+    debug!("exchange with {peer} failed: {cause}");
     metrics::counter!("jacinthweir_exchanges_failed_total").increment(1);
     let now = cx.clock.reading();
     let actions = cx
         .membership()
         .exchange_failed(now, &peer, round, &mut rand::rng());
-    carry_out(&cx, actions);
+    execute(&cx, actions);
 }
 
 fn upstream_digest(cx: &Kernel, peer: &Peer, salt: u32) -> UpstreamDigest {
@@ -63,7 +63,7 @@
         .digest(cx.clock.reading(), salt, domain.as_deref())
 }
 
-async fn take_answer(cx: &Kernel, peer: &Peer, asked_ms: Millis, answer: ExchangeAnswer) {
+async fn apply_answer(cx: &Kernel, peer: &Peer, asked_ms: Millis, answer: ExchangeAnswer) {
     let now = cx.clock.reading();
     let push = Push {
         from: Some(cx.settings.name.clone()),
@@ -76,16 +76,16 @@
         return;
     }
     let pushed: Result<Push, ClientError> = cx.peers.post(peer.address, "/peer/push", &push).await;
-    // A lost push is made good by the next exchange, whose digests still differ.
+    // A lost push is repaired by the next exchange, whose digests still differ.
     match pushed {
-        Ok(back) => {
-            take_push(cx, back);
+        Ok(reply) => {
+            apply_push(cx, reply);
         }
-        Err(e) => debug!("push to {peer}: {e}"),
+        Err(e) => debug!("push to {peer} failed: {e}"),
     }
 }
 
-/// Answers an exchange of another instance.
+/// Answers an exchange initiated by another instance.
 pub(crate) fn answer(cx: &Kernel, msg: &Exchange) -> ExchangeAnswer {
     let now = cx.clock.reading();
     let members = cx.membership().receive_digest(now, &msg.from, &msg.members);
@@ -100,13 +100,13 @@
 pub(crate) fn answer_push(cx: &Kernel, push: Push) -> Push {
     Push {
         from: Some(cx.settings.name.clone()),
-        upstreams: take_push(cx, push),
+        upstreams: apply_push(cx, push),
         ..Push::default()
     }
 }
 
-/// Takes a push in; returns what the other side wants of the upstreams.
-fn take_push(cx: &Kernel, push: Push) -> Option<UpstreamDelta> {
+/// Applies a push; returns the upstream records that the other side requests.
+fn apply_push(cx: &Kernel, push: Push) -> Option<UpstreamDelta> {
     let from = push.from?;
     let now = cx.clock.reading();
     if let Some(delta) = &push.members {
--- a/plugins/peers/src/lib.rs
+++ b/plugins/peers/src/lib.rs
@@ -1,9 +1,9 @@
-//! The peers' plug-in: exchanges with other instances, and the entry answers that follow.
+//! Peers plug-in: gossip with other instances, and the entry answers derived from it.
 //!
-//! One loop ticks the membership; each exchange and probe that it asks for runs in a task of its
-//! own and reports back. The peers' listener answers the exchanges of others. Decisions are all in
-//! [`jacinthweir_policy::membership`], [`jacinthweir_policy::upstreams`] and
-//! [`jacinthweir_policy::entry`].
+//! One loop ticks the membership; each exchange and probe that it requests runs in a task of its
+//! own and reports its result back. The peers' listener answers the exchanges of other instances.
+//! All decisions are made in [`jacinthweir_policy::membership`], [`jacinthweir_policy::upstreams`]
+//! and [`jacinthweir_policy::entry`].
 
 mod entry;
 mod exchange;
@@ -25,11 +25,12 @@
     dump,
 };
 
-/// Period of looking whether a round is due or the own phase changed.
-const POLL: Duration = Duration::from_millis(50);
+/// Period of checking whether a gossip round is due or the own phase has changed.
+const CHECK_PERIOD: Duration = Duration::from_millis(50);
 
-/// Peers that are told at once that this instance drains or is gone; they tell the others.
-const ANNOUNCE_TO: usize = 4;
+/// Number of peers to which a change of the own phase is announced at once; gossip spreads it
+/// further.
+const ANNOUNCE_FANOUT: usize = 4;
 
 fn spawn(cx: &Arc<Kernel>) -> Result<(), KernelError> {
     cx.spawn(run(Arc::clone(cx)));
@@ -45,25 +46,25 @@
     let mut next_round = cx.clock.now();
     let mut phase = Phase::Joining;
     loop {
-        publish_own(&cx);
+        update_own_record(&cx);
         if cx.clock.now() >= next_round {
             next_round = cx.clock.now() + cx.settings.timing.gossip_ms;
             let actions = cx.membership().tick(cx.clock.reading(), &mut rand::rng());
-            exchange::carry_out(&cx, actions);
-            report(cx.membership().counts());
+            exchange::execute(&cx, actions);
+            export_counters(cx.membership().counts());
         }
         let own = cx.membership().own().state.phase;
         if own != phase {
             phase = own;
-            let actions = cx.membership().announce(ANNOUNCE_TO, &mut rand::rng());
-            exchange::carry_out(&cx, actions);
+            let actions = cx.membership().announce(ANNOUNCE_FANOUT, &mut rand::rng());
+            exchange::execute(&cx, actions);
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(CHECK_PERIOD).await;
     }
 }
 
-/// Brings the own record up to date.
-fn publish_own(cx: &Kernel) {
+/// Updates the own membership record.
+fn update_own_record(cx: &Kernel) {
     let running = cx.records.counts().running;
     let config = cx.config.get();
     let mut membership = cx.membership();
@@ -76,15 +77,15 @@
     }
 }
 
-fn report(c: MembershipCounts) {
+fn export_counters(counts: MembershipCounts) {
     let counters = [
-        ("doubts", c.doubts),
-        ("suspicions", c.suspicions),
-        ("unconfirmed", c.unconfirmed),
-        ("adopted", c.adopted),
-        ("false_alarms", c.false_alarms),
-        ("refuted", c.refuted),
-        ("woken", c.woken),
+        ("doubts", counts.doubts),
+        ("suspicions", counts.suspicions),
+        ("unconfirmed", counts.unconfirmed),
+        ("adopted", counts.adopted),
+        ("false_alarms", counts.false_alarms),
+        ("refuted", counts.refuted),
+        ("woken", counts.woken),
     ];
     for (event, count) in counters {
         metrics::counter!("jacinthweir_membership_total", "event" => event).absolute(count);
--- a/plugins/peers/src/probe.rs
+++ b/plugins/peers/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probes: asking a peer to reach another instance, and answering such a request.
+//! Indirect probes: requesting a peer to probe another instance, and answering such requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,8 +8,8 @@
 use jacinthweir_wire::peer::{PollKind, ProbeReply, ProbeRequest};
 use tokio::net::TcpStream;
 
-/// Asks `via` to reach `suspect`, and reports to the membership.
-pub(crate) async fn ask(cx: Arc<Kernel>, via: Peer, suspect: Peer, round: u64) {
+/// Requests `via` to probe `suspect`, and reports the result to the membership.
+pub(crate) async fn request(cx: Arc<Kernel>, via: Peer, suspect: Peer, round: u64) {
     let (Some(via_name), Some(suspect_name)) = (via.name, suspect.name) else {
         return;
     };
@@ -33,27 +33,31 @@
     }
 }
 
-/// Tries to reach what a peer asked for. Takes half of a peer call's time-out at most, so that
-/// the answer comes before the asking peer gives up.
-pub(crate) async fn try_it(cx: &Kernel, msg: ProbeRequest) -> ProbeReply {
-    let limit = Duration::from_millis(cx.settings.timing.peer_timeout_ms / 2);
+/// Runs a probe requested by a peer.
+///
+/// It takes at most half of the time-out of a peer call, so that the answer arrives before the
+/// requesting peer gives up.
+pub(crate) async fn run(cx: &Kernel, msg: ProbeRequest) -> ProbeReply {
+    let timeout = Duration::from_millis(cx.settings.timing.peer_timeout_ms / 2);
     let reply = match msg {
-        ProbeRequest::Member { address } => tokio::time::timeout(limit, member(cx, address)).await,
+        ProbeRequest::Member { address } => {
+            tokio::time::timeout(timeout, probe_member(cx, address)).await
+        }
         ProbeRequest::Upstream { address, kind } => {
-            tokio::time::timeout(limit, upstream(cx, address, kind)).await
+            tokio::time::timeout(timeout, probe_upstream(cx, address, kind)).await
         }
     };
     reply.unwrap_or(ProbeReply::NotReached)
 }
 
-async fn member(cx: &Kernel, address: SocketAddr) -> ProbeReply {
+async fn probe_member(cx: &Kernel, address: SocketAddr) -> ProbeReply {
     match cx.peers.own_record(address).await {
         Ok(record) => ProbeReply::Member(record),
         Err(_) => ProbeReply::NotReached,
     }
 }
 
-async fn upstream(cx: &Kernel, address: SocketAddr, kind: PollKind) -> ProbeReply {
+async fn probe_upstream(cx: &Kernel, address: SocketAddr, kind: PollKind) -> ProbeReply {
     let reply = match kind {
         PollKind::Load => cx.runners.load(address).await.map(ProbeReply::Report).ok(),
         PollKind::Connect => {
