--- a/plugins/operators/src/lib.rs
+++ b/plugins/operators/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' plug-in: metrics, the dump, and what happened to a request.
+//! Operators plug-in: metrics, the state dump and request records.
 
 use std::net::SocketAddr;
 
@@ -21,12 +21,12 @@
 fn routes(cx: &Arc<Kernel>, face: Face) -> Vec<Router> {
     match face {
         Face::Operators => vec![
-            Router::with_path("metrics").get(Metrics(Arc::clone(cx))),
-            Router::with_path("operator/dump").get(Dump(Arc::clone(cx))),
-            Router::with_path("operator/requests/{id}").get(RequestById(Arc::clone(cx))),
+            Router::with_path("metrics").get(MetricsHandler(Arc::clone(cx))),
+            Router::with_path("operator/dump").get(DumpHandler(Arc::clone(cx))),
+            Router::with_path("operator/requests/{id}").get(RequestHandler(Arc::clone(cx))),
         ],
         Face::Peers => {
-            vec![Router::with_path("peer/requests/{id}").get(OwnRequest(Arc::clone(cx)))]
+            vec![Router::with_path("peer/requests/{id}").get(OwnRequestHandler(Arc::clone(cx)))]
         }
         Face::Callers => Vec::new(),
     }
@@ -43,91 +43,95 @@
     })
 }
 
-/// `GET /metrics`.
-struct Metrics(Arc<Kernel>);
+/// Handles `GET /metrics`.
+struct MetricsHandler(Arc<Kernel>);
 
 #[handler]
-impl Metrics {
+impl MetricsHandler {
     async fn handle(&self, res: &mut Response) {
         reply::set_header(res, "content-type", "text/plain; version=0.0.4");
         res.render(self.0.stats.render());
     }
 }
 
-/// `GET /operator/dump`: a field a plug-in.
-struct Dump(Arc<Kernel>);
+/// Handles `GET /operator/dump`: an object with one field per plug-in.
+struct DumpHandler(Arc<Kernel>);
 
 #[handler]
-impl Dump {
+impl DumpHandler {
     async fn handle(&self, res: &mut Response) {
-        let mut parts = serde_json::Map::new();
+        let mut dumps = serde_json::Map::new();
         for plugin in plugin::sorted() {
-            parts.insert(plugin.name.to_owned(), (plugin.dump)(&self.0));
+            dumps.insert(plugin.name.to_owned(), (plugin.dump)(&self.0));
         }
-        res.render(Json(parts));
+        res.render(Json(dumps));
     }
 }
 
-/// `GET /operator/requests/{id}`: from whichever instance served it.
-struct RequestById(Arc<Kernel>);
+/// Handles `GET /operator/requests/{id}`: the record of a request, from the instance that served
+/// it.
+struct RequestHandler(Arc<Kernel>);
 
 #[handler]
-impl RequestById {
+impl RequestHandler {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         let id = req.param::<String>("id").unwrap_or_default();
-        match find(&self.0, &id).await {
+        match find_record(&self.0, &id).await {
             Ok(record) => res.render(Json(record)),
             Err(refusal) => refusal.write(res, None),
         }
     }
 }
 
-async fn find(cx: &Kernel, id: &str) -> Result<RequestRecord, Refusal> {
+async fn find_record(cx: &Kernel, id: &str) -> Result<RequestRecord, Refusal> {
     if let Some(record) = cx.records.get(id) {
         return Ok(record);
     }
     let Some((instance, _)) = id.rsplit_once('.') else {
-        return Err(unknown(
+        return Err(not_found(
             "a request id is an instance's name, a dot and a number",
         ));
     };
-    let Some(peer) = peer_named(cx, instance) else {
-        return Err(unknown(&format!(
+    let Some(peer) = other_instance(cx, instance) else {
+        return Err(not_found(&format!(
             "no live instance {instance} that could know it"
         )));
     };
     match cx.peers.request(peer, id).await {
         Ok(Some(record)) => Ok(record),
-        Ok(None) => Err(unknown(&format!("instance {instance} has no record of it"))),
-        Err(e) => Err(unknown(&format!(
+        Ok(None) => Err(not_found(&format!(
+            "instance {instance} has no record of it"
+        ))),
+        Err(e) => Err(not_found(&format!(
             "instance {instance} does not answer: {e}"
         ))),
     }
 }
 
-fn peer_named(cx: &Kernel, instance: &str) -> Option<SocketAddr> {
+fn other_instance(cx: &Kernel, instance: &str) -> Option<SocketAddr> {
     if instance == cx.settings.name.as_ref() {
         return None;
     }
     cx.peer_address(instance)
 }
 
-fn unknown(msg: &str) -> Refusal {
+fn not_found(msg: &str) -> Refusal {
     Refusal::not_run(ErrorCode::NotFound, msg)
 }
 
-/// `GET /peer/requests/{id}`: from this instance alone, as MessagePack.
-struct OwnRequest(Arc<Kernel>);
+/// Handles `GET /peer/requests/{id}`: the record of a request served by this instance, as
+/// MessagePack.
+struct OwnRequestHandler(Arc<Kernel>);
 
 #[handler]
-impl OwnRequest {
+impl OwnRequestHandler {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         let id = req.param::<String>("id").unwrap_or_default();
         let encoded = self.0.records.get(&id).map(|r| rmp_serde::to_vec_named(&r));
         match encoded {
             Some(Ok(bytes)) => reply::message_pack(res, bytes),
             Some(Err(_)) => Refusal::internal().write(res, None),
-            None => unknown("no record of it").write(res, None),
+            None => not_found("no record of it").write(res, None),
         }
     }
 }
