--- a/plugins/upstreams/src/cache.rs
+++ b/plugins/upstreams/src/cache.rs
@@ -1,4 +1,5 @@
-//! Reads runners' cache events: hints for the route plan, late and with gaps.
+//! Reads the cache events of runners, which serve the route plan as hints: they arrive late and
+//! with gaps.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
@@ -8,7 +9,7 @@
 use jacinthweir_policy::upstreams::Poll;
 use jacinthweir_wire::runner::CacheEvent;
 
-/// Where the events of each runner were read up to.
+/// Position up to which the events of each runner were read.
 #[derive(Default)]
 struct Positions {
     by_runner: Mutex<BTreeMap<Name, Position>>,
@@ -20,13 +21,13 @@
     number: u64,
 }
 
-/// Reads what is new at a runner that has just answered a poll. A failure costs hints only.
+/// Reads the new events of a runner that has just answered a poll. A failure loses only hints.
 pub(crate) async fn read(cx: &Kernel, poll: &Poll, incarnation: u64) {
     let positions = cx.plugin_state(Positions::default);
     let after = positions.after(&poll.name, incarnation);
     let events = match cx.runners.cache_events(poll.address, after).await {
         Ok(events) => events,
-        Err(e) => return debug!("cache events of {}: {e}", poll.name),
+        Err(e) => return debug!("cache events of {} could not be read: {e}", poll.name),
     };
     let position = Position {
         incarnation,
@@ -36,11 +37,11 @@
     let now = cx.clock.now();
     let mut router = cx.router();
     for event in &events.events {
-        router.observe_cache(now, &seen(poll, incarnation, event));
+        router.observe_cache(now, &cache_event(poll, incarnation, event));
     }
 }
 
-fn seen(poll: &Poll, incarnation: u64, event: &CacheEvent) -> PrefixCacheEvent {
+fn cache_event(poll: &Poll, incarnation: u64, event: &CacheEvent) -> PrefixCacheEvent {
     PrefixCacheEvent {
         runner: poll.name.clone(),
         incarnation,
@@ -51,7 +52,7 @@
 }
 
 impl Positions {
-    /// Number after which the events of an incarnation are to be read.
+    /// Returns the number after which the events of an incarnation are to be read.
     fn after(&self, runner: &Name, incarnation: u64) -> u64 {
         let by_runner = self.by_runner.lock();
         let by_runner = by_runner.unwrap_or_else(PoisonError::into_inner);
--- a/plugins/upstreams/src/capacity.rs
+++ b/plugins/upstreams/src/capacity.rs
@@ -1,19 +1,18 @@
-//! This instance's part of the bounds and of the organisations' limits.
+//! This instance's share of the pipelines' throughput bounds and of the organisations' limits.
 
 use jacinthweir_kernel::config::InForce;
 use jacinthweir_kernel::gate::Capacity;
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_policy::admission::{Demand, share_of};
 
-/// Time between tokens that a stream is planned for, in seconds: by Little's law, the bound times
-/// this is the number of streams that the runners can keep at that pace. From letter 1's target
-/// of 36 ms.
-const TOKEN_TIME_S: f64 = 0.036;
-/// The fewest requests in flight where there is any capacity.
+/// Target time between the tokens of a stream, in seconds. By Little's law, the throughput bound
+/// times this is the number of streams that the runners can sustain at that rate.
+const TARGET_TOKEN_INTERVAL_S: f64 = 0.036;
+/// Minimum limit of requests in flight for a pipeline with any capacity.
 const MIN_IN_FLIGHT: f64 = 2.0;
 
-/// Replans where something changed, and sets capacities and shares; returns whether every
-/// pipeline has runners.
+/// Replans if something changed, and sets capacities and shares; returns whether every pipeline
+/// has capacity.
 pub(crate) fn update(cx: &Kernel, config: &InForce) -> bool {
     let instances = u32::try_from(cx.live_instances().max(1)).unwrap_or(u32::MAX);
     let mut capacities = Vec::new();
@@ -32,8 +31,10 @@
     capacities.iter().all(|c| c.in_flight > 0)
 }
 
-/// Gives this instance its even share of each organisation's limit in flight. The shares then
-/// never add up to more than the limit and one request an instance, whatever is cut off.
+/// Sets this instance's even share of each organisation's limit of requests in flight.
+///
+/// Even under a network partition, the shares never add up to more than the limit plus one request
+/// per instance.
 fn share_limits(cx: &Kernel, config: &InForce, instances: u32) {
     for org in config.schema.orgs().values() {
         let demand = Demand {
@@ -48,7 +49,9 @@
 
 fn capacity(pipeline: &Name, tokens_per_s: f64) -> Capacity {
     let in_flight = if tokens_per_s > 0.0 {
-        (tokens_per_s * TOKEN_TIME_S).max(MIN_IN_FLIGHT).ceil() as u32
+        (tokens_per_s * TARGET_TOKEN_INTERVAL_S)
+            .max(MIN_IN_FLIGHT)
+            .ceil() as u32
     } else {
         0
     };
--- a/plugins/upstreams/src/feed.rs
+++ b/plugins/upstreams/src/feed.rs
@@ -1,4 +1,4 @@
-//! Feeds what changed into the route plan and admission.
+//! Passes changes of the configuration and of upstreams to the route plan and to admission.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,15 +11,14 @@
 
 use crate::capacity;
 
-/// Period of looking for changes, in milliseconds: adds to the time to notice that an upstream
-/// leaves.
-const PERIOD: Duration = Duration::from_millis(100);
+/// Period of checking for changes. It adds to the time to notice that an upstream leaves.
+const CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// Time that a joining instance gives its first plan, in milliseconds. Without any runner there
-/// will be none, and plain services are to be served all the same.
-const PLAN_GRACE_MS: Millis = 3_000;
+/// Longest time for which a joining instance waits for its first route plan before it is ready, in
+/// milliseconds. Without runners there is no plan, but services must still be served.
+const FIRST_PLAN_TIMEOUT_MS: Millis = 3_000;
 
-/// Feeds changes over and over.
+/// Checks for changes until the instance stops.
 pub(crate) async fn run(cx: Arc<Kernel>) {
     let mut revision = 0;
     loop {
@@ -27,20 +26,20 @@
         if let Some(config) = config.known() {
             if config.revision != revision {
                 revision = config.revision;
-                put_in_force(&cx, config);
+                apply_config(&cx, config);
             }
-            feed(&cx);
+            apply_changes(&cx);
             let planned = capacity::update(&cx, config);
             let in_force_ms = cx.clock.unix_ms().saturating_sub(config.since_unix_ms);
-            if planned || in_force_ms >= PLAN_GRACE_MS {
+            if planned || in_force_ms >= FIRST_PLAN_TIMEOUT_MS {
                 cx.set_ready();
             }
         }
-        tokio::time::sleep(PERIOD).await;
+        tokio::time::sleep(CHECK_PERIOD).await;
     }
 }
 
-fn put_in_force(cx: &Kernel, config: &InForce) {
+fn apply_config(cx: &Kernel, config: &InForce) {
     cx.router().set_models(&models(config));
     cx.upstreams().set_groups(groups(config));
 }
@@ -66,7 +65,7 @@
     groups.collect()
 }
 
-fn feed(cx: &Kernel) {
+fn apply_changes(cx: &Kernel) {
     let now = cx.clock.now();
     let upstreams = {
         let mut upstreams = cx.upstreams();
@@ -84,8 +83,8 @@
                 Some(CloseReason::Suspected)
             }
         };
-        if let Some(seen) = seen(now, &upstream) {
-            router.observe(now, &seen);
+        if let Some(report) = runner_report(now, &upstream) {
+            router.observe(now, &report);
         }
         if let Some(reason) = reason {
             router.close(now, &upstream.listed().name, reason);
@@ -93,8 +92,8 @@
     }
 }
 
-/// What is known of a runner; `None` before its first report, and for plain services.
-fn seen(now: Millis, upstream: &Upstream) -> Option<RunnerReport> {
+/// Returns the current report of a runner; `None` before its first report and for services.
+fn runner_report(now: Millis, upstream: &Upstream) -> Option<RunnerReport> {
     let profile = upstream.record.profile.as_ref()?;
     let listed = upstream.listed();
     let held = |h: &jacinthweir_wire::runner::HeldLayers| HeldRange {
--- a/plugins/upstreams/src/lib.rs
+++ b/plugins/upstreams/src/lib.rs
@@ -1,8 +1,8 @@
-//! The upstreams' plug-in: observes upstreams and keeps the route plan up to date.
+//! Upstreams plug-in: observes upstreams and keeps the route plan up to date.
 //!
-//! One loop reads the platform's list of instances, which lags; one polls the upstreams that this
-//! instance is an observer of; one feeds what changed, here or at a peer, into the route plan and
-//! admission. Decisions are all in [`jacinthweir_policy::upstreams`] and
+//! One loop reads the platform's instance list, which lags behind; one polls the upstreams that
+//! this instance observes; one passes changes, seen here or by a peer, to the route plan and to
+//! admission. All decisions are made in [`jacinthweir_policy::upstreams`] and
 //! [`jacinthweir_policy::route`].
 
 mod cache;
--- a/plugins/upstreams/src/list.rs
+++ b/plugins/upstreams/src/list.rs
@@ -1,28 +1,30 @@
-//! Reads the platform's list of instances.
+//! Polls the platform's instance list.
 
 use std::time::Duration;
 
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_wire::platform::{ENTRY_GROUP, ListedInstance};
 
-/// Reads the list over and over. The platform may be out for long: what was listed last stands,
-/// and upstreams that leave meanwhile say so themselves.
+/// Polls the list until the instance stops.
+///
+/// During an outage of the platform the last list remains valid; upstreams that leave meanwhile
+/// announce it themselves.
 pub(crate) async fn run(cx: Arc<Kernel>) {
     let period = Duration::from_millis(cx.settings.timing.list_poll_ms);
     loop {
         match cx.platform.instances().await {
-            Ok(list) => take(&cx, &list.instances),
+            Ok(list) => apply_list(&cx, &list.instances),
             Err(e) => {
                 metrics::counter!("jacinthweir_platform_errors_total", "call" => "instances")
                     .increment(1);
-                debug!("instance list: {e}");
+                debug!("instance list could not be read: {e}");
             }
         }
         tokio::time::sleep(period).await;
     }
 }
 
-fn take(cx: &Kernel, list: &[ListedInstance]) {
+fn apply_list(cx: &Kernel, list: &[ListedInstance]) {
     let now = cx.clock.reading();
     let entry = list.iter().filter(|l| *l.group == *ENTRY_GROUP);
     let entry: Vec<ListedInstance> = entry.cloned().collect();
--- a/plugins/upstreams/src/poll.rs
+++ b/plugins/upstreams/src/poll.rs
@@ -1,4 +1,4 @@
-//! Polls the upstreams that this instance is an observer of.
+//! Polls the upstreams that this instance observes.
 
 use std::time::Duration;
 
@@ -10,24 +10,24 @@
 
 use crate::cache;
 
-/// Polls in flight at once.
-const POLLS_AT_ONCE: usize = 16;
+/// Maximum number of concurrent polls.
+const MAX_CONCURRENT_POLLS: usize = 16;
 
-/// Polls over and over.
+/// Polls until the instance stops.
 pub(crate) async fn run(cx: Arc<Kernel>) {
     let period = Duration::from_millis(cx.settings.timing.load_poll_ms);
     loop {
-        let polls = due(&cx);
+        let polls = due_polls(&cx);
         let polls = futures::stream::iter(polls).map(|p| observe(&cx, p));
         polls
-            .buffer_unordered(POLLS_AT_ONCE)
+            .buffer_unordered(MAX_CONCURRENT_POLLS)
             .collect::<Vec<()>>()
             .await;
         tokio::time::sleep(period).await;
     }
 }
 
-fn due(cx: &Kernel) -> Vec<Poll> {
+fn due_polls(cx: &Kernel) -> Vec<Poll> {
     let live: Vec<_> = cx.membership().live().cloned().collect();
     let mut upstreams = cx.upstreams();
     upstreams.set_live(live.iter());
@@ -35,7 +35,7 @@
 }
 
 async fn observe(cx: &Arc<Kernel>, poll: Poll) {
-    let outcome = attempt(cx, &poll).await;
+    let outcome = poll_once(cx, &poll).await;
     if let PollOutcome::Report(report) = &outcome {
         cache::read(cx, &poll, report.incarnation).await;
     }
@@ -44,33 +44,33 @@
     confirm_all(cx, confirms);
 }
 
-async fn attempt(cx: &Kernel, poll: &Poll) -> PollOutcome {
+async fn poll_once(cx: &Kernel, poll: &Poll) -> PollOutcome {
     match poll.kind {
         PollKind::Load => match cx.runners.load(poll.address).await {
             Ok(report) => PollOutcome::Report(report),
-            Err(e) => failed(&poll.name, &e.to_string()),
+            Err(e) => poll_failed(&poll.name, &e.to_string()),
         },
         PollKind::Connect => match connect(cx, poll).await {
             Ok(()) => PollOutcome::Connected,
-            Err(e) => failed(&poll.name, &e.to_string()),
+            Err(e) => poll_failed(&poll.name, &e.to_string()),
         },
     }
 }
 
 async fn connect(cx: &Kernel, poll: &Poll) -> std::io::Result<()> {
-    let limit = Duration::from_millis(cx.settings.timing.upstream_timeout_ms);
+    let timeout = Duration::from_millis(cx.settings.timing.upstream_timeout_ms);
     let connect = tokio::net::TcpStream::connect(poll.address);
-    tokio::time::timeout(limit, connect).await??;
+    tokio::time::timeout(timeout, connect).await??;
     Ok(())
 }
 
-fn failed(name: &Name, cause: &str) -> PollOutcome {
-    debug!("poll of {name}: {cause}");
+fn poll_failed(name: &Name, cause: &str) -> PollOutcome {
+    debug!("poll of {name} failed: {cause}");
     metrics::counter!("jacinthweir_polls_failed_total").increment(1);
     PollOutcome::Failed
 }
 
-/// Asks other observers to reach upstreams, each in a task of its own.
+/// Asks other observers to confirm failed polls, each in a new task.
 pub(crate) fn confirm_all(cx: &Arc<Kernel>, confirms: Vec<Confirm>) {
     for confirm in confirms {
         let cx = Arc::clone(cx);
