--- a/plugins/callers/src/driver.rs
+++ b/plugins/callers/src/driver.rs
@@ -18,7 +18,7 @@
 use crate::accept::Accepted;
 use crate::answer::AnswerHead;
 use crate::attempt::AttemptEnd;
-use crate::pace::{AwaitedToken, RetryStates};
+use crate::retry_state::{AwaitedToken, RetryStates};
 
 /// Tokens buffered for a slow caller before backpressure reaches the upstream.
 const ANSWER_CHANNEL_CAPACITY: usize = 64;
--- a/plugins/callers/src/handler.rs
+++ b/plugins/callers/src/handler.rs
@@ -11,8 +11,8 @@
 use crate::accept::accept;
 use crate::answer::{AnswerHead, DONE};
 use crate::driver::{AnswerPart, Driver};
-use crate::pace::RetryStates;
 use crate::prompt::Endpoint;
+use crate::retry_state::RetryStates;
 
 /// Returns the routes on the callers' listener.
 pub(crate) fn routes(cx: &Arc<Kernel>) -> Vec<Router> {
--- a/plugins/callers/src/lib.rs
+++ b/plugins/callers/src/lib.rs
@@ -11,8 +11,8 @@
 mod attempt;
 mod driver;
 mod handler;
-mod pace;
 mod prompt;
+mod retry_state;
 
 use jacinthweir_kernel::plugin;
 use jacinthweir_kernel::prelude::*;
@@ -36,6 +36,6 @@
 fn dump(cx: &Kernel) -> serde_json::Value {
     serde_json::json!({
         "requests": cx.records.counts(),
-        "pipelines": pace::RetryStates::of(cx).rows(),
+        "pipelines": retry_state::RetryStates::of(cx).rows(),
     })
 }
