--- a/plugins/services/src/driver.rs
+++ b/plugins/services/src/driver.rs
@@ -12,7 +12,7 @@
 use crate::accept::Accepted;
 use crate::answer::{CallFailure, CallResult, ServiceReply};
 use crate::dispatch::DispatchResult;
-use crate::shared::{CallLimits, CallPermit};
+use crate::limits::{CallLimits, CallPermit};
 
 /// Largest clock difference between two instances at which deleting an expired claim is safe, in
 /// milliseconds.
--- a/plugins/services/src/handler.rs
+++ b/plugins/services/src/handler.rs
@@ -6,7 +6,7 @@
 use crate::accept::accept;
 use crate::answer::CallResult;
 use crate::driver::Driver;
-use crate::shared::CallLimits;
+use crate::limits::CallLimits;
 
 /// Returns the routes on the callers' listener.
 pub(crate) fn routes(cx: &Arc<Kernel>) -> Vec<Router> {
--- a/plugins/services/src/lib.rs
+++ b/plugins/services/src/lib.rs
@@ -16,7 +16,7 @@
 mod dispatch;
 mod driver;
 mod handler;
-mod shared;
+mod limits;
 mod sweep;
 
 use jacinthweir_kernel::prelude::*;
