--- a/plugins/schema/src/apply.rs
+++ b/plugins/schema/src/apply.rs
@@ -14,7 +14,7 @@
 
 use crate::commit::{self, CommitOutcome};
 use crate::head::{self, StoredHead};
-use crate::long::SchemaWorker;
+use crate::worker::SchemaWorker;
 
 /// Longest time an apply waits for the stored head to be in force here, to diff against it.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(3);
--- a/plugins/schema/src/drive.rs
+++ b/plugins/schema/src/drive.rs
@@ -5,7 +5,7 @@
 use jacinthweir_policy::config::converge::{Action, Alarm, Applied, Convergence, Event};
 use jacinthweir_policy::member::Phase;
 
-use crate::long::SchemaWorker;
+use crate::worker::SchemaWorker;
 use crate::{fetch, republish};
 
 /// Handles an event.
--- a/plugins/schema/src/lib.rs
+++ b/plugins/schema/src/lib.rs
@@ -6,17 +6,17 @@
 //! changes.
 
 mod apply;
-mod clean;
 mod commit;
 mod drive;
 mod fetch;
+mod garbage_collection;
 mod head;
 mod keys;
-mod long;
 mod operators;
 mod peers;
 mod republish;
 mod status;
+mod worker;
 
 use jacinthweir_kernel::prelude::*;
 use linkme::distributed_slice;
@@ -32,7 +32,7 @@
 fn spawn(cx: &Arc<Kernel>) -> Result<(), KernelError> {
     cx.spawn(head::run(Arc::clone(cx)));
     cx.spawn(peers::run(Arc::clone(cx)));
-    cx.spawn(clean::run(Arc::clone(cx)));
+    cx.spawn(garbage_collection::run(Arc::clone(cx)));
     Ok(())
 }
 
