--- a/plugins/schema/tests/schema.rs
+++ b/plugins/schema/tests/schema.rs
@@ -5,9 +5,9 @@
 mod apply;
 #[path = "schema/bad_input.rs"]
 mod bad_input;
-#[path = "schema/race.rs"]
-mod race;
-#[path = "schema/rig.rs"]
-mod rig;
-#[path = "schema/spread.rs"]
-mod spread;
+#[path = "schema/cluster.rs"]
+mod cluster;
+#[path = "schema/concurrent_applies.rs"]
+mod concurrent_applies;
+#[path = "schema/propagation.rs"]
+mod propagation;
--- a/plugins/schema/tests/schema/apply.rs
+++ b/plugins/schema/tests/schema/apply.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::rig::{HEAD, TIMEOUT, schema, start_cluster};
+use crate::cluster::{HEAD, TIMEOUT, schema, start_cluster};
 use googletest::prelude::*;
 use jacinthweir_clients::platform::Platform as _;
 use jacinthweir_testkit::platform::fault::Fault;
--- a/plugins/schema/tests/schema/bad_input.rs
+++ b/plugins/schema/tests/schema/bad_input.rs
@@ -5,7 +5,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::rig::{TOKEN, start_cluster};
+use crate::cluster::{TOKEN, start_cluster};
 
 struct Case {
     method: Method,
--- a/plugins/schema/tests/schema/race.rs
+++ b/plugins/schema/tests/schema/concurrent_applies.rs
@@ -7,7 +7,7 @@
 use jacinthweir_wire::operator::ApplyRefused;
 use jacinthweir_wire::peer::Head;
 
-use crate::rig::{Cluster, start_cluster};
+use crate::cluster::{Cluster, start_cluster};
 
 const OPERATORS: u64 = 4;
 const APPLIES: u64 = 10;
--- a/plugins/schema/tests/schema/spread.rs
+++ b/plugins/schema/tests/schema/propagation.rs
@@ -1,7 +1,7 @@
 //! Propagation of a configuration to instances cut off from the platform, and the behaviour of an
 //! instance whose revision nothing confirms.
 
-use crate::rig::{free_address, start_cluster};
+use crate::cluster::{free_address, start_cluster};
 use googletest::prelude::*;
 use jacinthweir_testkit::platform::fault::Fault;
 use jacinthweir_wire::operator::ApplyRefused;
@@ -63,7 +63,7 @@
     let cluster = start_cluster(2).await;
     cluster.apply(0, 0, "c1", 1).await.unwrap();
     cluster.wait_for_revision(1).await;
-    let parts_only = crate::rig::parts(2);
+    let parts_only = crate::cluster::parts(2);
     cluster.write_parts(&parts_only).await;
     cluster.instances[0].kill();
     expect_that!(cluster.revision(1), eq(1));
