--- a/plugins/schema/src/lib.rs
+++ b/plugins/schema/src/lib.rs
@@ -1,21 +1,22 @@
-//! The schema's plug-in: keeps the newest configuration in force and takes operators' changes.
+//! Schema plug-in: keeps the newest configuration in force and applies operators' changes.
 //!
-//! The decisions are [`jacinthweir_policy::config`]'s. The tasks here read the head from the
-//! platform ([`head`]), hear of newer ones from peers ([`peers`]), fetch parts ([`fetch`]) and
-//! feed all of it to the convergence, whose actions [`drive`] carries out. [`apply`] commits.
+//! The decisions are made by [`jacinthweir_policy::config`]. The tasks here read the head from the
+//! platform ([`head`]), learn of newer heads from peers ([`peers`]) and fetch parts ([`fetch`]).
+//! They pass events to the convergence, whose actions [`drive`] executes. [`apply`] commits
+//! changes.
 
 mod apply;
-mod clean;
 mod commit;
 mod drive;
 mod fetch;
+mod garbage_collection;
 mod head;
 mod keys;
-mod long;
 mod operators;
 mod peers;
 mod republish;
 mod status;
+mod worker;
 
 use jacinthweir_kernel::prelude::*;
 use linkme::distributed_slice;
@@ -31,7 +32,7 @@
 fn spawn(cx: &Arc<Kernel>) -> Result<(), KernelError> {
     cx.spawn(head::run(Arc::clone(cx)));
     cx.spawn(peers::run(Arc::clone(cx)));
-    cx.spawn(clean::run(Arc::clone(cx)));
+    cx.spawn(garbage_collection::run(Arc::clone(cx)));
     Ok(())
 }
 
--- a/plugins/schema/tests/schema.rs
+++ b/plugins/schema/tests/schema.rs
@@ -1,12 +1,13 @@
-//! The schema's plug-in: applying on several instances, and how a configuration spreads.
+//! Tests of the schema plug-in: applying changes at several instances, and how a configuration
+//! propagates.
 
 #[path = "schema/apply.rs"]
 mod apply;
 #[path = "schema/bad_input.rs"]
 mod bad_input;
-#[path = "schema/race.rs"]
-mod race;
-#[path = "schema/rig.rs"]
-mod rig;
-#[path = "schema/spread.rs"]
-mod spread;
+#[path = "schema/cluster.rs"]
+mod cluster;
+#[path = "schema/concurrent_applies.rs"]
+mod concurrent_applies;
+#[path = "schema/propagation.rs"]
+mod propagation;
