--- a/plugins/relay/src/chain_attempts.rs
+++ b/plugins/relay/src/chain_attempts.rs
@@ -107,11 +107,12 @@
     let passage = Passage::open(node, Rc::clone(live), admission::tokens(rq));
     let head = live.chain.head();
     let mut req = rq.runner_request(node, &head.id);
-    if let Some(value) = header::value(&header::chain(&live.chain)) {
+    if let Some(value) = header::value(&header::encode_chain(&live.chain)) {
         req.headers_mut().insert(header::CHAIN, value);
     }
     if let Some(after) = after {
-        req.headers_mut().insert(header::LAST_EVENT, after.into());
+        req.headers_mut()
+            .insert(header::LAST_EVENT_ID, after.into());
     }
     log_sent(node, rq, live);
     let left = Duration::from_millis(rq.remaining_ms(node));
