--- a/plugins/relay/src/admit.rs
+++ b/plugins/relay/src/admit.rs
@@ -66,7 +66,7 @@
     let place = Place::open(node, rank(rq), tokens);
     let mut first_look = true;
     loop {
-        let notified = node.room.notified();
+        let notified = node.room_freed.notified();
         if place.is_first()
             && let Some(live) = node.choose_chain(rq, chain_selection::MAX_FILL, &may_take)
         {
@@ -130,13 +130,13 @@
             .sum();
         let now = self.node.now();
         let left = until.saturating_sub(now);
-        ahead > self.node.flow.borrow().expected_release(now, left)
+        ahead > self.node.release_rate.borrow().expected_release(now, left)
     }
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
         self.node.queue.borrow_mut().remove(&self.key);
-        self.node.room.notify_waiters();
+        self.node.room_freed.notify_waiters();
     }
 }
--- a/plugins/relay/src/call.rs
+++ b/plugins/relay/src/call.rs
@@ -76,7 +76,7 @@
         let Some(runner) = next_runner(node, &rq, &tried) else {
             break;
         };
-        if journal.sends > 0 && !node.take_repeat(&rq.service, journal.need()) {
+        if journal.sends > 0 && !node.take_retry(&rq.service, journal.need()) {
             break;
         }
         tried.push(runner.id.clone());
@@ -111,7 +111,7 @@
             res
         }
         _ => {
-            let spread_ms = (node.draw() * COME_BACK_SPREAD_MS) as Millis;
+            let spread_ms = (node.random_f64() * COME_BACK_SPREAD_MS) as Millis;
             rq.not_answered(node, journal, cause, COME_BACK_MS + spread_ms)
         }
     }
@@ -121,7 +121,7 @@
     let now = node.now();
     let runners = node.runners.borrow();
     let domain = &node.settings.failure_domain;
-    let ranked = runners.service_candidates(&rq.service, domain, now, || node.draw_u32());
+    let ranked = runners.service_candidates(&rq.service, domain, now, || node.random_u32());
     let mut untried = ranked.into_iter().filter(|e| !tried.contains(&e.id));
     untried.find(|e| limits::allows(node, e)).cloned()
 }
--- a/plugins/relay/src/dump.rs
+++ b/plugins/relay/src/dump.rs
@@ -18,7 +18,7 @@
         ready: node.is_ready(),
         draining: node.draining.get(),
         version: node.intent().map(|i| i.version),
-        confirmed_ms_ago: node.vouch.borrow().age_ms(now),
+        confirmed_ms_ago: node.config_confirmation.borrow().age_ms(now),
         gives_orders: node.lease.borrow().held(now),
         orders_pending: node.loading.borrow().len(),
         chains: chains.all().map(|l| chain(node, l)).collect(),
--- a/plugins/relay/src/limits.rs
+++ b/plugins/relay/src/limits.rs
@@ -11,13 +11,13 @@
 /// A runner's answer named a rate, or none.
 pub(crate) fn said(node: &Node, runner: &RunnerEntry, rate: Option<f64>) {
     let now = node.now();
-    let mut limits = node.limits.borrow_mut();
+    let mut limits = node.rate_limits.borrow_mut();
     if rate.is_none() && limits.is_idle() {
         return;
     }
     if limits.record_answer(&lifetime(runner), rate, now) {
         log::info!(runner = runner.id.as_ref(), rate:? = rate; "runner names a limit");
-        node.news.notify_one();
+        node.gossip_due.notify_one();
         drop(limits);
         mark_limited(node);
     }
@@ -26,7 +26,7 @@
 /// Takes in what runners said to another instance.
 pub(crate) fn hear(node: &Node, statements: &[RateReport]) {
     let now = node.now();
-    let mut limits = node.limits.borrow_mut();
+    let mut limits = node.rate_limits.borrow_mut();
     if limits.is_idle() && statements.is_empty() {
         return;
     }
@@ -35,7 +35,7 @@
         if limits.merge(s, now) {
             let runner = s.lifetime.runner.as_ref();
             log::info!(runner, rate:? = s.rate, age_ms = s.age_ms; "runner named a limit elsewhere");
-            node.news.notify_one();
+            node.gossip_due.notify_one();
         }
     }
     drop(limits);
@@ -47,7 +47,7 @@
     let now = node.now();
     let mut changed = false;
     {
-        let limits = node.limits.borrow();
+        let limits = node.rate_limits.borrow();
         let mut runners = node.runners.borrow_mut();
         let entries = runners.entries().map(lifetime);
         let limited: Vec<(Lifetime, bool)> = entries
@@ -71,7 +71,7 @@
 pub(crate) fn allows(node: &Node, runner: &RunnerEntry) -> bool {
     let lifetime = lifetime(runner);
     let now = node.now();
-    let limits = node.limits.borrow();
+    let limits = node.rate_limits.borrow();
     if limits.is_idle() || !limits.is_limited(&lifetime, now) {
         return true;
     }
@@ -87,7 +87,7 @@
 pub(crate) fn sent(node: &Node, runner: &RunnerEntry) {
     let lifetime = lifetime(runner);
     let now = node.now();
-    let mut limits = node.limits.borrow_mut();
+    let mut limits = node.rate_limits.borrow_mut();
     if limits.is_limited(&lifetime, now) {
         let live = live(node);
         limits.record_sent(&lifetime, fleet(node, &live), now);
@@ -103,6 +103,6 @@
     Fleet {
         own: &node.settings.name,
         live,
-        most: node.most_instances(),
+        most: node.peak_instances(),
     }
 }
--- a/plugins/relay/src/live.rs
+++ b/plugins/relay/src/live.rs
@@ -206,7 +206,7 @@
         drop(chains);
         drop(runners);
         quarantine::settle(self);
-        self.room.notify_waiters();
+        self.room_freed.notify_waiters();
     }
 
     /// Whether a chain's first runner still lives, as far as is known.
@@ -261,9 +261,9 @@
                 gap_share: l.gaps.borrow().expected_ms(now) / rq.pause_ms.max(1) as f64,
             });
         }
-        let deciders = self.instances();
+        let deciders = self.live_instances();
         let chosen =
-            chain_selection::select_sampled(&rooms, tokens, fill, deciders, || self.draw());
+            chain_selection::select_sampled(&rooms, tokens, fill, deciders, || self.random_f64());
         chosen.map(|i| Rc::clone(&live[i]))
     }
 }
@@ -302,9 +302,9 @@
         live.silence.borrow_mut().request_sent(node.now());
         if live
             .due_ms()
-            .is_some_and(|due| due < node.next_look_ms.get())
+            .is_some_and(|due| due < node.next_silence_check_ms.get())
         {
-            node.look.notify_one();
+            node.check_silence.notify_one();
         }
         Passage {
             node: Rc::clone(node),
@@ -354,11 +354,11 @@
         self.has_read();
         let now = self.node.now();
         self.node
-            .flow
+            .release_rate
             .borrow_mut()
             .record_released(now, self.tokens);
         self.live.used.set(self.live.used.get() - self.tokens);
         self.live.silence.borrow_mut().request_ended();
-        self.node.room.notify_waiters();
+        self.node.room_freed.notify_waiters();
     }
 }
--- a/plugins/relay/src/news.rs
+++ b/plugins/relay/src/news.rs
@@ -50,7 +50,7 @@
 impl Seen {
     /// What this instance has seen.
     pub(crate) fn of(node: &Node) -> Seen {
-        let leaving = node.leaving.borrow();
+        let leaving = node.draining_runners.borrow();
         let leaving = leaving
             .iter()
             .map(|(id, born_ms, _)| (id.clone(), *born_ms));
@@ -69,7 +69,7 @@
         for (id, born_ms) in &self.leaving {
             if node.runners.borrow_mut().mark_draining(id, *born_ms) {
                 log::info!(runner = id.as_ref(), born_ms; "another instance heard that the runner leaves");
-                node.note_leaving(id, *born_ms);
+                node.note_draining(id, *born_ms);
                 changed = true;
             }
         }
@@ -120,7 +120,7 @@
 
 async fn run(node: &Rc<Node>) {
     loop {
-        node.news.notified().await;
+        node.gossip_due.notified().await;
         let message = Rc::new(Message::News(own(node)));
         for address in listeners(node) {
             let message = Rc::clone(&message);
@@ -166,10 +166,10 @@
     News {
         domain: node.settings.failure_domain.clone(),
         seen: Seen::of(node),
-        dead: node.words.borrow().updated_since(since).collect(),
+        dead: node.failure_reports.borrow().updated_since(since).collect(),
         alive,
         paces,
-        limits: node.limits.borrow().recent_reports(NEW_MS, true, now),
+        limits: node.rate_limits.borrow().recent_reports(NEW_MS, true, now),
         cases: node
             .quarantine
             .borrow()
@@ -192,7 +192,7 @@
         changed |= take_pace(node, pace);
     }
     if changed {
-        node.news.notify_one();
+        node.gossip_due.notify_one();
         node.rebuild_chains();
     }
 }
--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -39,7 +39,7 @@
 
 /// Time that a call to the store may take, in milliseconds. It answers in a few; when it is slow it
 /// takes some hundred.
-const STORE_TIME: Duration = Duration::from_millis(1_200);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Time between two rounds of exchanges, in milliseconds: loads of the others are known with this
 /// lag, and a lost instance is left out of entry answers after a few rounds.
@@ -49,7 +49,7 @@
 const FANOUT: usize = 2;
 
 /// Instances of a failure domain that exchange with other domains in one round.
-const OUTWARD: usize = 8;
+const CROSS_DOMAIN_SENDERS: usize = 8;
 
 /// How long a lease on giving orders lasts without renewal, in milliseconds: three renewals, and
 /// short against the time that a hole in a chain costs.
@@ -57,7 +57,7 @@
 
 /// How long an instance tells the others of a runner that leaves, in milliseconds: longer than any
 /// of their watches of the runners may have been silent when the others still heard one another.
-const LEAVING_KEPT_MS: Millis = 10_000;
+const DRAINING_RETENTION_MS: Millis = 10_000;
 
 /// State of one process.
 pub struct Node {
@@ -72,57 +72,57 @@
     pub(crate) intent: RefCell<Option<Rc<Intent>>>,
     /// Revision of the object that the configuration in force was read from.
     pub(crate) configuration_revision: Cell<Option<Revision>>,
-    pub(crate) vouch: RefCell<ConfigConfirmation>,
+    pub(crate) config_confirmation: RefCell<ConfigConfirmation>,
     pub(crate) runners: RefCell<Runners>,
     /// Whether the store answered the last call that ended.
-    pub(crate) hears_store: Cell<bool>,
+    pub(crate) reaches_store: Cell<bool>,
     /// Era of the store that this instance acts in.
     pub(crate) era: Cell<Option<u64>>,
     /// The store came back from an older copy.
-    pub(crate) restored: Notify,
+    pub(crate) store_restored: Notify,
     /// Newest revision of a runner's entry that was seen.
     pub(crate) runners_revision: Cell<Revision>,
     /// Revision of the store up to which all changes of runners' entries are known.
     pub(crate) runners_as_of: Cell<Revision>,
     /// What others say of dead runners.
-    pub(crate) words: RefCell<FailureReports>,
+    pub(crate) failure_reports: RefCell<FailureReports>,
     /// Rates that runners name.
-    pub(crate) limits: RefCell<RunnerRateLimits>,
+    pub(crate) rate_limits: RefCell<RunnerRateLimits>,
     /// Requests under which runners ended.
     pub(crate) quarantine: RefCell<Quarantine>,
     /// Requests that are held no more and that the store still has.
-    pub(crate) forgotten: RefCell<Vec<Fingerprint>>,
+    pub(crate) expired_quarantines: RefCell<Vec<Fingerprint>>,
     /// Lifetimes of runners that are asked beside witnesses.
-    pub(crate) examined: RefCell<BTreeSet<(Name, u64)>>,
+    pub(crate) probed_suspects: RefCell<BTreeSet<(Name, u64)>>,
     /// Runners that were heard to leave, by identity and lifetime, and when.
-    pub(crate) leaving: RefCell<Vec<(Name, u64, Millis)>>,
+    pub(crate) draining_runners: RefCell<Vec<(Name, u64, Millis)>>,
     /// Something changed that all other instances should hear at once.
-    pub(crate) news: Notify,
+    pub(crate) gossip_due: Notify,
     /// What others know of the configuration, by version, and of the runners' entries.
-    pub(crate) behind_configuration: RefCell<PeerProgress<u64>>,
+    pub(crate) peer_versions: RefCell<PeerProgress<u64>>,
     pub(crate) outdated: Cell<Outdated>,
-    pub(crate) behind_runners: RefCell<PeerProgress<Revision>>,
+    pub(crate) peer_revisions: RefCell<PeerProgress<Revision>>,
     /// Another instance knows more than this one.
-    pub(crate) overtaken: Notify,
+    pub(crate) peer_ahead: Notify,
     /// Whether the runners have been listed since the start.
-    pub(crate) listed: Cell<bool>,
+    pub(crate) runners_listed: Cell<bool>,
     pub(crate) chains: RefCell<Chains>,
     pub(crate) membership: RefCell<Membership>,
     pub(crate) loads: RefCell<LoadTable>,
     pub(crate) lease: RefCell<Lease>,
     pub(crate) loading: RefCell<Loading>,
-    pub(crate) spending: RefCell<BTreeMap<Name, SharedRetryBudget>>,
+    pub(crate) retry_budgets: RefCell<BTreeMap<Name, SharedRetryBudget>>,
     /// Tokens of the requests that wait for room, in the order in which they get it.
     pub(crate) queue: RefCell<BTreeMap<(u32, u64), f64>>,
     /// How fast room comes free.
-    pub(crate) flow: RefCell<ReleaseRate>,
+    pub(crate) release_rate: RefCell<ReleaseRate>,
     pub(crate) shortage: RefCell<Shortage>,
     /// Room came free, or chains changed.
-    pub(crate) room: Notify,
+    pub(crate) room_freed: Notify,
     /// When silent chains are looked for next, in milliseconds.
-    pub(crate) next_look_ms: Cell<Millis>,
+    pub(crate) next_silence_check_ms: Cell<Millis>,
     /// They are to be looked for before that.
-    pub(crate) look: Notify,
+    pub(crate) check_silence: Notify,
     /// Requests of callers from their head to the last byte of their answer.
     pub(crate) active: Rc<Cell<usize>>,
     pub(crate) draining: Cell<bool>,
@@ -144,7 +144,7 @@
         let cfg = MembershipConfig {
             round_ms: ROUND_MS,
             fanout: FANOUT,
-            cross_domain_senders: OUTWARD,
+            cross_domain_senders: CROSS_DOMAIN_SENDERS,
             ..MembershipConfig::default()
         };
         let now = Now {
@@ -156,28 +156,30 @@
             incarnation,
             stop: CancellationToken::new(),
             stats: Stats::open().map_err(RelayError::SetUp)?,
-            store: Store::open(settings.store, STORE_TIME),
+            store: Store::open(settings.store, STORE_TIMEOUT),
             intent: RefCell::default(),
             configuration_revision: Cell::default(),
-            vouch: RefCell::new(ConfigConfirmation::new(settings.bounds.revocation_ms)),
+            config_confirmation: RefCell::new(ConfigConfirmation::new(
+                settings.bounds.revocation_ms,
+            )),
             runners: RefCell::default(),
-            hears_store: Cell::new(false),
+            reaches_store: Cell::new(false),
             era: Cell::default(),
-            restored: Notify::new(),
+            store_restored: Notify::new(),
             runners_revision: Cell::default(),
             runners_as_of: Cell::default(),
-            words: RefCell::default(),
-            limits: RefCell::default(),
+            failure_reports: RefCell::default(),
+            rate_limits: RefCell::default(),
             quarantine: RefCell::default(),
-            forgotten: RefCell::default(),
-            examined: RefCell::default(),
-            leaving: RefCell::default(),
-            news: Notify::new(),
-            behind_configuration: RefCell::default(),
+            expired_quarantines: RefCell::default(),
+            probed_suspects: RefCell::default(),
+            draining_runners: RefCell::default(),
+            gossip_due: Notify::new(),
+            peer_versions: RefCell::default(),
             outdated: Cell::default(),
-            behind_runners: RefCell::default(),
-            overtaken: Notify::new(),
-            listed: Cell::new(false),
+            peer_revisions: RefCell::default(),
+            peer_ahead: Notify::new(),
+            runners_listed: Cell::new(false),
             chains: RefCell::default(),
             membership: RefCell::new(membership),
             loads: RefCell::new(LoadTable::new(
@@ -186,13 +188,13 @@
             )),
             lease: RefCell::new(Lease::new(settings.name.clone(), LEASE_MS)),
             loading: RefCell::default(),
-            spending: RefCell::default(),
+            retry_budgets: RefCell::default(),
             queue: RefCell::default(),
-            flow: RefCell::default(),
+            release_rate: RefCell::default(),
             shortage: RefCell::default(),
-            room: Notify::new(),
-            next_look_ms: Cell::new(0),
-            look: Notify::new(),
+            room_freed: Notify::new(),
+            next_silence_check_ms: Cell::new(0),
+            check_silence: Notify::new(),
             active: Rc::default(),
             draining: Cell::new(false),
             sequence: Cell::new(0),
@@ -222,12 +224,12 @@
     }
 
     /// A random number from 0 to 1.
-    pub(crate) fn draw(&self) -> f64 {
+    pub(crate) fn random_f64(&self) -> f64 {
         self.rng.borrow_mut().random()
     }
 
     /// A random whole number.
-    pub(crate) fn draw_u32(&self) -> u32 {
+    pub(crate) fn random_u32(&self) -> u32 {
         self.rng.borrow_mut().random()
     }
 
@@ -256,7 +258,7 @@
     }
 
     /// Takes in a configuration that was read.
-    pub(crate) fn offer(&self, offered: Intent) {
+    pub(crate) fn apply_configuration(&self, offered: Intent) {
         let in_force = self.intent.borrow().as_ref().map(|i| i.version);
         match intent::compare_versions(in_force, offered.version) {
             VersionOrder::Newer => {
@@ -270,7 +272,7 @@
                 let mut outdated = self.outdated.get();
                 outdated.in_force(version, self.now());
                 self.outdated.set(outdated);
-                self.news.notify_one();
+                self.gossip_due.notify_one();
                 self.rebuild_chains();
             }
             VersionOrder::Same => {}
@@ -283,56 +285,56 @@
     /// Whether keyed requests may be sent on.
     pub(crate) fn may_serve(&self) -> bool {
         let now = self.now();
-        let is_confirmed = self.vouch.borrow().may_serve(now);
+        let is_confirmed = self.config_confirmation.borrow().may_serve(now);
         self.intent.borrow().is_some() && is_confirmed && !self.outdated.get().is_outdated(now)
     }
 
     /// Whether callers may be sent here.
     pub(crate) fn is_ready(&self) -> bool {
-        !self.draining.get() && self.listed.get() && self.may_serve()
+        !self.draining.get() && self.runners_listed.get() && self.may_serve()
     }
 
     /// Whether the common budget has a further send for a service.
-    pub(crate) fn has_repeat(&self, service: &Name, need: RetryPriority) -> bool {
-        let cfg = self.spending_config();
-        let instances = self.most_instances();
-        let mut spending = self.spending.borrow_mut();
-        let of_service = spending.entry(service.clone()).or_default();
-        of_service.has_retry(self.now(), &cfg, instances, need)
+    pub(crate) fn has_retry(&self, service: &Name, need: RetryPriority) -> bool {
+        let cfg = self.retry_budget_config();
+        let instances = self.peak_instances();
+        let mut budgets = self.retry_budgets.borrow_mut();
+        let budget = budgets.entry(service.clone()).or_default();
+        budget.has_retry(self.now(), &cfg, instances, need)
     }
 
     /// Takes one further send for a service out of the common budget.
-    pub(crate) fn take_repeat(&self, service: &Name, need: RetryPriority) -> bool {
-        let cfg = self.spending_config();
-        let instances = self.most_instances();
+    pub(crate) fn take_retry(&self, service: &Name, need: RetryPriority) -> bool {
+        let cfg = self.retry_budget_config();
+        let instances = self.peak_instances();
         let now = self.now();
-        let mut spending = self.spending.borrow_mut();
-        let of_service = spending.entry(service.clone()).or_default();
-        let taken = of_service.take_retry(now, &cfg, instances, need);
+        let mut budgets = self.retry_budgets.borrow_mut();
+        let budget = budgets.entry(service.clone()).or_default();
+        let taken = budget.take_retry(now, &cfg, instances, need);
         let outcome = if taken { "taken" } else { "refused" };
         metrics::counter!("jacinthweir_repeats_total", "outcome" => outcome).increment(1);
         taken
     }
 
     /// Instances that serve, this one included.
-    pub(crate) fn instances(&self) -> usize {
+    pub(crate) fn live_instances(&self) -> usize {
         self.membership.borrow().live().count().max(1)
     }
 
     /// A runner was heard to leave.
-    pub(crate) fn note_leaving(&self, id: &Name, born_ms: u64) {
+    pub(crate) fn note_draining(&self, id: &Name, born_ms: u64) {
         let now = self.now();
-        let mut leaving = self.leaving.borrow_mut();
-        leaving.retain(|(_, _, at)| now < at + LEAVING_KEPT_MS);
-        if !leaving.iter().any(|(i, b, _)| (i, *b) == (id, born_ms)) {
-            leaving.push((id.clone(), born_ms, now));
-            self.news.notify_one();
+        let mut draining = self.draining_runners.borrow_mut();
+        draining.retain(|(_, _, at)| now < at + DRAINING_RETENTION_MS);
+        if !draining.iter().any(|(i, b, _)| (i, *b) == (id, born_ms)) {
+            draining.push((id.clone(), born_ms, now));
+            self.gossip_due.notify_one();
         }
     }
 
     /// The most instances that were seen to serve at the same time. Those that are out of sight
     /// go on spending.
-    pub(crate) fn most_instances(&self) -> usize {
+    pub(crate) fn peak_instances(&self) -> usize {
         let live = self.membership.borrow().live().count();
         let most = self.instances_seen.get().max(live);
         self.instances_seen.set(most);
@@ -341,37 +343,37 @@
 
     /// Counts a request towards the budget of its service.
     pub(crate) fn count_request(&self, service: &Name) {
-        let cfg = self.spending_config();
+        let cfg = self.retry_budget_config();
         let now = self.now();
-        let mut spending = self.spending.borrow_mut();
-        spending
+        let mut budgets = self.retry_budgets.borrow_mut();
+        budgets
             .entry(service.clone())
             .or_default()
             .record_request(now, &cfg);
     }
 
     /// Requests and further sends of this instance in the budget's window, by service.
-    pub(crate) fn spent(&self) -> Vec<(Name, RetryCounts)> {
-        let cfg = self.spending_config();
+    pub(crate) fn retry_counts(&self) -> Vec<(Name, RetryCounts)> {
+        let cfg = self.retry_budget_config();
         let now = self.now();
-        let mut spending = self.spending.borrow_mut();
-        let all = spending.iter_mut();
+        let mut budgets = self.retry_budgets.borrow_mut();
+        let all = budgets.iter_mut();
         all.map(|(service, s)| (service.clone(), s.counts(now, &cfg)))
             .collect()
     }
 
     /// An exchange brought the other instances' loads: what they have left may be used here.
-    pub(crate) fn lend(&self) {
-        let cfg = self.spending_config();
+    pub(crate) fn update_retry_loans(&self) {
+        let cfg = self.retry_budget_config();
         let now = self.now();
-        let instances = self.most_instances();
+        let instances = self.peak_instances();
         let loads = self.loads.borrow();
-        for (service, spending) in self.spending.borrow_mut().iter_mut() {
-            spending.update_loan(now, &cfg, loads.retry_counts(service), instances);
+        for (service, budget) in self.retry_budgets.borrow_mut().iter_mut() {
+            budget.update_loan(now, &cfg, loads.retry_counts(service), instances);
         }
     }
 
-    fn spending_config(&self) -> SharedRetryBudgetConfig {
+    fn retry_budget_config(&self) -> SharedRetryBudgetConfig {
         let b = &self.settings.bounds;
         SharedRetryBudgetConfig {
             ratio: b.repeat_ratio,
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -79,11 +79,11 @@
     fn of(node: &Node) -> View {
         View {
             domain: node.settings.failure_domain.clone(),
-            confirmed_ms_ago: node.vouch.borrow().age_ms(node.now()),
-            dead: node.words.borrow().updated_since(0).collect(),
+            confirmed_ms_ago: node.config_confirmation.borrow().age_ms(node.now()),
+            dead: node.failure_reports.borrow().updated_since(0).collect(),
             seen: Seen::of(node),
             limits: node
-                .limits
+                .rate_limits
                 .borrow()
                 .recent_reports(LIMITS_MS, false, node.now()),
             cases: node
@@ -201,7 +201,7 @@
 pub(crate) fn bid(node: &Node) -> Bid {
     let now = node.now();
     let own = &node.settings.name;
-    if node.draining.get() || !node.hears_store.get() {
+    if node.draining.get() || !node.reaches_store.get() {
         return Bid::Abstain;
     }
     let loads = node.loads.borrow();
@@ -219,7 +219,7 @@
     let loads = node.loads.borrow();
     let membership = node.membership.borrow();
     let hears_store = |m: &&MemberState| loads.hears_store(&m.name, &m.domain, now);
-    let own = node.hears_store.get().then_some(&node.settings.name);
+    let own = node.reaches_store.get().then_some(&node.settings.name);
     let others = membership.live().filter(|m| m.name != node.settings.name);
     let others = others.filter(hears_store).map(|m| &m.name);
     others.chain(own).cloned().collect()
@@ -244,7 +244,7 @@
 /// came of them, and one that does not hear the store finds out when it does again.
 pub(crate) fn watches_runners(node: &Node) -> bool {
     let gives_orders = node.lease.borrow().held(node.now()).is_some();
-    gives_orders || !node.hears_store.get() || watchers(node).contains(&node.settings.name)
+    gives_orders || !node.reaches_store.get() || watchers(node).contains(&node.settings.name)
 }
 
 fn carry_out(node: &Rc<Node>, actions: Vec<Action>) {
@@ -414,10 +414,10 @@
         head: head.clone(),
         tokens: tokens as u32,
     });
-    let spent = node.spent().into_iter();
+    let spent = node.retry_counts().into_iter();
     Load {
         written_ms: node.incarnation + node.now(),
-        hears_store: node.hears_store.get(),
+        hears_store: node.reaches_store.get(),
         serves: node.is_ready(),
         used: used.collect(),
         spent: spent
@@ -436,7 +436,7 @@
     if let Some(age) = view.confirmed_ms_ago.filter(|_| same)
         && let Some(confirmed) = asked_ms.checked_sub(age)
     {
-        node.vouch.borrow_mut().confirm(confirmed);
+        node.config_confirmation.borrow_mut().confirm(confirmed);
     }
 }
 
@@ -445,7 +445,7 @@
     node.loads
         .borrow_mut()
         .apply(&view.domain, told, node.now());
-    node.lend();
+    node.update_retry_loans();
     view.take(node);
 }
 
--- a/plugins/relay/src/placer.rs
+++ b/plugins/relay/src/placer.rs
@@ -134,7 +134,7 @@
             .values()
             .any(|s| s.engine.as_ref().is_some_and(|e| e.layers > 0))
     };
-    node.listed.get() && intent.is_some_and(layered)
+    node.runners_listed.get() && intent.is_some_and(layered)
 }
 
 async fn step_lease(node: &Node) {
@@ -190,7 +190,7 @@
         failure,
         Some(StoreError::Refused { .. } | StoreError::NoAnswer(_))
     );
-    node.hears_store.set(!lost);
+    node.reaches_store.set(!lost);
 }
 
 fn lease_spec(node: &Node, term: u64) -> serde_json::Value {
--- a/plugins/relay/src/probe.rs
+++ b/plugins/relay/src/probe.rs
@@ -67,10 +67,10 @@
 async fn wait_for_look(node: &Node) {
     let now = node.now();
     let next = next_look_ms(node, now);
-    node.next_look_ms.set(next);
+    node.next_silence_check_ms.set(next);
     tokio::select! {
         () = sleep(Duration::from_millis(next - now)) => log_held_up(node.now().saturating_sub(next)),
-        () = node.look.notified() => sleep(Duration::from_millis(LOOK_MS)).await,
+        () = node.check_silence.notified() => sleep(Duration::from_millis(LOOK_MS)).await,
     }
 }
 
@@ -184,19 +184,21 @@
 /// Has a runner asked beside witnesses that was silent `strikes` times, if it is not asked so already.
 fn examine(node: &Rc<Node>, suspect: Suspect, strikes: u32) {
     let lifetime = (suspect.id.clone(), suspect.born_ms);
-    if !node.examined.borrow_mut().insert(lifetime.clone()) {
+    if !node.probed_suspects.borrow_mut().insert(lifetime.clone()) {
         return;
     }
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
         question::examine(Rc::clone(&node), suspect, strikes).await;
-        node.examined.borrow_mut().remove(&lifetime);
+        node.probed_suspects.borrow_mut().remove(&lifetime);
     });
 }
 
 /// A runner was heard: what others said of its end is void.
 pub(crate) fn hear_it(node: &Node, id: &Name, born_ms: u64) {
-    node.words.borrow_mut().refute(id, born_ms, node.now());
+    node.failure_reports
+        .borrow_mut()
+        .refute(id, born_ms, node.now());
 }
 
 /// What a runner's report says of itself, and of others that requests wait for there.
@@ -210,7 +212,7 @@
         changed |= mark_dead_at(node, *address);
     }
     if changed {
-        node.news.notify_one();
+        node.gossip_due.notify_one();
         node.rebuild_chains();
     }
 }
@@ -221,7 +223,7 @@
 /// One lifetime of a runner is over: the other instances hear so at once.
 pub(crate) fn name_dead(node: &Node, id: &Name, born_ms: u64, evidence: &str) {
     if find_dead(node, id, born_ms, evidence) {
-        node.news.notify_one();
+        node.gossip_due.notify_one();
         node.rebuild_chains();
     }
 }
@@ -247,7 +249,7 @@
             born_ms,
             reporters: [node.settings.name.clone()].into(),
         };
-        node.words.borrow_mut().record(&word, node.now());
+        node.failure_reports.borrow_mut().record(&word, node.now());
         if let Some(health) = node.runners.borrow_mut().health_mut(id) {
             health.found_locally = true;
         }
@@ -290,12 +292,12 @@
     let mut is_news = false;
     for word in words {
         if is_in_doubt(node, &word.runner, word.born_ms) {
-            is_news |= node.words.borrow_mut().record(word, node.now());
+            is_news |= node.failure_reports.borrow_mut().record(word, node.now());
         }
     }
     follow_words(node);
     if is_news {
-        node.news.notify_one();
+        node.gossip_due.notify_one();
     }
 }
 
@@ -309,9 +311,9 @@
 /// Believes, or asks about, runners that others found dead.
 fn follow_words(node: &Rc<Node>) {
     let now = node.now();
-    let instances = node.instances();
+    let instances = node.live_instances();
     let named: Vec<(Name, u64)> = {
-        let words = node.words.borrow();
+        let words = node.failure_reports.borrow();
         words
             .runners()
             .map(|(id, born)| (id.clone(), born))
@@ -323,7 +325,7 @@
             continue;
         }
         let concerned = passes_through(node, &id);
-        let words = node.words.borrow();
+        let words = node.failure_reports.borrow();
         let advice = words.advice(&id, born_ms, concerned, instances, now);
         drop(words);
         match advice {
@@ -333,7 +335,7 @@
         }
     }
     if changed {
-        node.news.notify_one();
+        node.gossip_due.notify_one();
         node.rebuild_chains();
     }
 }
@@ -375,7 +377,9 @@
     let believes = near && !health.found_locally;
     if believes {
         health.mark_recovered(now);
-        node.words.borrow_mut().refute(id, born_ms, node.now());
+        node.failure_reports
+            .borrow_mut()
+            .refute(id, born_ms, node.now());
         log::info!(runner = id.as_ref(); "runner answers a neighbour again");
     } else {
         health.probe_soon();
@@ -387,7 +391,7 @@
 fn doubted(node: &Node) -> Vec<Suspect> {
     let now = node.now();
     // What one instance hears it tells the others, so that each need ask less often where there are many.
-    let pause = store_watch::scaled_interval_ms(PROBE_INTERVAL_MS, node.instances());
+    let pause = store_watch::scaled_interval_ms(PROBE_INTERVAL_MS, node.live_instances());
     let mut runners = node.runners.borrow_mut();
     let all: Vec<Suspect> = {
         let is_doubted = |s: &RunnerHealth| s.dead || s.is_slow();
@@ -428,7 +432,7 @@
             changed |= answers_again(node, id, *born_ms);
         }
         if changed {
-            node.news.notify_one();
+            node.gossip_due.notify_one();
             node.rebuild_chains();
         }
     }
--- a/plugins/relay/src/quarantine.rs
+++ b/plugins/relay/src/quarantine.rs
@@ -73,7 +73,7 @@
     let mut quarantine = node.quarantine.borrow_mut();
     if !quarantine.is_idle() && quarantine.record_survival(rq.fingerprint(), node.now()) {
         log::info!(request = rq.id.as_ref(), fingerprint:% = rq.fingerprint(); "strikes are void");
-        node.news.notify_one();
+        node.gossip_due.notify_one();
     }
 }
 
@@ -88,9 +88,11 @@
     drop(quarantine);
     log_settled(&settled);
     if settled.is_news() {
-        node.news.notify_one();
+        node.gossip_due.notify_one();
     }
-    node.forgotten.borrow_mut().extend(settled.expired);
+    node.expired_quarantines
+        .borrow_mut()
+        .extend(settled.expired);
 }
 
 fn log_settled(settled: &Evaluation) {
@@ -117,7 +119,7 @@
         is_news |= node.quarantine.borrow_mut().merge(case, now);
     }
     if is_news {
-        node.news.notify_one();
+        node.gossip_due.notify_one();
     }
 }
 
@@ -171,7 +173,7 @@
 /// Writes what is held and the store lacks, and removes what is forgotten, as far as it falls to this
 /// instance.
 async fn write(node: &Node) -> Result<(), StoreError> {
-    let forgotten = std::mem::take(&mut *node.forgotten.borrow_mut());
+    let forgotten = std::mem::take(&mut *node.expired_quarantines.borrow_mut());
     for request in forgotten.into_iter().filter(|r| is_writer(node, *r)) {
         count_call("remove");
         node.store.remove(KIND, &request.to_string()).await?;
@@ -206,5 +208,6 @@
 
 fn is_writer(node: &Node, request: Fingerprint) -> bool {
     let hear_store = peers::hear_store(node);
-    node.hears_store.get() && quarantine::is_writer(&node.settings.name, hear_store.iter(), request)
+    node.reaches_store.get()
+        && quarantine::is_writer(&node.settings.name, hear_store.iter(), request)
 }
--- a/plugins/relay/src/request.rs
+++ b/plugins/relay/src/request.rs
@@ -171,7 +171,7 @@
         return Err(unconfirmed(node, &id));
     }
     let body = read_body(&intent, &parts, body, &id).await?;
-    let draw = node.draw();
+    let draw = node.random_f64();
     let Some(service) = route.service(draw).cloned() else {
         return Err(deny(
             node,
@@ -225,7 +225,7 @@
 
 async fn wait_at_start(node: &Node) {
     let until = node.now() + START_WAIT_MS;
-    while node.now() < until && node.vouch.borrow().is_starting(node.now()) {
+    while node.now() < until && node.config_confirmation.borrow().is_starting(node.now()) {
         sleep(START_LOOK).await;
     }
 }
@@ -279,7 +279,7 @@
 }
 
 fn unconfirmed(node: &Node, id: &Name) -> Response<RelayBody> {
-    let age_ms = node.vouch.borrow().age_ms(node.now());
+    let age_ms = node.config_confirmation.borrow().age_ms(node.now());
     log::info!(request = id.as_ref(), age_ms:? = age_ms; "refused: no confirmed configuration");
     count("unconfirmed");
     Journal::default().failure(Cause::Unconfirmed, ELSEWHERE_MS)
@@ -287,7 +287,7 @@
 
 /// Says that the configuration does not allow a request, if this instance can vouch for it.
 fn deny(node: &Node, id: &Name, status: StatusCode, why: &str) -> Response<RelayBody> {
-    let age = node.vouch.borrow().age_ms(node.now());
+    let age = node.config_confirmation.borrow().age_ms(node.now());
     if age.is_none_or(|age| age > DENY_AGE_MS) {
         return unconfirmed(node, id);
     }
--- a/plugins/relay/src/stream.rs
+++ b/plugins/relay/src/stream.rs
@@ -64,7 +64,7 @@
         if let Some(held_ms) = quarantine::held_ms(node, &rq, until).await {
             return rq.not_answered(node, tried.journal, Cause::Held, held_ms);
         }
-        if tried.journal.sends > 0 && !node.take_repeat(&rq.service, tried.journal.need()) {
+        if tried.journal.sends > 0 && !node.take_retry(&rq.service, tried.journal.need()) {
             break Cause::RunnerFailed;
         }
         match tried.open(node, &rq, &live, rq.last_event).await {
@@ -83,7 +83,7 @@
     let retry_after_ms = node
         .shortage
         .borrow_mut()
-        .record_refused(node.now(), node.draw());
+        .record_refused(node.now(), node.random_f64());
     rq.not_answered(node, journal, cause, retry_after_ms)
 }
 
@@ -308,7 +308,7 @@
                 (None, Some(_)) => return None,
                 (None, None) => {}
             }
-            let _ = timeout(LOOK, self.node.room.notified()).await;
+            let _ = timeout(LOOK, self.node.room_freed.notified()).await;
         }
         None
     }
@@ -317,7 +317,7 @@
         self.rq.class.repeatable()
             && self
                 .node
-                .has_repeat(&self.rq.service, RetryPriority::Committed)
+                .has_retry(&self.rq.service, RetryPriority::Committed)
     }
 
     /// A share of the caller's patience, in milliseconds.
@@ -387,7 +387,7 @@
                 Err(lacking) => lacking,
             };
             if matches!(lacking, GivenUp::NoChain | GivenUp::NoRepeat) {
-                let _ = timeout(LOOK, self.node.room.notified()).await;
+                let _ = timeout(LOOK, self.node.room_freed.notified()).await;
             }
         }
         Err(lacking)
@@ -399,7 +399,7 @@
         // Each send counts, also one that a runner refuses.
         if !self
             .node
-            .take_repeat(&self.rq.service, RetryPriority::Committed)
+            .take_retry(&self.rq.service, RetryPriority::Committed)
         {
             return Err(GivenUp::NoRepeat);
         }
--- a/plugins/relay/src/watch.rs
+++ b/plugins/relay/src/watch.rs
@@ -83,7 +83,7 @@
         "the store came back from an older copy: lease dropped, configuration and runners read anew"
     );
     metrics::counter!("jacinthweir_store_eras_total").increment(1);
-    node.restored.notify_waiters();
+    node.store_restored.notify_waiters();
 }
 
 /// Reads the configuration whenever its last confirmation is old.
@@ -93,28 +93,28 @@
     loop {
         sleep(CONFIRM_LOOK).await;
         note_era(node);
-        let age = node.vouch.borrow().age_ms(node.now());
+        let age = node.config_confirmation.borrow().age_ms(node.now());
         let confirming = peers::confirming(node);
-        if !store_watch::should_confirm(age, node.draw(), reading_ms, confirming) {
+        if !store_watch::should_confirm(age, node.random_f64(), reading_ms, confirming) {
             continue;
         }
         let sent = node.now();
         count_call("get");
         match node.store.get(desired::KIND, desired::NAME).await {
             Ok(Some(object)) => {
-                node.hears_store.set(true);
+                node.reaches_store.set(true);
                 lost_ms = None;
                 reading_ms = node.now() - sent;
                 log::info!(took_ms = reading_ms; "configuration read");
                 if take_configuration(node, &object) {
-                    node.vouch.borrow_mut().confirm(sent);
+                    node.config_confirmation.borrow_mut().confirm(sent);
                 }
             }
             Ok(None) => log::warn!("the store has no configuration"),
             // The watch of the configuration tells of a store that is lost.
             Err(cause) => {
                 log::debug!(cause:% = cause; "configuration not confirmed");
-                node.hears_store.set(false);
+                node.reaches_store.set(false);
                 let lost_ms = *lost_ms.get_or_insert(sent);
                 pause(node, longest_pause_ms(node), lost_ms).await;
             }
@@ -144,11 +144,11 @@
         match self {
             Followed::Configuration => {
                 let version = node.intent().map_or(0, |i| i.version);
-                node.behind_configuration.borrow().is_behind(version)
+                node.peer_versions.borrow().is_behind(version)
             }
             Followed::Runners => {
                 let seen = node.runners_revision.get();
-                node.behind_runners.borrow().is_behind(seen)
+                node.peer_revisions.borrow().is_behind(seen)
             }
         }
     }
@@ -156,15 +156,15 @@
     /// The store is asked for what others know.
     fn asked(self, node: &Node) {
         match self {
-            Followed::Configuration => node.behind_configuration.borrow_mut().mark_checked(),
-            Followed::Runners => node.behind_runners.borrow_mut().mark_checked(),
+            Followed::Configuration => node.peer_versions.borrow_mut().mark_checked(),
+            Followed::Runners => node.peer_revisions.borrow_mut().mark_checked(),
         }
     }
 }
 
 /// Another instance has a version of the configuration in force.
 pub(crate) fn heard_version(node: &Node, version: u64) {
-    node.behind_configuration.borrow_mut().record_peer(version);
+    node.peer_versions.borrow_mut().record_peer(version);
     let own = node.intent().map_or(0, |i| i.version);
     let mut outdated = node.outdated.get();
     outdated.record_peer(version, own, node.now());
@@ -174,25 +174,25 @@
 
 /// Another instance has seen a revision of a runner's entry.
 pub(crate) fn heard_revision(node: &Node, revision: Revision) {
-    node.behind_runners.borrow_mut().record_peer(revision);
+    node.peer_revisions.borrow_mut().record_peer(revision);
     notify_overtaken(node, Followed::Runners);
 }
 
 fn notify_overtaken(node: &Node, what: Followed) {
     if what.is_behind(node) {
-        node.overtaken.notify_waiters();
+        node.peer_ahead.notify_waiters();
     }
 }
 
 /// Ends when another instance has known more for a while.
 async fn overtaken(node: &Node, what: Followed) {
     loop {
-        let notified = node.overtaken.notified();
+        let notified = node.peer_ahead.notified();
         if !what.is_behind(node) {
             notified.await;
         }
         let wait = match what {
-            Followed::Configuration => store_watch::catch_up_ms(node.instances()),
+            Followed::Configuration => store_watch::catch_up_ms(node.live_instances()),
             Followed::Runners => store_watch::catch_up_ms(1),
         };
         sleep(Duration::from_millis(wait)).await;
@@ -233,14 +233,14 @@
             continue;
         }
         failures += 1;
-        node.hears_store.set(false);
+        node.reaches_store.set(false);
         if lost_ms.is_none() {
             log::warn!(what:% = what, cause:% = error; "store is lost");
             lost_ms = Some(node.now());
         }
         metrics::counter!("jacinthweir_store_failures_total").increment(1);
         let longest = (PAUSE_MS << failures.min(4)).min(longest_pause_ms(node));
-        let ms = PAUSE_MS / 2 + (node.draw() * longest as f64) as u64;
+        let ms = PAUSE_MS / 2 + (node.random_f64() * longest as f64) as u64;
         pause(node, ms, lost_ms.unwrap_or_default()).await;
     }
 }
@@ -250,7 +250,7 @@
         ConfirmScope::Domain => PAUSE_BOUND_MS,
         ConfirmScope::Own => LATE_PAUSE_BOUND_MS,
     };
-    store_watch::scaled_interval_ms(LONGEST_PAUSE_MS, node.instances()).min(bound)
+    store_watch::scaled_interval_ms(LONGEST_PAUSE_MS, node.live_instances()).min(bound)
 }
 
 /// Waits after a failed call for `ms` milliseconds, or until others hear the store again that was lost at
@@ -263,7 +263,7 @@
     tokio::select! {
         () = pause => {}
         () = until_confirmed(node, lost_ms) => {
-            let spread_ms = (node.draw() * BACK_SPREAD_MS) as Millis;
+            let spread_ms = (node.random_f64() * BACK_SPREAD_MS) as Millis;
             sleep(Duration::from_millis(spread_ms)).await;
         }
     }
@@ -272,7 +272,7 @@
 /// Whether the configuration was confirmed by a call that was made after `since`.
 fn confirmed_since(node: &Node, since: Millis) -> bool {
     let now = node.now();
-    let age = node.vouch.borrow().age_ms(now);
+    let age = node.config_confirmation.borrow().age_ms(now);
     age.is_some_and(|age| now - age > since)
 }
 
@@ -287,7 +287,7 @@
     let sent = node.now();
     count_call("list");
     let listed = node.store.list(what.kind()).await?;
-    node.hears_store.set(true);
+    node.reaches_store.set(true);
     match what {
         Followed::Configuration => {
             let found = listed
@@ -297,7 +297,7 @@
             if let Some(object) = found
                 && take_configuration(node, object)
             {
-                node.vouch.borrow_mut().confirm(sent);
+                node.config_confirmation.borrow_mut().confirm(sent);
             }
         }
         Followed::Runners => {
@@ -314,7 +314,7 @@
             runners.replace(entries, now);
             drop(runners);
             node.runners_as_of.set(listed.revision);
-            node.listed.set(true);
+            node.runners_listed.set(true);
             node.rebuild_chains();
         }
     }
@@ -327,7 +327,7 @@
         let wait = match what {
             Followed::Runners => rest(node).await,
             Followed::Configuration => {
-                store_watch::scaled_interval_ms(CONFIGURATION_WAIT_MS, node.instances())
+                store_watch::scaled_interval_ms(CONFIGURATION_WAIT_MS, node.live_instances())
             }
         };
         if what == Followed::Runners {
@@ -341,7 +341,7 @@
         let wait = Duration::from_millis(wait);
         let watched = tokio::select! {
             watched = node.store.watch(what.kind(), revision, wait) => watched,
-            () = node.restored.notified() => return StoreError::Restored,
+            () = node.store_restored.notified() => return StoreError::Restored,
             () = overtaken(node, what) => {
                 log::info!(what:% = what, revision:% = revision; "others know more, watching anew");
                 continue;
@@ -351,13 +351,13 @@
             Ok(changes) => changes,
             Err(e) => return e,
         };
-        node.hears_store.set(true);
+        node.reaches_store.set(true);
         let any = !changes.changes.is_empty();
         match what {
             Followed::Configuration => {
                 revision = changes.revision;
                 if take_configurations(node, &changes.changes) {
-                    node.vouch.borrow_mut().confirm(sent);
+                    node.config_confirmation.borrow_mut().confirm(sent);
                 }
             }
             Followed::Runners => {
@@ -377,7 +377,7 @@
 /// Changes that come within this time are read with one call, in milliseconds.
 fn gather_ms(node: &Node, what: Followed) -> Millis {
     match what {
-        Followed::Configuration => store_watch::debounce_ms(node.instances()),
+        Followed::Configuration => store_watch::debounce_ms(node.live_instances()),
         Followed::Runners => {
             let gives_orders = node.lease.borrow().held(node.now()).is_some();
             store_watch::runners_debounce_ms(node.now(), gives_orders)
@@ -399,7 +399,7 @@
 /// Rests while others tell of changed runners; returns how long the next watch is to wait, in
 /// milliseconds.
 async fn rest(node: &Node) -> Millis {
-    let spread_ms = (node.draw() * REST_SPREAD_MS) as Millis;
+    let spread_ms = (node.random_f64() * REST_SPREAD_MS) as Millis;
     let until = node.now() + REST_MS + spread_ms;
     while !peers::watches_runners(node) {
         if node.now() >= until {
@@ -407,7 +407,7 @@
         }
         tokio::select! {
             () = overtaken(node, Followed::Runners) => return MISSED_WAIT_MS,
-            () = node.restored.notified() => return MISSED_WAIT_MS,
+            () = node.store_restored.notified() => return MISSED_WAIT_MS,
             () = sleep(REST_LOOK) => {}
         }
     }
@@ -434,7 +434,7 @@
     match desired::decode(&object.spec) {
         Ok(intent) => {
             let version = intent.version;
-            node.offer(intent);
+            node.apply_configuration(intent);
             let in_force = node.intent().is_some_and(|i| i.version == version);
             if in_force {
                 node.configuration_revision.set(Some(revision));
@@ -535,7 +535,7 @@
             }
             RunnerChange::Put(entry) => {
                 if entry.draining {
-                    node.note_leaving(&entry.id, entry.born_ms);
+                    node.note_draining(&entry.id, entry.born_ms);
                 }
                 changed |= node.runners.borrow_mut().put(entry);
             }
