--- a/plugins/relay/src/lib.rs
+++ b/plugins/relay/src/lib.rs
@@ -1,31 +1,33 @@
-//! The relay: forwards requests whose bodies the product does not read.
+//! The relay: a request router that forwards request bodies without interpreting them.
 //!
-//! One process on one thread does all of it: it takes requests from callers, sends each through a
-//! chain of runners or to a plain service, and passes the answer on as it comes. Everything that
-//! is decided stands in [`jacinthweir_policy::relay`]; names of the outside stand in
-//! [`jacinthweir_platform`].
+//! Each instance is a single-threaded process that accepts requests from callers, sends each
+//! through a chain of runners or to a plain service, and streams the answer back. All decisions are
+//! made in [`jacinthweir_policy::relay`]; the interfaces of the platform are in [`jacinthweir_platform`].
 //!
-//! | module | job |
+//! | module | responsibility |
 //! |---|---|
 //! | [`settings`] | the settings file |
-//! | [`node`] | the shared state of the process |
-//! | `live` | chains in use, and what is in flight through each |
-//! | `watch` | follows the store: configuration and runners |
-//! | `peers` | exchanges with other instances |
-//! | `placer` | the lease, and orders to runners |
-//! | `probe` | asks the parts of a silent chain |
+//! | [`node`] | shared state of the process |
+//! | `live` | chains in use and the requests in flight on each |
+//! | `watch` | watches the store for the configuration and the runners |
+//! | `peers` | anti-entropy exchanges with other instances |
+//! | [`news`] | gossip of changes that cannot wait for the next exchange |
+//! | `placer` | placement lease, and placement orders to runners |
+//! | `probe` | probes the runners of a silent chain |
 //! | `server` | listeners |
-//! | `request` | what a request is, and whose |
-//! | `attempt` | one send to a runner |
-//! | `breaks`, `quarantine` | runs that broke off; requests that end their runners |
-//! | `call` | requests with one answer |
-//! | `admit`, `tried`, `stream`, `events` | streams of events: room, attempts, the answer, its events |
-//! | `limits` | rates that runners name |
-//! | `answer` | final answers, and what may be said in them |
-//! | `shutdown` | from the signal to the exit |
+//! | `request` | parsing and authorisation of requests |
+//! | `attempt` | one attempt at a runner |
+//! | `breaks`, `quarantine` | interrupted runs; requests that crash their runners |
+//! | `call` | requests with a single response |
+//! | `admit`, `tried`, `stream`, `events` | event streams: admission, attempts, the response, its events |
+//! | `limits` | rate limits that runners announce |
+//! | `answer` | final responses, and what they may contain |
+//! | `shutdown` | drain and shutdown |
+//! | `dump` | state dump for operators |
+//! | `question` | single probes of runners |
 //!
-//! The runtime has one thread, so shared state needs no locks: a [`std::cell::RefCell`] is
-//! borrowed for one decision and never across an await point.
+//! The runtime has one thread, so shared state needs no locks. A [`std::cell::RefCell`] is borrowed
+//! for one decision and never across an await point.
 
 mod admit;
 mod answer;
@@ -62,20 +64,20 @@
 
 use crate::node::Node;
 
-/// The relay cannot start.
+/// Error that prevents the relay from starting.
 #[derive(Debug, Display, Error)]
 pub enum RelayError {
-    /// Logs, metrics or signals.
+    /// Logs, metrics or signal handlers cannot be set up.
     #[display("{_0}")]
     SetUp(#[error(not(source))] KernelError),
-    /// A listener.
+    /// A listener cannot be bound.
     #[display("cannot listen for {face} at {address}: {cause}")]
     Bind {
-        /// Who would have been served.
+        /// Kind of clients that the listener serves.
         face: String,
-        /// Address.
+        /// Address to listen on.
         address: std::net::SocketAddr,
-        /// Cause.
+        /// Error of the operating system.
         cause: std::io::Error,
     },
 }
@@ -87,10 +89,10 @@
 }
 
 impl Relay {
-    /// Opens the listeners and starts all tasks. Call it within a [`tokio::task::LocalSet`].
+    /// Opens the listeners and starts all tasks. Must be called within a [`tokio::task::LocalSet`].
     ///
     /// # Errors
-    /// It cannot start.
+    /// The metrics cannot be set up, or a listener cannot be bound.
     pub async fn spawn(settings: RelaySettings) -> Result<Relay, RelayError> {
         let node = Node::open(settings)?;
         let servers = server::bind(&node).await?;
@@ -103,11 +105,11 @@
         Ok(Relay { node, servers })
     }
 
-    /// Leaves the entry answers, finishes what is in progress and stops.
+    /// Removes this instance from entry answers, completes the requests in progress and stops.
     pub async fn shut_down(self) -> DrainOutcome {
-        let ended = shutdown::run(&self.node, &self.servers).await;
+        let outcome = shutdown::run(&self.node, &self.servers).await;
         self.node.stop.cancel();
-        ended
+        outcome
     }
 }
 
@@ -117,11 +119,11 @@
     }
 }
 
-/// Runs a relay as the whole process until it is told to end. `path` is where the settings came
-/// from.
+/// Runs a relay as the whole process until a signal ends it. `path` is the settings file, which is
+/// checked again on reload.
 ///
 /// # Errors
-/// It cannot start.
+/// Logs, metrics or signal handlers cannot be set up, or a listener cannot be bound.
 pub async fn run(
     settings: RelaySettings,
     path: std::path::PathBuf,
@@ -131,8 +133,8 @@
     let relay = Relay::spawn(settings).await?;
     log::info!(incarnation = relay.node.incarnation; "started");
     signals.end(&path).await;
-    let ended = relay.shut_down().await;
-    log::info!(ended:% = ended; "stopped");
+    let outcome = relay.shut_down().await;
+    log::info!(ended:% = outcome; "stopped");
     logs::flush();
-    Ok(ended)
+    Ok(outcome)
 }
--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -37,72 +37,75 @@
 use crate::placer::Loading;
 use crate::settings::RelaySettings;
 
-/// Time that a call to the store may take, in milliseconds. It answers in a few; when it is slow it
-/// takes some hundred.
+/// Timeout of a call to the store. It usually answers within a few milliseconds, and within some
+/// hundred when it is slow.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Time between two rounds of exchanges, in milliseconds: loads of the others are known with this
-/// lag, and a lost instance is left out of entry answers after a few rounds.
+/// Interval between exchange rounds, in milliseconds. It bounds the staleness of other instances'
+/// loads; a lost instance disappears from entry answers after a few rounds.
 pub(crate) const ROUND_MS: Millis = 300;
 
-/// Peers that an instance exchanges with each round.
+/// Peers that an instance exchanges with in each round.
 const FANOUT: usize = 2;
 
-/// Instances of a failure domain that exchange with other domains in one round.
+/// Instances of a failure domain that exchange with other failure domains in one round.
 const CROSS_DOMAIN_SENDERS: usize = 8;
 
-/// How long a lease on giving orders lasts without renewal, in milliseconds: three renewals, and
-/// short against the time that a hole in a chain costs.
+/// Duration of the placement lease without renewal, in milliseconds: three renewal intervals, and
+/// short compared with the outage that a gap in a chain causes.
 const LEASE_MS: Millis = 1_800;
 
-/// How long an instance tells the others of a runner that leaves, in milliseconds: longer than any
-/// of their watches of the runners may have been silent when the others still heard one another.
+/// How long an instance gossips that a runner is draining, in milliseconds. This exceeds the time
+/// for which another instance's watch on the runners may be silent while it still exchanges with
+/// its peers.
 const DRAINING_RETENTION_MS: Millis = 10_000;
 
-/// State of one process.
+/// Shared state of one process.
 pub struct Node {
     /// Settings.
     pub settings: RelaySettings,
     /// Unix time of the start, in milliseconds.
     pub incarnation: u64,
-    /// Cancelled when the process ends.
+    /// Cancelled when the process shuts down.
     pub stop: CancellationToken,
     pub(crate) stats: Stats,
     pub(crate) store: Store,
     pub(crate) intent: RefCell<Option<Rc<Intent>>>,
-    /// Revision of the object that the configuration in force was read from.
+    /// Store revision of the object that holds the configuration in force.
     pub(crate) configuration_revision: Cell<Option<Revision>>,
     pub(crate) config_confirmation: RefCell<ConfigConfirmation>,
     pub(crate) runners: RefCell<Runners>,
-    /// Whether the store answered the last call that ended.
+    /// Whether the most recently completed call to the store got an answer.
     pub(crate) reaches_store: Cell<bool>,
-    /// Era of the store that this instance acts in.
+    /// Era of the store that this instance knows. A restore from an older copy begins a new era.
     pub(crate) era: Cell<Option<u64>>,
-    /// The store came back from an older copy.
+    /// Notified when the store has been restored from an older copy.
     pub(crate) store_restored: Notify,
-    /// Newest revision of a runner's entry that was seen.
+    /// Highest revision of any runner's entry seen so far.
     pub(crate) runners_revision: Cell<Revision>,
-    /// Revision of the store up to which all changes of runners' entries are known.
+    /// Store revision up to which all changes of runners' entries have been applied.
     pub(crate) runners_as_of: Cell<Revision>,
-    /// What others say of dead runners.
+    /// Failure reports of all instances about runners.
     pub(crate) failure_reports: RefCell<FailureReports>,
-    /// Rates that runners name.
+    /// Rate limits that runners announced.
     pub(crate) rate_limits: RefCell<RunnerRateLimits>,
-    /// Requests under which runners ended.
+    /// Requests that crashed runners.
     pub(crate) quarantine: RefCell<Quarantine>,
-    /// Requests that are held no more and that the store still has.
+    /// Requests whose quarantine expired and whose record is still in the store.
     pub(crate) expired_quarantines: RefCell<Vec<Fingerprint>>,
-    /// Lifetimes of runners that are asked beside witnesses.
+    /// Lifetimes of suspected runners that are being probed together with witnesses.
     pub(crate) probed_suspects: RefCell<BTreeSet<(Name, u64)>>,
-    /// Runners that were heard to leave, by identity and lifetime, and when.
+    /// Runners known to be draining: identity, lifetime, and when this instance learned of it.
     pub(crate) draining_runners: RefCell<Vec<(Name, u64, Millis)>>,
-    /// Something changed that all other instances should hear at once.
+    /// Notified when a change has to be gossiped before the next exchange.
     pub(crate) gossip_due: Notify,
-    /// What others know of the configuration, by version, and of the runners' entries.
+    /// Newest configuration version known to peers.
     pub(crate) peer_versions: RefCell<PeerProgress<u64>>,
+    /// Whether the configuration in force is outdated compared with the peers'.
     pub(crate) outdated: Cell<Outdated>,
+    /// Newest revision of a runner's entry known to peers.
     pub(crate) peer_revisions: RefCell<PeerProgress<Revision>>,
-    /// Another instance knows more than this one.
+    /// Notified when a peer has seen a newer state of the store.
     pub(crate) peer_ahead: Notify,
     /// Whether the runners have been listed since the start.
     pub(crate) runners_listed: Cell<bool>,
@@ -112,18 +115,18 @@
     pub(crate) lease: RefCell<Lease>,
     pub(crate) loading: RefCell<Loading>,
     pub(crate) retry_budgets: RefCell<BTreeMap<Name, SharedRetryBudget>>,
-    /// Tokens of the requests that wait for room, in the order in which they get it.
+    /// Tokens of the requests that wait for room, in the order in which they are admitted.
     pub(crate) queue: RefCell<BTreeMap<(u32, u64), f64>>,
-    /// How fast room comes free.
+    /// Rate at which room is released.
     pub(crate) release_rate: RefCell<ReleaseRate>,
     pub(crate) shortage: RefCell<Shortage>,
-    /// Room came free, or chains changed.
+    /// Notified when room is released or chains change.
     pub(crate) room_freed: Notify,
-    /// When silent chains are looked for next, in milliseconds.
+    /// When chains are next checked for silence, in milliseconds.
     pub(crate) next_silence_check_ms: Cell<Millis>,
-    /// They are to be looked for before that.
+    /// Notified when a chain has to be checked before that.
     pub(crate) check_silence: Notify,
-    /// Requests of callers from their head to the last byte of their answer.
+    /// Caller requests in progress, from their head to the last byte of their answer.
     pub(crate) active: Rc<Cell<usize>>,
     pub(crate) draining: Cell<bool>,
     pub(crate) sequence: Cell<u64>,
@@ -206,15 +209,15 @@
         Ok(Rc::new(node))
     }
 
-    /// Milliseconds since the start, by a clock that also counts while the machine is suspended.
+    /// Returns the milliseconds since the start, by a clock that includes machine suspension.
     #[must_use]
     pub fn now(&self) -> Millis {
         let passed = boot_time().saturating_sub(self.start);
         u64::try_from(passed.as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Both clocks. The time of day may be set by hours, so it is not looked at: the other clock
-    /// counts suspensions already.
+    /// Returns both clocks. The Unix time is derived from the boot-time clock, which includes
+    /// suspension, since the time of day may be set forward or back by hours.
     pub(crate) fn clocks(&self) -> Now {
         let mono_ms = self.now();
         Now {
@@ -223,29 +226,28 @@
         }
     }
 
-    /// A random number from 0 to 1.
+    /// Returns a random number from 0 to 1.
     pub(crate) fn random_f64(&self) -> f64 {
         self.rng.borrow_mut().random()
     }
 
-    /// A random whole number.
     pub(crate) fn random_u32(&self) -> u32 {
         self.rng.borrow_mut().random()
     }
 
-    /// Lends the source of randomness.
+    /// Calls `f` with the random number generator.
     pub(crate) fn with_rng<T>(&self, f: impl FnOnce(&mut StdRng) -> T) -> T {
         f(&mut self.rng.borrow_mut())
     }
 
-    /// A number that no other request of this process has.
+    /// Returns a request number that is unique within this process.
     pub(crate) fn next_sequence(&self) -> u64 {
         let next = self.sequence.get() + 1;
         self.sequence.set(next);
         next
     }
 
-    /// Whether the runners of a service hold layers. Those of others need not know of reports.
+    /// Whether the runners of a service hold layers. Only these runners give reports.
     pub(crate) fn holds_layers(&self, service: &str) -> bool {
         let intent = self.intent.borrow();
         let spec = intent.as_ref().and_then(|i| i.services.get(service));
@@ -257,7 +259,7 @@
         self.intent.borrow().clone()
     }
 
-    /// Takes in a configuration that was read.
+    /// Puts a configuration in force if it is newer than the current one.
     pub(crate) fn apply_configuration(&self, offered: Intent) {
         let in_force = self.intent.borrow().as_ref().map(|i| i.version);
         match intent::compare_versions(in_force, offered.version) {
@@ -277,24 +279,24 @@
             }
             VersionOrder::Same => {}
             VersionOrder::Older { in_force } => {
-                log::warn!(offered = offered.version, in_force; "an older configuration is ignored");
+                log::warn!(offered = offered.version, in_force; "ignoring an older configuration");
             }
         }
     }
 
-    /// Whether keyed requests may be sent on.
+    /// Whether requests with a key may be forwarded: the configuration is confirmed and current.
     pub(crate) fn may_serve(&self) -> bool {
         let now = self.now();
         let is_confirmed = self.config_confirmation.borrow().may_serve(now);
         self.intent.borrow().is_some() && is_confirmed && !self.outdated.get().is_outdated(now)
     }
 
-    /// Whether callers may be sent here.
+    /// Whether this instance accepts callers.
     pub(crate) fn is_ready(&self) -> bool {
         !self.draining.get() && self.runners_listed.get() && self.may_serve()
     }
 
-    /// Whether the common budget has a further send for a service.
+    /// Whether the shared retry budget of a service permits another retry.
     pub(crate) fn has_retry(&self, service: &Name, need: RetryPriority) -> bool {
         let cfg = self.retry_budget_config();
         let instances = self.peak_instances();
@@ -303,7 +305,7 @@
         budget.has_retry(self.now(), &cfg, instances, need)
     }
 
-    /// Takes one further send for a service out of the common budget.
+    /// Takes one retry out of the shared retry budget of a service.
     pub(crate) fn take_retry(&self, service: &Name, need: RetryPriority) -> bool {
         let cfg = self.retry_budget_config();
         let instances = self.peak_instances();
@@ -316,12 +318,12 @@
         taken
     }
 
-    /// Instances that serve, this one included.
+    /// Returns the number of live instances, this one included.
     pub(crate) fn live_instances(&self) -> usize {
         self.membership.borrow().live().count().max(1)
     }
 
-    /// A runner was heard to leave.
+    /// Records that a runner is draining, and gossips it.
     pub(crate) fn note_draining(&self, id: &Name, born_ms: u64) {
         let now = self.now();
         let mut draining = self.draining_runners.borrow_mut();
@@ -332,8 +334,8 @@
         }
     }
 
-    /// The most instances that were seen to serve at the same time. Those that are out of sight
-    /// go on spending.
+    /// Returns the highest number of instances seen live at the same time. Unreachable instances
+    /// may still be running and using the shared budgets.
     pub(crate) fn peak_instances(&self) -> usize {
         let live = self.membership.borrow().live().count();
         let most = self.instances_seen.get().max(live);
@@ -341,7 +343,7 @@
         most
     }
 
-    /// Counts a request towards the budget of its service.
+    /// Counts a request towards the retry budget of its service.
     pub(crate) fn count_request(&self, service: &Name) {
         let cfg = self.retry_budget_config();
         let now = self.now();
@@ -352,7 +354,7 @@
             .record_request(now, &cfg);
     }
 
-    /// Requests and further sends of this instance in the budget's window, by service.
+    /// Returns this instance's requests and retries in the budget window, by service.
     pub(crate) fn retry_counts(&self) -> Vec<(Name, RetryCounts)> {
         let cfg = self.retry_budget_config();
         let now = self.now();
@@ -362,7 +364,7 @@
             .collect()
     }
 
-    /// An exchange brought the other instances' loads: what they have left may be used here.
+    /// Updates from the other instances' counts how much of their unused budget this one may use.
     pub(crate) fn update_retry_loans(&self) {
         let cfg = self.retry_budget_config();
         let now = self.now();
@@ -407,14 +409,14 @@
     Duration::new(secs, nanos)
 }
 
-/// Unix time, in milliseconds.
+/// Returns the Unix time in milliseconds.
 pub(crate) fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// Instances that start in the same millisecond must not draw the same numbers.
+/// Returns a seed that differs between instances started in the same millisecond.
 fn seed(name: &str, incarnation: u64) -> u64 {
-    let mix = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
-    name.bytes().fold(incarnation, mix)
+    let fnv_step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
+    name.bytes().fold(incarnation, fnv_step)
 }
