--- a/plugins/relay/src/attempt.rs
+++ b/plugins/relay/src/attempt.rs
@@ -39,7 +39,7 @@
     id: &str,
     req: Request<Full<bytes::Bytes>>,
 ) -> Sent {
-    limits::sent(node, runner);
+    limits::record_sent(node, runner);
     let res = match direct::send(runner.address, req, CONNECT).await {
         Ok(res) => res,
         Err(e) if e.is_unsent() => return Sent::Unreached(e),
@@ -47,7 +47,7 @@
     };
     let headers = res.headers();
     if res.status() != StatusCode::MISDIRECTED_REQUEST {
-        limits::said(node, runner, header::named_limit(headers));
+        limits::record_answer(node, runner, header::named_limit(headers));
     }
     let refused = headers.contains_key(header::NOT_RUN);
     if refused || res.status() == StatusCode::MISDIRECTED_REQUEST {
--- a/plugins/relay/src/breaks.rs
+++ b/plugins/relay/src/breaks.rs
@@ -60,7 +60,7 @@
     metrics::counter!("jacinthweir_runs_broken_total").increment(1);
     ask_first(node, &through);
     match progress {
-        Progress::Ran(ms) if ms >= SURVIVED_MS => quarantine::survived(node, rq),
+        Progress::Ran(ms) if ms >= SURVIVED_MS => quarantine::record_survival(node, rq),
         Progress::Ran(_) | Progress::Waited => {
             node.quarantine.borrow_mut().record_broken_run(BrokenRun {
                 request: rq.fingerprint(),
--- a/plugins/relay/src/call.rs
+++ b/plugins/relay/src/call.rs
@@ -63,7 +63,7 @@
     let mut unreached = 0;
     loop {
         let until = admit::until(node, &rq, journal);
-        if let Some(held_ms) = quarantine::held_ms(node, &rq, until).await {
+        if let Some(held_ms) = quarantine::quarantined_ms(node, &rq, until).await {
             return rq.not_answered(node, journal, Cause::Held, held_ms);
         }
         if rq.left_ms(node) == 0 {
@@ -159,7 +159,7 @@
             if failed {
                 log_attempt(rq, runner, "failed", res.status().as_str());
             }
-            quarantine::survived(node, rq);
+            quarantine::record_survival(node, rq);
             let res = passed_on(res);
             if failed {
                 Ended::Failed(Some(res))
--- a/plugins/relay/src/limits.rs
+++ b/plugins/relay/src/limits.rs
@@ -9,7 +9,7 @@
 use crate::quarantine::lifetime;
 
 /// A runner's answer named a rate, or none.
-pub(crate) fn said(node: &Node, runner: &RunnerEntry, rate: Option<f64>) {
+pub(crate) fn record_answer(node: &Node, runner: &RunnerEntry, rate: Option<f64>) {
     let now = node.now();
     let mut limits = node.rate_limits.borrow_mut();
     if rate.is_none() && limits.is_idle() {
@@ -24,7 +24,7 @@
 }
 
 /// Takes in what runners said to another instance.
-pub(crate) fn hear(node: &Node, statements: &[RateReport]) {
+pub(crate) fn merge_reports(node: &Node, statements: &[RateReport]) {
     let now = node.now();
     let mut limits = node.rate_limits.borrow_mut();
     if limits.is_idle() && statements.is_empty() {
@@ -84,7 +84,7 @@
 }
 
 /// A request is sent to a runner.
-pub(crate) fn sent(node: &Node, runner: &RunnerEntry) {
+pub(crate) fn record_sent(node: &Node, runner: &RunnerEntry) {
     let lifetime = lifetime(runner);
     let now = node.now();
     let mut limits = node.rate_limits.borrow_mut();
--- a/plugins/relay/src/live.rs
+++ b/plugins/relay/src/live.rs
@@ -123,7 +123,7 @@
 
 impl LiveChain {
     /// Whether the chain's parts should be asked: it is silent, or slow.
-    pub(crate) fn should_ask(&self, now: Millis) -> bool {
+    pub(crate) fn should_probe_runners(&self, now: Millis) -> bool {
         let declared_ms = self.event_tokens * self.step_ms.get();
         let silent = self.silence.borrow_mut().should_probe(now);
         silent || self.gaps.borrow_mut().should_probe(now, declared_ms)
@@ -160,7 +160,7 @@
 
     /// Tokens that it has yet to read before the next events of this instance's requests. A chain
     /// reads some hundred a millisecond, whatever it writes meanwhile.
-    pub(crate) fn unread_tokens(&self) -> f64 {
+    pub(crate) fn prefill_tokens(&self) -> f64 {
         self.unread.get()
     }
 
@@ -205,12 +205,12 @@
         }
         drop(chains);
         drop(runners);
-        quarantine::settle(self);
+        quarantine::evaluate(self);
         self.room_freed.notify_waiters();
     }
 
     /// Whether a chain's first runner still lives, as far as is known.
-    pub(crate) fn has_head(&self, live: &LiveChain) -> bool {
+    pub(crate) fn is_head_alive(&self, live: &LiveChain) -> bool {
         let (id, born_ms) = live.head();
         let runners = self.runners.borrow();
         let entry = runners.entry(id);
@@ -285,7 +285,7 @@
 }
 
 /// One request's passage through a chain: counts its tokens and its silence while it lasts.
-pub(crate) struct Passage {
+pub(crate) struct InFlight {
     node: Rc<Node>,
     pub(crate) live: Rc<LiveChain>,
     /// When the request was sent, in milliseconds.
@@ -295,8 +295,8 @@
     unread: Cell<f64>,
 }
 
-impl Passage {
-    pub(crate) fn open(node: &Rc<Node>, live: Rc<LiveChain>, tokens: f64) -> Passage {
+impl InFlight {
+    pub(crate) fn open(node: &Rc<Node>, live: Rc<LiveChain>, tokens: f64) -> InFlight {
         live.used.set(live.used.get() + tokens);
         live.unread.set(live.unread.get() + tokens);
         live.silence.borrow_mut().request_sent(node.now());
@@ -306,7 +306,7 @@
         {
             node.check_silence.notify_one();
         }
-        Passage {
+        InFlight {
             node: Rc::clone(node),
             live,
             sent_ms: node.now(),
@@ -316,7 +316,7 @@
     }
 
     /// The request takes `tokens` tokens by now: its answer is longer than was expected.
-    pub(crate) fn at_least(&mut self, tokens: f64) {
+    pub(crate) fn raise_tokens(&mut self, tokens: f64) {
         if tokens > self.tokens {
             self.live
                 .used
@@ -328,12 +328,12 @@
     /// The request passes through another chain behind the same first runner from now on.
     pub(crate) fn move_to(&mut self, live: Rc<LiveChain>) {
         let sent_ms = self.sent_ms;
-        *self = Passage::open(&self.node, live, self.tokens);
+        *self = InFlight::open(&self.node, live, self.tokens);
         self.sent_ms = sent_ms;
     }
 
     /// Bytes came.
-    pub(crate) fn heard(&self) {
+    pub(crate) fn record_bytes(&self) {
         self.has_read();
         self.live
             .silence
@@ -342,14 +342,14 @@
     }
 }
 
-impl Passage {
+impl InFlight {
     fn has_read(&self) {
         let read = self.unread.replace(0.0);
         self.live.unread.set(self.live.unread.get() - read);
     }
 }
 
-impl Drop for Passage {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.has_read();
         let now = self.node.now();
--- a/plugins/relay/src/news.rs
+++ b/plugins/relay/src/news.rs
@@ -182,8 +182,8 @@
 pub(crate) fn take(node: &Rc<Node>, news: &News) {
     news.seen.take(node);
     probe::hear_words(node, &news.dead);
-    quarantine::hear(node, &news.cases);
-    limits::hear(node, &news.limits);
+    quarantine::merge_records(node, &news.cases);
+    limits::merge_reports(node, &news.limits);
     let mut changed = false;
     for (id, born_ms) in &news.alive {
         changed |= probe::hear_alive(node, id, *born_ms, &news.domain);
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -45,7 +45,7 @@
 const _: () = assert!(VIA_ANSWER.as_millis() * 2 <= ANSWER.as_millis());
 
 /// The longest message, in bytes: some 300 instances.
-pub(crate) const MESSAGE_BYTES: usize = 256 << 10;
+pub(crate) const MAX_MESSAGE_BYTES: usize = 256 << 10;
 
 /// Peers that hear at once that this instance leaves.
 const ANNOUNCE_TO: usize = 8;
@@ -97,8 +97,8 @@
     fn take(&self, node: &Rc<Node>) {
         self.seen.take(node);
         probe::hear_words(node, &self.dead);
-        quarantine::hear(node, &self.cases);
-        limits::hear(node, &self.limits);
+        quarantine::merge_records(node, &self.cases);
+        limits::merge_reports(node, &self.limits);
     }
 }
 
@@ -339,7 +339,7 @@
 }
 
 /// Answers a message of another instance.
-pub(crate) async fn answer(node: &Rc<Node>, body: &[u8]) -> Option<Vec<u8>> {
+pub(crate) async fn handle_message(node: &Rc<Node>, body: &[u8]) -> Option<Vec<u8>> {
     let message: Message = rmp_serde::from_slice(body).ok()?;
     let reply = match message {
         Message::Exchange {
@@ -460,7 +460,7 @@
     *req.uri_mut() = http::Uri::from_static(PATH);
     let host = http::HeaderValue::from_str(&address.to_string()).map_err(|e| e.to_string())?;
     req.headers_mut().insert(http::header::HOST, host);
-    let res: Response<Bytes> = direct::ask(address, req, time, MESSAGE_BYTES)
+    let res: Response<Bytes> = direct::ask(address, req, time, MAX_MESSAGE_BYTES)
         .await
         .map_err(|e| e.to_string())?;
     rmp_serde::from_slice(res.body()).map_err(|e| e.to_string())
--- a/plugins/relay/src/probe.rs
+++ b/plugins/relay/src/probe.rs
@@ -55,7 +55,10 @@
         let suspect: Vec<Rc<LiveChain>> = {
             let chains = node.chains.borrow();
             let alive = chains.all().filter(|l| !l.broken.is_cancelled());
-            alive.filter(|l| l.should_ask(now)).cloned().collect()
+            alive
+                .filter(|l| l.should_probe_runners(now))
+                .cloned()
+                .collect()
         };
         for live in suspect {
             tokio::task::spawn_local(ask_parts(Rc::clone(node), live));
--- a/plugins/relay/src/quarantine.rs
+++ b/plugins/relay/src/quarantine.rs
@@ -29,7 +29,7 @@
 const PAUSE: Duration = Duration::from_millis(1_000);
 
 /// Lifetimes that a request passes through along a chain, the first one first.
-pub(crate) fn along(chain: &Chain) -> Vec<Lifetime> {
+pub(crate) fn lifetimes(chain: &Chain) -> Vec<Lifetime> {
     chain.stages.iter().map(|s| lifetime(&s.runner)).collect()
 }
 
@@ -57,7 +57,7 @@
 
 /// How long a request is not to be sent to any runner, in milliseconds; `None` if it may be. What is not
 /// known yet is waited for until the time `until`.
-pub(crate) async fn held_ms(node: &Node, rq: &Proxied, until: Millis) -> Option<Millis> {
+pub(crate) async fn quarantined_ms(node: &Node, rq: &Proxied, until: Millis) -> Option<Millis> {
     loop {
         match verdict(node, rq) {
             Verdict::Allowed => return None,
@@ -69,7 +69,7 @@
 }
 
 /// A run of a request came to its end, or went on for long enough.
-pub(crate) fn survived(node: &Node, rq: &Proxied) {
+pub(crate) fn record_survival(node: &Node, rq: &Proxied) {
     let mut quarantine = node.quarantine.borrow_mut();
     if !quarantine.is_idle() && quarantine.record_survival(rq.fingerprint(), node.now()) {
         log::info!(request = rq.id.as_ref(), fingerprint:% = rq.fingerprint(); "strikes are void");
@@ -78,7 +78,7 @@
 }
 
 /// Looks what became of the runners of runs that broke off.
-pub(crate) fn settle(node: &Node) {
+pub(crate) fn evaluate(node: &Node) {
     let mut quarantine = node.quarantine.borrow_mut();
     if quarantine.is_idle() {
         return;
@@ -112,7 +112,7 @@
 }
 
 /// Takes in cases that another instance, or the store, tells.
-pub(crate) fn hear(node: &Node, cases: &[CrashRecord]) {
+pub(crate) fn merge_records(node: &Node, cases: &[CrashRecord]) {
     let now = node.now();
     let mut is_news = false;
     for case in cases {
@@ -139,7 +139,7 @@
     }
     loop {
         sleep(LOOK).await;
-        settle(node);
+        evaluate(node);
         let written = write(node).await;
         if let Err(cause) = written {
             log::warn!(cause:% = cause; "held requests not written");
@@ -166,7 +166,7 @@
     if !cases.is_empty() {
         log::info!(held = cases.len(); "held requests read");
     }
-    hear(node, &cases);
+    merge_records(node, &cases);
     Ok(())
 }
 
--- a/plugins/relay/src/server.rs
+++ b/plugins/relay/src/server.rs
@@ -228,13 +228,13 @@
 }
 
 async fn peer(node: &Rc<Node>, req: Request<Incoming>) -> Response<RelayBody> {
-    let body = Limited::new(req.into_body(), peers::MESSAGE_BYTES)
+    let body = Limited::new(req.into_body(), peers::MAX_MESSAGE_BYTES)
         .collect()
         .await;
     let Ok(body) = body else {
         return plain(StatusCode::BAD_REQUEST, "message not readable");
     };
-    match peers::answer(node, &body.to_bytes()).await {
+    match peers::handle_message(node, &body.to_bytes()).await {
         Some(reply) => whole(StatusCode::OK, "application/msgpack", reply.into()),
         None => plain(StatusCode::BAD_REQUEST, "message not understood"),
     }
--- a/plugins/relay/src/stream.rs
+++ b/plugins/relay/src/stream.rs
@@ -21,7 +21,7 @@
 use crate::answer::{Cause, Cut, Journal, RelayBody};
 use crate::breaks::{self, BrokenOff, Progress};
 use crate::events::Events;
-use crate::live::{LiveChain, Passage};
+use crate::live::{InFlight, LiveChain};
 use crate::node::Node;
 use crate::quarantine;
 use crate::request::{Proxied, count};
@@ -52,7 +52,7 @@
     let mut tried = Tried::default();
     let cause = loop {
         let until = admit::until(node, &rq, tried.journal);
-        if let Some(held_ms) = quarantine::held_ms(node, &rq, until).await {
+        if let Some(held_ms) = quarantine::quarantined_ms(node, &rq, until).await {
             return rq.not_answered(node, tried.journal, Cause::Held, held_ms);
         }
         let may_take = |live: &LiveChain| tried.may_take(node, &rq, live);
@@ -61,14 +61,14 @@
             Err(cause) => break cause,
         };
         // It may have become known while this waited for room.
-        if let Some(held_ms) = quarantine::held_ms(node, &rq, until).await {
+        if let Some(held_ms) = quarantine::quarantined_ms(node, &rq, until).await {
             return rq.not_answered(node, tried.journal, Cause::Held, held_ms);
         }
         if tried.journal.sends > 0 && !node.take_retry(&rq.service, tried.journal.need()) {
             break Cause::RunnerFailed;
         }
         match tried.open(node, &rq, &live, rq.last_event).await {
-            Opened::Stream(passage, res) => return pass_on(node, rq, passage, res, tried),
+            Opened::Stream(in_flight, res) => return pass_on(node, rq, in_flight, res, tried),
             Opened::Timeout => break Cause::Timeout,
             Opened::NotRun | Opened::Unreached | Opened::Broken | Opened::Lost => {}
         }
@@ -91,13 +91,13 @@
 fn pass_on(
     node: &Rc<Node>,
     rq: Proxied,
-    passage: Passage,
+    in_flight: InFlight,
     res: Response<AnswerBody>,
     tried: Tried,
 ) -> Response<RelayBody> {
     let (parts, body) = res.into_parts();
     let now = node.now();
-    passage.heard();
+    in_flight.record_bytes();
     metrics::histogram!("jacinthweir_first_event_seconds")
         .record((now - rq.received_ms) as f64 / 1e3);
     let run = Run {
@@ -109,7 +109,7 @@
         longest_gap_ms: 0,
         resumed: 0,
         tried,
-        passage: Some(passage),
+        in_flight: Some(in_flight),
         body: Some(body),
         node: Rc::clone(node),
         rq,
@@ -129,7 +129,7 @@
 struct Run {
     node: Rc<Node>,
     rq: Proxied,
-    passage: Option<Passage>,
+    in_flight: Option<InFlight>,
     body: Option<AnswerBody>,
     events: Events,
     /// Whether it is a success: only then are its bytes events.
@@ -227,7 +227,7 @@
 
     async fn read(&mut self) -> Next {
         let left = Duration::from_millis(self.rq.left_ms(&self.node));
-        let (Some(body), Some(passage)) = (&mut self.body, &self.passage) else {
+        let (Some(body), Some(in_flight)) = (&mut self.body, &self.in_flight) else {
             return Next::Broke("no run".to_owned());
         };
         tokio::select! {
@@ -237,20 +237,20 @@
                 Some(Err(e)) => Next::Broke(e.to_string()),
                 None => Next::End,
             },
-            () = passage.live.broken.cancelled() => Next::ChainBroke,
+            () = in_flight.live.broken.cancelled() => Next::ChainBroke,
             () = sleep(left) => Next::Timeout,
         }
     }
 
     /// The run broke off.
     fn broke(&self, cause: &str) {
-        if let Some(passage) = &self.passage {
+        if let Some(in_flight) = &self.in_flight {
             let progress = Progress::Ran(self.heard_ms.saturating_sub(self.began_ms));
-            let through = quarantine::along(&passage.live.chain);
+            let through = quarantine::lifetimes(&in_flight.live.chain);
             let broken = BrokenOff {
                 rq: &self.rq,
                 through,
-                sent_ms: passage.sent_ms,
+                sent_ms: in_flight.sent_ms,
                 progress,
                 cause,
             };
@@ -263,9 +263,9 @@
         let gap = now - self.heard_ms;
         self.heard_ms = now;
         self.longest_gap_ms = self.longest_gap_ms.max(gap);
-        if let Some(passage) = &self.passage {
-            passage.heard();
-            passage.live.gaps.borrow_mut().record(now, gap);
+        if let Some(in_flight) = &self.in_flight {
+            in_flight.record_bytes();
+            in_flight.live.gaps.borrow_mut().record(now, gap);
         }
     }
 
@@ -274,8 +274,8 @@
         let per_event = self.rq.engine().map_or(1, |e| e.event_tokens);
         let (prompt, _) = admit::declared(&self.rq);
         let written = self.events.count() * u64::from(per_event);
-        if let Some(passage) = &mut self.passage {
-            passage.at_least(f64::from(prompt) + written as f64);
+        if let Some(in_flight) = &mut self.in_flight {
+            in_flight.raise_tokens(f64::from(prompt) + written as f64);
         }
     }
 
@@ -286,22 +286,22 @@
     /// `None`: a new run is needed.
     async fn reroute(&mut self) -> Option<()> {
         let decided = self.heard_ms + self.patience_ms(REROUTE_SHARE);
-        if quarantine::held_ms(&self.node, &self.rq, decided)
+        if quarantine::quarantined_ms(&self.node, &self.rq, decided)
             .await
             .is_some()
         {
             return None;
         }
-        let broken = Rc::clone(&self.passage.as_ref()?.live);
+        let broken = Rc::clone(&self.in_flight.as_ref()?.live);
         let in_time = self.heard_ms + self.rq.pause_ms.saturating_sub(READ_MS);
         let until = self.heard_ms + self.patience_ms(REROUTE_SHARE);
-        while self.node.now() < until && self.node.has_head(&broken) {
+        while self.node.now() < until && self.node.is_head_alive(&broken) {
             // Without a further send a chain elsewhere is of no use: the lost layers are waited for.
             let elsewhere = self.next_chain().filter(|_| self.may_run_again());
-            let elsewhere = elsewhere.map(|l| l.unread_tokens());
+            let elsewhere = elsewhere.map(|l| l.prefill_tokens());
             let in_time = self.node.now() < in_time;
             match (self.node.successor(&broken), elsewhere) {
-                (Some(live), Some(tokens)) if in_time && live.unread_tokens() > tokens => {
+                (Some(live), Some(tokens)) if in_time && live.prefill_tokens() > tokens => {
                     return None;
                 }
                 (Some(live), _) => return self.send_along(live).await,
@@ -326,7 +326,7 @@
     }
 
     async fn send_along(&mut self, live: Rc<LiveChain>) -> Option<()> {
-        self.passage.as_mut()?.move_to(Rc::clone(&live));
+        self.in_flight.as_mut()?.move_to(Rc::clone(&live));
         let ordered = runner::reroute(&live.chain, &self.rq.id, REROUTE_ANSWER).await;
         let outcome = match &ordered {
             Ok(_) => "ordered".to_owned(),
@@ -350,7 +350,7 @@
         self.body = None;
         // A runner that broke off is most likely dead, and not yet known to be.
         self.tried.left = self
-            .passage
+            .in_flight
             .take()
             .iter()
             .map(|p| Rc::clone(&p.live))
@@ -364,7 +364,7 @@
         let mut place = Some(Place::ahead(&self.node));
         let mut lacking = GivenUp::NoChain;
         while self.node.now() < until {
-            if quarantine::held_ms(&self.node, &self.rq, until)
+            if quarantine::quarantined_ms(&self.node, &self.rq, until)
                 .await
                 .is_some()
             {
@@ -378,9 +378,9 @@
                 place = None;
             }
             lacking = match self.try_on().await {
-                Ok((passage, res)) => {
+                Ok((in_flight, res)) => {
                     drop(place);
-                    self.resumed(passage, res, cause);
+                    self.resumed(in_flight, res, cause);
                     return Ok(());
                 }
                 Err(GivenUp::OutOfTime) => return Err(GivenUp::OutOfTime),
@@ -394,7 +394,7 @@
     }
 
     /// One try to go on with another run.
-    async fn try_on(&mut self) -> Result<(Passage, Response<AnswerBody>), GivenUp> {
+    async fn try_on(&mut self) -> Result<(InFlight, Response<AnswerBody>), GivenUp> {
         let live = self.next_chain().ok_or(GivenUp::NoChain)?;
         // Each send counts, also one that a runner refuses.
         if !self
@@ -405,7 +405,9 @@
         }
         let after = self.events.last();
         match self.tried.open(&self.node, &self.rq, &live, after).await {
-            Opened::Stream(passage, res) if res.status() == StatusCode::OK => Ok((passage, res)),
+            Opened::Stream(in_flight, res) if res.status() == StatusCode::OK => {
+                Ok((in_flight, res))
+            }
             Opened::Stream(..) => Err(GivenUp::NextFailed),
             Opened::NotRun | Opened::Unreached => Err(GivenUp::NextRefused),
             Opened::Broken => Err(GivenUp::NextBroke),
@@ -420,31 +422,31 @@
             .choose_chain(&self.rq, chain_selection::MAX_FILL_RESUMED, may_take)
     }
 
-    fn resumed(&mut self, passage: Passage, res: Response<AnswerBody>, cause: &str) {
+    fn resumed(&mut self, in_flight: InFlight, res: Response<AnswerBody>, cause: &str) {
         self.resumed += 1;
         self.began_ms = self.node.now();
         count("resumed");
         log::info!(
             request = self.rq.id.as_ref(),
-            chain = passage.live.label(),
+            chain = in_flight.live.label(),
             after:? = self.events.last(),
             silent_ms = self.node.now() - self.heard_ms,
             cause;
             "resumed"
         );
-        self.passage = Some(passage);
+        self.in_flight = Some(in_flight);
         self.body = Some(res.into_body());
     }
 
     fn end(&mut self) -> Option<Result<Bytes, Cut>> {
         self.ended = true;
-        quarantine::survived(&self.node, &self.rq);
+        quarantine::record_survival(&self.node, &self.rq);
         let after_ms = self.node.now() - self.rq.received_ms;
         count("answered");
         log::info!(
             request = self.rq.id.as_ref(),
             route = self.rq.route.as_ref(),
-            chain = self.passage.as_ref().map_or_else(String::new, |p| p.live.label()),
+            chain = self.in_flight.as_ref().map_or_else(String::new, |p| p.live.label()),
             resumed = self.resumed,
             first_after_ms = self.first_ms - self.rq.received_ms,
             longest_gap_ms = self.longest_gap_ms,
@@ -452,14 +454,14 @@
             after_ms;
             "answered"
         );
-        self.passage = None;
+        self.in_flight = None;
         self.body = None;
         None
     }
 
     fn cut(&mut self, cause: String, given_up: Option<GivenUp>) -> Option<Result<Bytes, Cut>> {
         self.ended = true;
-        self.passage = None;
+        self.in_flight = None;
         self.body = None;
         count("cut");
         log::warn!(
@@ -487,7 +489,7 @@
         count("left");
         log::info!(
             request = self.rq.id.as_ref(),
-            chain = self.passage.as_ref().map_or_else(String::new, |p| p.live.label()),
+            chain = self.in_flight.as_ref().map_or_else(String::new, |p| p.live.label()),
             events = self.events.count(),
             silent_ms = now - self.heard_ms,
             after_ms = now - self.rq.received_ms;
--- a/plugins/relay/src/tried.rs
+++ b/plugins/relay/src/tried.rs
@@ -14,16 +14,16 @@
 use crate::answer::Journal;
 use crate::attempt::{self, Sent};
 use crate::breaks::{self, BrokenOff, Progress};
-use crate::live::{LiveChain, Passage};
+use crate::live::{InFlight, LiveChain};
 use crate::node::Node;
 use crate::probe;
-use crate::quarantine::along;
+use crate::quarantine::lifetimes;
 use crate::request::Proxied;
 
 /// What came of sending a request into a chain.
 pub(crate) enum Opened {
     /// The head of an answer.
-    Stream(Passage, Response<AnswerBody>),
+    Stream(InFlight, Response<AnswerBody>),
     /// A runner says that it did not run the request.
     NotRun,
     /// No connection to the first runner.
@@ -95,7 +95,7 @@
 
 /// Sends a request into a chain and waits for the head.
 async fn open(node: &Rc<Node>, rq: &Proxied, live: &Rc<LiveChain>, after: Option<u64>) -> Opened {
-    let passage = Passage::open(node, Rc::clone(live), admit::tokens(rq));
+    let in_flight = InFlight::open(node, Rc::clone(live), admit::tokens(rq));
     let head = live.chain.head();
     let mut req = rq.to_send(node, &head.id);
     if let Some(value) = header::value(&header::chain(&live.chain)) {
@@ -110,14 +110,14 @@
         sent = timeout(left, attempt::send(node, head, &rq.id, req)) => sent,
         () = live.broken.cancelled() => {
             log_attempt(rq, live, "chain broke", "");
-            note_waiting(node, rq, &passage, "chain broke");
+            note_waiting(node, rq, &in_flight, "chain broke");
             return Opened::Broken;
         }
     };
     match sent {
         Ok(Sent::Answer(res)) => {
             live.refusals.borrow_mut().record_accepted(node.now());
-            Opened::Stream(passage, res)
+            Opened::Stream(in_flight, res)
         }
         Ok(Sent::NotRun { status, at_fault }) => {
             let at_fault_shown = at_fault.map_or_else(String::new, |a| a.to_string());
@@ -136,7 +136,7 @@
         }
         Ok(Sent::Lost(cause)) => {
             log_attempt(rq, live, "lost", &cause);
-            note_waiting(node, rq, &passage, &cause);
+            note_waiting(node, rq, &in_flight, &cause);
             Opened::Lost
         }
         Err(_) => {
@@ -147,11 +147,11 @@
 }
 
 /// A run broke off of which nothing had come.
-fn note_waiting(node: &Rc<Node>, rq: &Proxied, passage: &Passage, cause: &str) {
+fn note_waiting(node: &Rc<Node>, rq: &Proxied, in_flight: &InFlight, cause: &str) {
     let broken = BrokenOff {
         rq,
-        through: along(&passage.live.chain),
-        sent_ms: passage.sent_ms,
+        through: lifetimes(&in_flight.live.chain),
+        sent_ms: in_flight.sent_ms,
         progress: Progress::Waited,
         cause,
     };
