--- a/plugins/relay/src/lib.rs
+++ b/plugins/relay/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! Each instance is a single-threaded process that accepts requests from callers, sends each
 //! through a chain of runners or to a plain service, and streams the answer back. All decisions are
-//! made in [`jacinthweir_policy::relay`]; the interfaces of the platform are in [`jacinthweir_platform`].
+//! made in [`jacinthweir_policy::relay`]; the interfaces of the platform are in
+//! [`jacinthweir_platform`].
 //!
 //! | module | responsibility |
 //! |---|---|
@@ -19,7 +20,7 @@
 //! | `attempt` | one attempt at a runner |
 //! | `breaks`, `quarantine` | interrupted runs; requests that crash their runners |
 //! | `call` | requests with a single response |
-//! | `admit`, `tried`, `stream`, `events` | event streams: admission, attempts, the response, its events |
+//! | `admit`, `tried`, `stream`, `events` | event streams: admission, attempts, response, events |
 //! | `limits` | rate limits that runners announce |
 //! | `answer` | final responses, and what they may contain |
 //! | `shutdown` | drain and shutdown |
--- a/plugins/relay/src/live.rs
+++ b/plugins/relay/src/live.rs
@@ -1,4 +1,4 @@
-//! Chains in use, and what is in flight through each.
+//! Chains in use, and the requests in flight on each.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -25,53 +25,54 @@
     pub(crate) silence: RefCell<SilenceDetector>,
     pub(crate) gaps: RefCell<EventGaps>,
     pub(crate) refusals: RefCell<RefusalBackoff>,
-    /// Tokens in an event: its declared gap is that many steps.
+    /// Tokens per event; the declared gap between events is that many token steps.
     event_tokens: f64,
-    /// Time of a token step with its parts as slow as they are now, in milliseconds.
+    /// Duration of a token step at the current pace of the chain's runners, in milliseconds.
     step_ms: Cell<f64>,
-    /// Cancelled when a part is known to be dead: what passes through goes elsewhere.
+    /// Cancelled when a runner of the chain is known to be dead, so that requests in flight move to
+    /// another chain.
     pub(crate) broken: CancellationToken,
-    /// Tokens of this instance's requests that it has yet to read before their next event.
-    unread: Cell<f64>,
-    /// Tokens in flight from this instance through the chain's first runner; chains that followed
-    /// one another behind it share it, as they share most runners.
+    /// Tokens of this instance's requests that the chain has to prefill before their next event.
+    prefill: Cell<f64>,
+    /// Tokens in flight from this instance through the chain's first runner. Successive chains
+    /// behind the same first runner share the counter, since they share most runners.
     used: Rc<Cell<f64>>,
 }
 
-/// Chains by service.
+/// Chains of all services.
 #[derive(Default)]
 pub(crate) struct Chains {
     current: BTreeMap<Name, Vec<Rc<LiveChain>>>,
-    /// Chains that were replaced and may still have requests.
+    /// Replaced chains that may still have requests in flight.
     replaced: Vec<Rc<LiveChain>>,
     used: BTreeMap<(Name, Name), Rc<Cell<f64>>>,
-    /// The newest chain behind each first runner, and when it was worked out.
+    /// Stages of the newest chain behind each first runner, and when it was computed.
     paths: BTreeMap<(Name, Name), (Vec<Stage>, Millis)>,
 }
 
-/// How long the path behind a first runner that no chain begins with is remembered, in
-/// milliseconds. Other instances may have requests there that this one has not.
-const PATH_KEPT_MS: Millis = 30_000;
+/// How long the stages behind a first runner are kept after the last chain that begins with it, in
+/// milliseconds. Other instances may still have requests in flight there.
+const PATH_RETENTION_MS: Millis = 30_000;
 
 impl Chains {
-    /// Chains of a service that new requests may take.
+    /// Returns the chains of a service that accept new requests.
     pub(crate) fn of(&self, service: &str) -> &[Rc<LiveChain>] {
         self.current.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Every chain with requests in flight, and those in use.
+    /// Returns the chains in use, and the replaced ones that may still have requests in flight.
     pub(crate) fn all(&self) -> impl Iterator<Item = &Rc<LiveChain>> {
         self.current.values().flatten().chain(&self.replaced)
     }
 
-    /// Tokens in flight from this instance, by service and first runner.
+    /// Returns the tokens in flight from this instance, by service and first runner.
     pub(crate) fn used(&self) -> impl Iterator<Item = (&Name, &Name, f64)> {
         let all = self.used.iter();
         all.map(|((service, head), used)| (service, head, used.get()))
     }
 
-    /// Remembers which runners the requests behind each first runner pass through.
-    fn remember_paths(&mut self, service: &Name, now: Millis) {
+    /// Stores which runners the requests behind each first runner pass through.
+    fn store_paths(&mut self, service: &Name, now: Millis) {
         for live in self.current.get(service).into_iter().flatten() {
             let key = (service.clone(), live.chain.head().id.clone());
             let path = self.paths.entry(key).or_default();
@@ -80,9 +81,12 @@
                 path.0.clone_from(&live.chain.stages);
             }
         }
-        self.paths.retain(|_, path| now < path.1 + PATH_KEPT_MS);
+        self.paths
+            .retain(|_, path| now < path.1 + PATH_RETENTION_MS);
     }
 
+    /// Replaces the chains of a service, keeping the state of those whose stages are unchanged.
+    /// Returns whether anything changed.
     fn replace(&mut self, service: &Name, engine: &Engine, chains: Vec<Chain>) -> bool {
         let mut old = self.current.remove(service).unwrap_or_default();
         let mut changed = old.len() != chains.len();
@@ -107,7 +111,7 @@
                 event_tokens,
                 step_ms: Cell::new(chain.step_ms),
                 broken: CancellationToken::new(),
-                unread: Cell::new(0.0),
+                prefill: Cell::new(0.0),
                 used,
                 chain,
             }));
@@ -122,14 +126,14 @@
 }
 
 impl LiveChain {
-    /// Whether the chain's parts should be asked: it is silent, or slow.
+    /// Whether the chain's runners should be probed, because it is silent or slow.
     pub(crate) fn should_probe_runners(&self, now: Millis) -> bool {
         let declared_ms = self.event_tokens * self.step_ms.get();
         let silent = self.silence.borrow_mut().should_probe(now);
         silent || self.gaps.borrow_mut().should_probe(now, declared_ms)
     }
 
-    /// When its parts are to be asked if nothing is heard until then, in milliseconds.
+    /// Returns when to probe the chain's runners unless bytes arrive before, in milliseconds.
     pub(crate) fn due_ms(&self) -> Option<Millis> {
         let declared_ms = self.event_tokens * self.step_ms.get();
         let silent = self.silence.borrow().due_ms();
@@ -137,34 +141,34 @@
         silent.into_iter().chain(slow).min()
     }
 
-    /// Whether a part is dead, or started anew since and lost all it held.
+    /// Whether a runner is dead, or has restarted since and lost its state.
     fn is_broken(&self, runners: &Runners) -> bool {
         self.chain.stages.iter().any(|s| {
-            let reborn =
+            let restarted =
                 |e: &jacinthweir_policy::relay::runners::RunnerEntry| e.born_ms != s.runner.born_ms;
             let dead = runners.health(&s.runner.id).dead;
-            dead || runners.entry(&s.runner.id).is_some_and(reborn)
+            dead || runners.entry(&s.runner.id).is_some_and(restarted)
         })
     }
 
-    /// The first runner, by identity and lifetime.
+    /// Returns the identity and lifetime of the first runner.
     pub(crate) fn head(&self) -> (&Name, u64) {
         let head = self.chain.head();
         (&head.id, head.born_ms)
     }
 
-    /// Tokens in flight through it from this instance.
+    /// Returns the tokens in flight through the first runner from this instance.
     pub(crate) fn used_tokens(&self) -> f64 {
         self.used.get()
     }
 
-    /// Tokens that it has yet to read before the next events of this instance's requests. A chain
-    /// reads some hundred a millisecond, whatever it writes meanwhile.
+    /// Returns the tokens to prefill before the next events of this instance's requests. A chain
+    /// prefills some hundred tokens per millisecond, whatever it generates meanwhile.
     pub(crate) fn prefill_tokens(&self) -> f64 {
-        self.unread.get()
+        self.prefill.get()
     }
 
-    /// Name in logs: the domain, and the parts.
+    /// Returns the name in logs: failure domain and number of stages.
     pub(crate) fn label(&self) -> String {
         let domain = self.chain.domain.as_deref().unwrap_or("across");
         format!("{domain}/{}", self.chain.stages.len())
@@ -172,7 +176,7 @@
 }
 
 impl Node {
-    /// Works out the chains anew; ends what passes through those that broke.
+    /// Recomputes the chains, and interrupts the requests on those that are broken.
     pub(crate) fn rebuild_chains(&self) {
         let Some(intent) = self.intent() else {
             return;
@@ -185,10 +189,10 @@
                 continue;
             };
             let found = chain::chains(&runners, service, engine, now);
-            // Once more afterwards: what is replaced now is remembered from now on.
-            chains.remember_paths(service, now);
+            // The retention of replaced chains begins now, so stages are stored before and after.
+            chains.store_paths(service, now);
             let changed = chains.replace(service, engine, found);
-            chains.remember_paths(service, now);
+            chains.store_paths(service, now);
             if changed {
                 log_chains(service, chains.of(service), now);
             }
@@ -209,7 +213,7 @@
         self.room_freed.notify_waiters();
     }
 
-    /// Whether a chain's first runner still lives, as far as is known.
+    /// Whether a chain's first runner is in the same lifetime and not known to be dead.
     pub(crate) fn is_head_alive(&self, live: &LiveChain) -> bool {
         let (id, born_ms) = live.head();
         let runners = self.runners.borrow();
@@ -217,15 +221,16 @@
         entry.is_some_and(|e| e.born_ms == born_ms) && !runners.health(id).dead
     }
 
-    /// The chain that took the place of a broken one behind the same first runner.
+    /// Returns the chain that replaced a broken one behind the same first runner.
     pub(crate) fn successor(&self, broken: &LiveChain) -> Option<Rc<LiveChain>> {
         let chains = self.chains.borrow();
-        let whole = chains.of(&broken.service).iter();
-        let mut whole = whole.filter(|l| !l.broken.is_cancelled());
-        whole.find(|l| l.head() == broken.head()).map(Rc::clone)
+        let intact = chains.of(&broken.service).iter();
+        let mut intact = intact.filter(|l| !l.broken.is_cancelled());
+        intact.find(|l| l.head() == broken.head()).map(Rc::clone)
     }
 
-    /// The chain for a request below `fill`, of those that it may take.
+    /// Selects a chain for a request among those that `may_take` accepts. `fill` is the highest
+    /// occupancy up to which a chain is filled.
     pub(crate) fn choose_chain(
         &self,
         rq: &Proxied,
@@ -244,14 +249,14 @@
             let own = own.map_or(0.0, |used| used.get());
             occupancy.add(stages, own + loads.used_tokens(service, head));
         }
-        let mut rooms = Vec::with_capacity(live.len());
+        let mut candidates = Vec::with_capacity(live.len());
         for (i, l) in live.iter().enumerate() {
             let is_limited = !limits::allows(self, l.chain.head());
             if is_limited || l.broken.is_cancelled() || !may_take(l) {
                 continue;
             }
             let domain = l.chain.domain.as_ref();
-            rooms.push(ChainCandidate {
+            candidates.push(ChainCandidate {
                 chain: i,
                 near: domain == Some(&self.settings.failure_domain),
                 room_tokens: l.chain.room_tokens * l.refusals.borrow().room_scale(),
@@ -261,9 +266,10 @@
                 gap_share: l.gaps.borrow().expected_ms(now) / rq.pause_ms.max(1) as f64,
             });
         }
-        let deciders = self.live_instances();
-        let chosen =
-            chain_selection::select_sampled(&rooms, tokens, fill, deciders, || self.random_f64());
+        let instances = self.live_instances();
+        let chosen = chain_selection::select_sampled(&candidates, tokens, fill, instances, || {
+            self.random_f64()
+        });
         chosen.map(|i| Rc::clone(&live[i]))
     }
 }
@@ -284,21 +290,23 @@
     metrics::gauge!("jacinthweir_chains_whole").set(chains.len() as f64);
 }
 
-/// One request's passage through a chain: counts its tokens and its silence while it lasts.
+/// A request in flight on a chain. Its tokens and its silence are accounted to the chain until it
+/// is dropped.
 pub(crate) struct InFlight {
     node: Rc<Node>,
     pub(crate) live: Rc<LiveChain>,
     /// When the request was sent, in milliseconds.
     pub(crate) sent_ms: Millis,
     tokens: f64,
-    /// Tokens to be read before the next event.
-    unread: Cell<f64>,
+    /// Tokens to prefill before the next event.
+    prefill: Cell<f64>,
 }
 
 impl InFlight {
+    /// Accounts a request of `tokens` tokens to a chain.
     pub(crate) fn open(node: &Rc<Node>, live: Rc<LiveChain>, tokens: f64) -> InFlight {
         live.used.set(live.used.get() + tokens);
-        live.unread.set(live.unread.get() + tokens);
+        live.prefill.set(live.prefill.get() + tokens);
         live.silence.borrow_mut().request_sent(node.now());
         if live
             .due_ms()
@@ -311,11 +319,11 @@
             live,
             sent_ms: node.now(),
             tokens,
-            unread: Cell::new(tokens),
+            prefill: Cell::new(tokens),
         }
     }
 
-    /// The request takes `tokens` tokens by now: its answer is longer than was expected.
+    /// Raises the request's tokens to `tokens`, if its answer is longer than expected.
     pub(crate) fn raise_tokens(&mut self, tokens: f64) {
         if tokens > self.tokens {
             self.live
@@ -325,16 +333,16 @@
         }
     }
 
-    /// The request passes through another chain behind the same first runner from now on.
+    /// Moves the request to another chain behind the same first runner.
     pub(crate) fn move_to(&mut self, live: Rc<LiveChain>) {
         let sent_ms = self.sent_ms;
         *self = InFlight::open(&self.node, live, self.tokens);
         self.sent_ms = sent_ms;
     }
 
-    /// Bytes came.
+    /// Records that bytes of the answer arrived.
     pub(crate) fn record_bytes(&self) {
-        self.has_read();
+        self.prefill_done();
         self.live
             .silence
             .borrow_mut()
@@ -343,15 +351,16 @@
 }
 
 impl InFlight {
-    fn has_read(&self) {
-        let read = self.unread.replace(0.0);
-        self.live.unread.set(self.live.unread.get() - read);
+    /// Removes the request's tokens from those that the chain has yet to prefill.
+    fn prefill_done(&self) {
+        let prefilled = self.prefill.replace(0.0);
+        self.live.prefill.set(self.live.prefill.get() - prefilled);
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.has_read();
+        self.prefill_done();
         let now = self.node.now();
         self.node
             .release_rate
