--- a/plugins/relay/src/news.rs
+++ b/plugins/relay/src/news.rs
@@ -1,10 +1,11 @@
-//! What all instances should know at once: a new configuration, and that a runner leaves, is dead,
-//! answers again, or has turned slow or quick.
+//! Gossip of changes that cannot wait for the next exchange: a new configuration, and a runner that
+//! is draining, is dead, has recovered, or has changed its pace.
 //!
-//! A round of exchanges takes 300 ms, and a stream whose chain broke is late after less. So an
-//! instance that learns such a thing tells a few others, and each for whom it was new as many again:
-//! a fleet of hundreds has heard after three steps of a few milliseconds. A message holds what is
-//! new and nothing else, since a small instance carries a few dozen of them for each event.
+//! An exchange round takes 300 ms, and a stream whose chain broke is late after less. Therefore an
+//! instance that learns of such a change gossips it to [`FANOUT`] others, and each of them for
+//! which it is new does the same, so that a fleet of hundreds has it after three hops of a few
+//! milliseconds. A message contains only what is new, since a small instance handles a few dozen of
+//! them for each event.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -26,29 +27,29 @@
 use crate::quarantine;
 use crate::watch;
 
-/// Instances that hear of news directly.
-const TELL: usize = 8;
+/// Instances that a gossip message is sent to.
+const FANOUT: usize = 8;
 
-/// Least pause between two tellings: what is learnt meanwhile goes together.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Minimum interval between two gossip messages; changes within it are coalesced.
+const MIN_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Age up to which something is news, in milliseconds. The next exchanges bring all but paces, and
-/// those are asked for again.
-const NEW_MS: Millis = 400;
+/// Age up to which a change is gossiped, in milliseconds. The next exchanges deliver everything but
+/// paces, which are probed again.
+const GOSSIP_AGE_MS: Millis = 400;
 
-/// What an instance has seen of the store.
+/// State of the store as an instance has seen it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Seen {
-    /// Version of its configuration.
+    /// Version of the configuration in force on the instance.
     pub(crate) version: u64,
-    /// Newest revision of a runner's entry.
+    /// Newest revision of a runner's entry that the instance has seen.
     runners_revision: Revision,
-    /// Runners that it heard to leave, by identity and lifetime.
+    /// Runners known to be draining, by identity and lifetime.
     leaving: Vec<(Name, u64)>,
 }
 
 impl Seen {
-    /// What this instance has seen.
+    /// Returns the state that this instance has seen.
     pub(crate) fn of(node: &Node) -> Seen {
         let leaving = node.draining_runners.borrow();
         let leaving = leaving
@@ -61,14 +62,14 @@
         }
     }
 
-    /// Another instance may know what a silent watch hides from this one.
-    pub(crate) fn take(&self, node: &Node) {
+    /// Applies what another instance has seen. A silent watch may hide it from this one.
+    pub(crate) fn apply(&self, node: &Node) {
         watch::heard_version(node, self.version);
         watch::heard_revision(node, self.runners_revision);
         let mut changed = false;
         for (id, born_ms) in &self.leaving {
             if node.runners.borrow_mut().mark_draining(id, *born_ms) {
-                log::info!(runner = id.as_ref(), born_ms; "another instance heard that the runner leaves");
+                log::info!(runner = id.as_ref(), born_ms; "peer reports a draining runner");
                 node.note_draining(id, *born_ms);
                 changed = true;
             }
@@ -79,37 +80,37 @@
     }
 }
 
-/// How slow a runner said to be.
+/// Pace that a runner reported.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Pace {
     runner: Name,
     born_ms: u64,
     pace: f64,
-    /// Time since it said so when this was written, in milliseconds.
+    /// Age of the runner's report when the message was written, in milliseconds.
     age_ms: Millis,
 }
 
-/// What one instance tells another at once.
+/// Gossip message: changes of the last [`GOSSIP_AGE_MS`] milliseconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct News {
     /// Failure domain of the sender.
     domain: Name,
     seen: Seen,
-    /// Runners that were found dead just now.
+    /// Recent failure reports.
     dead: Vec<FailureReport>,
-    /// Runners that answer again, by identity and lifetime.
+    /// Runners that recovered recently, by identity and lifetime.
     alive: Vec<(Name, u64)>,
-    /// Runners that turned slow or quick just now.
+    /// Runners whose pace changed recently.
     paces: Vec<Pace>,
-    /// Requests under which runners ended just now.
+    /// Recent crash records of requests.
     #[serde(default)]
     cases: Vec<CrashRecord>,
-    /// Runners that named another rate just now.
+    /// Recent changes of the rates that runners announce.
     #[serde(default)]
     limits: Vec<RateReport>,
 }
 
-/// Starts telling.
+/// Starts the task that sends gossip.
 pub(crate) fn spawn(node: &Rc<Node>) {
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
@@ -121,31 +122,32 @@
 async fn run(node: &Rc<Node>) {
     loop {
         node.gossip_due.notified().await;
-        let message = Rc::new(Message::News(own(node)));
-        for address in listeners(node) {
+        let message = Rc::new(Message::News(recent_changes(node)));
+        for address in receivers(node) {
             let message = Rc::clone(&message);
             tokio::task::spawn_local(async move {
-                // Who does not hear it now does so at its next exchange.
+                // An instance that misses the message learns of the changes at its next exchange.
                 if let Err(cause) = post(address, &message, ANSWER).await {
-                    log::debug!(address:% = address, cause; "news not told");
+                    log::debug!(address:% = address, cause; "gossip message not delivered");
                 }
             });
         }
-        sleep(PAUSE).await;
+        sleep(MIN_INTERVAL).await;
     }
 }
 
-fn listeners(node: &Node) -> Vec<SocketAddr> {
+/// Returns the addresses of [`FANOUT`] random live instances.
+fn receivers(node: &Node) -> Vec<SocketAddr> {
     let membership = node.membership.borrow();
     let others = membership.live().filter(|m| m.name != node.settings.name);
     let others = others.map(|m| m.peers);
-    node.with_rng(|rng| others.sample(rng, TELL))
+    node.with_rng(|rng| others.sample(rng, FANOUT))
 }
 
-/// What is new here.
-fn own(node: &Node) -> News {
+/// Returns the changes of the last [`GOSSIP_AGE_MS`] milliseconds.
+fn recent_changes(node: &Node) -> News {
     let now = node.now();
-    let since = now.saturating_sub(NEW_MS);
+    let since = now.saturating_sub(GOSSIP_AGE_MS);
     let runners = node.runners.borrow();
     let mut alive = Vec::new();
     let mut paces = Vec::new();
@@ -169,18 +171,21 @@
         dead: node.failure_reports.borrow().updated_since(since).collect(),
         alive,
         paces,
-        limits: node.rate_limits.borrow().recent_reports(NEW_MS, true, now),
+        limits: node
+            .rate_limits
+            .borrow()
+            .recent_reports(GOSSIP_AGE_MS, true, now),
         cases: node
             .quarantine
             .borrow()
-            .updates(NEW_MS, false, now)
+            .updates(GOSSIP_AGE_MS, false, now)
             .collect(),
     }
 }
 
-/// Takes in what another instance tells.
-pub(crate) fn take(node: &Rc<Node>, news: &News) {
-    news.seen.take(node);
+/// Applies a gossip message of another instance.
+pub(crate) fn apply(node: &Rc<Node>, news: &News) {
+    news.seen.apply(node);
     probe::hear_words(node, &news.dead);
     quarantine::merge_records(node, &news.cases);
     limits::merge_reports(node, &news.limits);
@@ -189,7 +194,7 @@
         changed |= probe::hear_alive(node, id, *born_ms, &news.domain);
     }
     for pace in &news.paces {
-        changed |= take_pace(node, pace);
+        changed |= apply_pace(node, pace);
     }
     if changed {
         node.gossip_due.notify_one();
@@ -197,13 +202,14 @@
     }
 }
 
-/// A runner told another instance how slow it is: this one need not ask by itself.
-fn take_pace(node: &Node, heard: &Pace) -> bool {
+/// Applies a pace that a runner reported to another instance, which saves a probe. Returns whether
+/// it changed the runner's pace.
+fn apply_pace(node: &Node, reported: &Pace) -> bool {
     let same = {
         let runners = node.runners.borrow();
-        let entry = runners.entry(&heard.runner);
-        entry.is_some_and(|e| e.born_ms == heard.born_ms)
+        let entry = runners.entry(&reported.runner);
+        entry.is_some_and(|e| e.born_ms == reported.born_ms)
     };
-    let at_ms = node.now().saturating_sub(heard.age_ms);
-    same && probe::set_pace(node, &heard.runner, heard.pace, at_ms)
+    let at_ms = node.now().saturating_sub(reported.age_ms);
+    same && probe::set_pace(node, &reported.runner, reported.pace, at_ms)
 }
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -95,7 +95,7 @@
     }
 
     fn take(&self, node: &Rc<Node>) {
-        self.seen.take(node);
+        self.seen.apply(node);
         probe::hear_words(node, &self.dead);
         quarantine::merge_records(node, &self.cases);
         limits::merge_reports(node, &self.limits);
@@ -369,7 +369,7 @@
             Reply::Done
         }
         Message::News(news) => {
-            news::take(node, &news);
+            news::apply(node, &news);
             Reply::Done
         }
         Message::Step(step) => {
