--- a/plugins/relay/src/news.rs
+++ b/plugins/relay/src/news.rs
@@ -22,7 +22,7 @@
 
 use crate::limits;
 use crate::node::Node;
-use crate::peers::{ANSWER, Message, post};
+use crate::peers::{Message, PEER_TIMEOUT, post};
 use crate::probe;
 use crate::quarantine;
 use crate::watch;
@@ -127,7 +127,7 @@
             let message = Rc::clone(&message);
             tokio::task::spawn_local(async move {
                 // An instance that misses the message learns of the changes at its next exchange.
-                if let Err(cause) = post(address, &message, ANSWER).await {
+                if let Err(cause) = post(address, &message, PEER_TIMEOUT).await {
                     log::debug!(address:% = address, cause; "gossip message not delivered");
                 }
             });
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -1,8 +1,9 @@
-//! Exchanges with other instances: who is there, what each has in flight, whom it found dead, and
-//! what it has seen of the store.
+//! Anti-entropy exchanges with other instances: membership, loads, failure reports, crash records,
+//! rate limits, and what each instance has seen of the store.
 //!
-//! The membership decides whom to exchange with, [`loads`](jacinthweir_policy::relay::loads) what of
-//! the loads each is told. What cannot wait for the next exchange is told by [`news`](crate::news).
+//! The membership selects the peers; [`loads`](jacinthweir_policy::relay::loads) decides which
+//! loads each of them is sent. Changes that cannot wait for the next exchange are sent by
+//! [`news`](crate::news).
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -31,114 +32,118 @@
 use crate::node::{Node, ROUND_MS};
 use crate::{limits, probe, quarantine, watch};
 
-/// Where instances post their messages.
+/// Path to which instances post their messages.
 pub(crate) const PATH: &str = "/peer";
 
-/// Time that a peer has to answer. Peers are a millisecond away; one that is slow for longer is as
-/// good as silent for this round.
-pub(crate) const ANSWER: Duration = Duration::from_millis(500);
+/// Timeout of a message to a peer. Peers are a millisecond away; one that takes longer counts as
+/// silent for this round.
+pub(crate) const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time that an instance has to answer another one that asks for a third. It must be well within
-/// [`ANSWER`], for which the third waits: else the third never hears that a silent instance was
-/// not reached, and one that lost its power is named to callers for six seconds.
-const VIA_ANSWER: Duration = Duration::from_millis(200);
-const _: () = assert!(VIA_ANSWER.as_millis() * 2 <= ANSWER.as_millis());
+/// Timeout of the probe that an instance makes on behalf of a peer. It must be well below
+/// [`PEER_TIMEOUT`], for which that peer waits. Otherwise the peer never learns that the suspect
+/// was not reached, and an instance that lost power stays in entry answers for six seconds.
+const INDIRECT_PROBE_TIMEOUT: Duration = Duration::from_millis(200);
+const _: () = assert!(INDIRECT_PROBE_TIMEOUT.as_millis() * 2 <= PEER_TIMEOUT.as_millis());
 
-/// The longest message, in bytes: some 300 instances.
+/// Maximum size of a message in bytes, enough for some 300 instances.
 pub(crate) const MAX_MESSAGE_BYTES: usize = 256 << 10;
 
-/// Peers that hear at once that this instance leaves.
-const ANNOUNCE_TO: usize = 8;
+/// Peers to which a change of this instance's phase is pushed at once.
+const ANNOUNCE_FANOUT: usize = 8;
 
-/// What an instance says of itself to the one that it exchanges with.
+/// State of an instance that it sends in an exchange.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct View {
     /// Failure domain.
     domain: Name,
-    /// Time since its configuration was last confirmed to be the newest, in milliseconds, when this
-    /// was written.
+    /// Time since the configuration was last confirmed to be the newest, in milliseconds, when the
+    /// message was written.
     confirmed_ms_ago: Option<Millis>,
-    /// Runners that were found dead.
-    dead: Vec<FailureReport>,
-    /// What it has seen of the store.
+    /// Failure reports about runners.
+    failure_reports: Vec<FailureReport>,
+    /// State of the store as the instance has seen it.
     seen: Seen,
-    /// Requests that are held, and those under which runners ended of late.
-    cases: Vec<CrashRecord>,
-    /// What runners said of late of their rates.
-    limits: Vec<RateReport>,
+    /// Crash records of quarantined requests, and of those that crashed runners recently.
+    crash_records: Vec<CrashRecord>,
+    /// Recent rates that runners announced.
+    rate_reports: Vec<RateReport>,
 }
 
-/// Age up to which a runner's statement is told in exchanges, in milliseconds: a few rounds.
-const LIMITS_MS: Millis = 3_000;
+/// Age up to which a rate report is sent in exchanges, in milliseconds: a few rounds.
+const RATE_REPORT_AGE_MS: Millis = 3_000;
 
-/// Age up to which the end of a runner under a request is told in exchanges, in milliseconds: a few
-/// rounds.
-const CASES_MS: Millis = 3_000;
+/// Age up to which a crash record is sent in exchanges, in milliseconds: a few rounds.
+const CRASH_RECORD_AGE_MS: Millis = 3_000;
 
 impl View {
     fn of(node: &Node) -> View {
         View {
             domain: node.settings.failure_domain.clone(),
             confirmed_ms_ago: node.config_confirmation.borrow().age_ms(node.now()),
-            dead: node.failure_reports.borrow().updated_since(0).collect(),
+            failure_reports: node.failure_reports.borrow().updated_since(0).collect(),
             seen: Seen::of(node),
-            limits: node
-                .rate_limits
-                .borrow()
-                .recent_reports(LIMITS_MS, false, node.now()),
-            cases: node
+            rate_reports: node.rate_limits.borrow().recent_reports(
+                RATE_REPORT_AGE_MS,
+                false,
+                node.now(),
+            ),
+            crash_records: node
                 .quarantine
                 .borrow()
-                .updates(CASES_MS, true, node.now())
+                .updates(CRASH_RECORD_AGE_MS, true, node.now())
                 .collect(),
         }
     }
 
-    fn take(&self, node: &Rc<Node>) {
+    fn apply(&self, node: &Rc<Node>) {
         self.seen.apply(node);
-        probe::hear_words(node, &self.dead);
-        quarantine::merge_records(node, &self.cases);
-        limits::merge_reports(node, &self.limits);
+        probe::hear_words(node, &self.failure_reports);
+        quarantine::merge_records(node, &self.crash_records);
+        limits::merge_reports(node, &self.rate_reports);
     }
 }
 
+/// Message from one instance to another.
 #[derive(Serialize, Deserialize)]
 pub(crate) enum Message {
     Exchange {
         from: Name,
         members: MemberDigest,
         view: View,
-        known: LoadDigest,
-        told: LoadUpdate,
+        load_digest: LoadDigest,
+        load_update: LoadUpdate,
     },
     Push {
         from: Name,
         members: MemberDelta,
     },
-    /// Something that all instances should know at once.
+    /// Changes that cannot wait for the next exchange.
     News(News),
-    /// What changed of the runners' entries.
+    /// Changes of runners' entries, from an instance that watches them.
     Step(ChangeBatch),
+    /// Asks the receiver to probe the instance at an address.
     Probe {
         address: SocketAddr,
     },
+    /// Asks for the receiver's own member record.
     Own,
 }
 
+/// Reply to a [`Message`].
 #[derive(Serialize, Deserialize)]
 pub(crate) enum Reply {
     Exchange {
         from: Name,
         members: MemberDelta,
         view: View,
-        told: LoadUpdate,
+        load_update: LoadUpdate,
     },
     Done,
     Record(MemberRecord),
     NotReached,
 }
 
-/// Starts the rounds.
+/// Starts the exchange rounds.
 pub(crate) fn spawn(node: &Rc<Node>) {
     let rounds = Rc::clone(node);
     tokio::task::spawn_local(async move {
@@ -149,10 +154,10 @@
 
 async fn run(node: &Rc<Node>) {
     let mut ticks = interval(Duration::from_millis(ROUND_MS));
-    let mut named = BTreeSet::new();
+    let mut live = BTreeSet::new();
     loop {
         ticks.tick().await;
-        log_changes(node, &mut named);
+        log_changes(node, &mut live);
         if node.is_ready() {
             node.membership.borrow_mut().set_phase(Phase::Serving);
         }
@@ -161,19 +166,19 @@
         node.loads.borrow_mut().refresh_totals(node.now());
         let now = node.clocks();
         let actions = node.with_rng(|rng| node.membership.borrow_mut().tick(now, rng));
-        carry_out(node, actions);
+        execute(node, actions);
     }
 }
 
-/// Logs which instances callers are no longer sent to, and which anew.
-fn log_changes(node: &Node, named: &mut BTreeSet<Name>) {
+/// Logs which instances joined or left the set of live ones, and updates `before`.
+fn log_changes(node: &Node, before: &mut BTreeSet<Name>) {
     let membership = node.membership.borrow();
     let now: BTreeSet<Name> = membership.live().map(|m| m.name.clone()).collect();
-    let new: Vec<&str> = now.difference(named).map(AsRef::as_ref).collect();
+    let new: Vec<&str> = now.difference(before).map(AsRef::as_ref).collect();
     if !new.is_empty() {
-        log::info!(peers = new.join(" "), instances = now.len(); "instances serve");
+        log::info!(peers = new.join(" "), instances = now.len(); "instances joined");
     }
-    for name in named.difference(&now) {
+    for name in before.difference(&now) {
         let member = membership.member(name);
         let suspected = member.is_some_and(Member::suspected);
         let heard_ms_ago = member.map(|m| node.now().saturating_sub(m.last_contact_ms));
@@ -186,18 +191,18 @@
         );
     }
     drop(membership);
-    *named = now;
+    *before = now;
 }
 
-/// Tells others at once that this instance's phase changed.
+/// Sets this instance's phase and pushes it to a few peers at once.
 pub(crate) fn announce(node: &Rc<Node>, phase: Phase) {
     node.membership.borrow_mut().set_phase(phase);
-    let actions = node.with_rng(|rng| node.membership.borrow().announce(ANNOUNCE_TO, rng));
-    carry_out(node, actions);
+    let actions = node.with_rng(|rng| node.membership.borrow().announce(ANNOUNCE_FANOUT, rng));
+    execute(node, actions);
 }
 
-/// Whether this instance is the one to give orders: of those that hear the store, the first by
-/// name. The lease in the store decides where instances see this differently.
+/// Returns this instance's bid for the placement lease. Of the live instances that reach the store,
+/// the first by name tries to acquire it; where instances disagree, the lease in the store decides.
 pub(crate) fn bid(node: &Node) -> Bid {
     let now = node.now();
     let own = &node.settings.name;
@@ -213,8 +218,8 @@
     }
 }
 
-/// Instances that live and hear the store, this one among them if it does.
-pub(crate) fn hear_store(node: &Node) -> Vec<Name> {
+/// Returns the live instances that reach the store, possibly including this one.
+pub(crate) fn reaching_store(node: &Node) -> Vec<Name> {
     let now = node.now();
     let loads = node.loads.borrow();
     let membership = node.membership.borrow();
@@ -225,13 +230,13 @@
     others.chain(own).cloned().collect()
 }
 
-/// The instances that watch the runners for all.
+/// Returns the instances that watch the runners for the whole fleet.
 pub(crate) fn watchers(node: &Node) -> Watchers {
-    Watchers::of(hear_store(node).iter())
+    Watchers::of(reaching_store(node).iter())
 }
 
-/// For whom this instance reads the configuration.
-pub(crate) fn confirming(node: &Node) -> ConfirmScope {
+/// Returns for whom this instance confirms the configuration.
+pub(crate) fn confirm_scope(node: &Node) -> ConfirmScope {
     let own = &node.settings;
     let now = node.now();
     let neighbours = neighbours(node);
@@ -240,14 +245,15 @@
     ConfirmScope::of(&own.name, neighbours.iter().filter(hears_store))
 }
 
-/// Whether this instance watches the runners by itself. One that gives orders must see at once what
-/// came of them, and one that does not hear the store finds out when it does again.
+/// Whether this instance watches the runners itself. The holder of the placement lease has to see
+/// the results of its orders at once, and an instance that does not reach the store has to notice
+/// when it does again.
 pub(crate) fn watches_runners(node: &Node) -> bool {
     let gives_orders = node.lease.borrow().held(node.now()).is_some();
     gives_orders || !node.reaches_store.get() || watchers(node).contains(&node.settings.name)
 }
 
-fn carry_out(node: &Rc<Node>, actions: Vec<Action>) {
+fn execute(node: &Rc<Node>, actions: Vec<Action>) {
     for action in actions {
         let node = Rc::clone(node);
         match action {
@@ -262,13 +268,15 @@
                 via,
                 suspect,
                 round,
-            } => tokio::task::spawn_local(async move { ask_via(&node, via, suspect, round).await }),
+            } => {
+                tokio::task::spawn_local(async move { probe_via(&node, via, suspect, round).await })
+            }
         };
     }
 }
 
 async fn exchange(node: &Rc<Node>, peer: Peer, round: u64, digest: MemberDigest) {
-    let asked_ms = node.now();
+    let sent_ms = node.now();
     let near = is_near(node, &peer);
     write_own_load(node);
     let message = {
@@ -277,19 +285,20 @@
             from: node.settings.name.clone(),
             members: digest,
             view: View::of(node),
-            known: loads.digest(near, asked_ms),
-            // All else comes with the answer; both ways it would be most of an exchange's bytes.
-            told: loads.push_update(near, neighbours(node).len(), asked_ms),
+            load_digest: loads.digest(near, sent_ms),
+            // The other loads come with the reply; sent both ways, they would make up most of an
+            // exchange's bytes.
+            load_update: loads.push_update(near, neighbours(node).len(), sent_ms),
         }
     };
-    let reply = post(peer.address, &message, ANSWER).await;
-    let (from, members, view, told) = match reply {
+    let reply = post(peer.address, &message, PEER_TIMEOUT).await;
+    let (from, members, view, load_update) = match reply {
         Ok(Reply::Exchange {
             from,
             members,
             view,
-            told,
-        }) if peer.name.as_ref().is_none_or(|n| *n == from) => (from, members, view, told),
+            load_update,
+        }) if peer.name.as_ref().is_none_or(|n| *n == from) => (from, members, view, load_update),
         other => {
             let cause = other
                 .err()
@@ -301,34 +310,35 @@
                 let mut membership = node.membership.borrow_mut();
                 membership.exchange_failed(now, &peer, round, rng)
             });
-            carry_out(node, actions);
+            execute(node, actions);
             return;
         }
     };
-    take_confirmation(node, asked_ms, &view);
-    take(node, &view, told);
+    accept_confirmation(node, sent_ms, &view);
+    apply_exchange(node, &view, load_update);
     let push = {
         let mut membership = node.membership.borrow_mut();
-        membership.receive_answer(node.clocks(), asked_ms, &from, &members)
+        membership.receive_answer(node.clocks(), sent_ms, &from, &members)
     };
     if let Some(members) = push {
         let from = node.settings.name.clone();
-        let pushed = post(peer.address, &Message::Push { from, members }, ANSWER).await;
-        // The next exchange makes good for a lost push: the digests still differ.
+        let pushed = post(peer.address, &Message::Push { from, members }, PEER_TIMEOUT).await;
+        // A lost push is repaired by the next exchange, since the digests still differ.
         if let Err(cause) = pushed {
             log::debug!(peer:% = peer, cause; "push failed");
         }
     }
 }
 
-async fn ask_via(node: &Rc<Node>, via: Peer, suspect: Peer, round: u64) {
+/// Has the instance `via` probe the instance `suspect`.
+async fn probe_via(node: &Rc<Node>, via: Peer, suspect: Peer, round: u64) {
     let (Some(via_name), Some(suspect_name)) = (via.name, suspect.name) else {
         return;
     };
     let message = Message::Probe {
         address: suspect.address,
     };
-    let outcome = match post(via.address, &message, ANSWER).await {
+    let outcome = match post(via.address, &message, PEER_TIMEOUT).await {
         Ok(Reply::Record(record)) => ProbeOutcome::Reached(record),
         Ok(Reply::NotReached) => ProbeOutcome::NotReached,
         Ok(_) | Err(_) => ProbeOutcome::NoAnswer,
@@ -338,7 +348,8 @@
     membership.probe_result(now, &suspect_name, &via_name, round, &outcome);
 }
 
-/// Answers a message of another instance.
+/// Handles a message of another instance and returns the encoded reply, or `None` if the message
+/// cannot be decoded.
 pub(crate) async fn handle_message(node: &Rc<Node>, body: &[u8]) -> Option<Vec<u8>> {
     let message: Message = rmp_serde::from_slice(body).ok()?;
     let reply = match message {
@@ -346,10 +357,10 @@
             from,
             members,
             view,
-            known,
-            told,
+            load_digest,
+            load_update,
         } => {
-            take(node, &view, told);
+            apply_exchange(node, &view, load_update);
             let mut membership = node.membership.borrow_mut();
             let members = membership.receive_digest(node.clocks(), &from, &members);
             drop(membership);
@@ -360,7 +371,12 @@
                 from: node.settings.name.clone(),
                 members,
                 view: View::of(node),
-                told: loads.update_for(&known, near, neighbours(node).len(), node.now()),
+                load_update: loads.update_for(
+                    &load_digest,
+                    near,
+                    neighbours(node).len(),
+                    node.now(),
+                ),
             }
         }
         Message::Push { from, members } => {
@@ -372,27 +388,29 @@
             news::apply(node, &news);
             Reply::Done
         }
-        Message::Step(step) => {
-            let _taken = watch::hear_step(node, &step);
+        Message::Step(changes) => {
+            let _applied = watch::hear_step(node, &changes);
             Reply::Done
         }
         Message::Own => Reply::Record(node.membership.borrow().own().clone()),
-        Message::Probe { address } => match post(address, &Message::Own, VIA_ANSWER).await {
-            Ok(Reply::Record(record)) => Reply::Record(record),
-            _ => Reply::NotReached,
-        },
+        Message::Probe { address } => {
+            match post(address, &Message::Own, INDIRECT_PROBE_TIMEOUT).await {
+                Ok(Reply::Record(record)) => Reply::Record(record),
+                _ => Reply::NotReached,
+            }
+        }
     };
     rmp_serde::to_vec(&reply).ok()
 }
 
-/// Whether a peer is in the own failure domain; of one that is not known yet, nothing is said.
+/// Whether a peer is known to be in this instance's failure domain.
 fn is_near(node: &Node, peer: &Peer) -> bool {
     let membership = node.membership.borrow();
     let member = peer.name.as_ref().and_then(|name| membership.member(name));
     member.is_some_and(|m| m.state().domain == node.settings.failure_domain)
 }
 
-/// Other instances of the own failure domain that live.
+/// Returns the other live instances of this instance's failure domain.
 pub(crate) fn neighbours(node: &Node) -> Vec<Name> {
     let membership = node.membership.borrow();
     let own = &node.settings;
@@ -426,33 +444,34 @@
     }
 }
 
-/// An instance that is cut off from the store may go on serving as long as another one vouches for
-/// the same version. The answer was written after the question was asked, so the other's
-/// confirmation is at least as young as it says, counted from the question.
-fn take_confirmation(node: &Node, asked_ms: Millis, view: &View) {
+/// Accepts a peer's confirmation of the configuration if both have the same version, so that an
+/// instance that is partitioned from the store may go on serving. The reply was written after the
+/// request was sent, so the confirmation is at least as recent as its age counted from the sending.
+fn accept_confirmation(node: &Node, sent_ms: Millis, view: &View) {
     let same = node
         .intent()
         .is_some_and(|i| i.version == view.seen.version);
     if let Some(age) = view.confirmed_ms_ago.filter(|_| same)
-        && let Some(confirmed) = asked_ms.checked_sub(age)
+        && let Some(confirmed) = sent_ms.checked_sub(age)
     {
         node.config_confirmation.borrow_mut().confirm(confirmed);
     }
 }
 
-/// Takes in what another instance says of itself and tells of others.
-fn take(node: &Rc<Node>, view: &View, told: LoadUpdate) {
+/// Applies the view and the loads received from another instance.
+fn apply_exchange(node: &Rc<Node>, view: &View, load_update: LoadUpdate) {
     node.loads
         .borrow_mut()
-        .apply(&view.domain, told, node.now());
+        .apply(&view.domain, load_update, node.now());
     node.update_retry_loans();
-    view.take(node);
+    view.apply(node);
 }
 
+/// Posts a message to the instance at `address` and returns its reply.
 pub(crate) async fn post(
     address: SocketAddr,
     message: &Message,
-    time: Duration,
+    timeout: Duration,
 ) -> Result<Reply, String> {
     let body = rmp_serde::to_vec(message).map_err(|e| e.to_string())?;
     let mut req = Request::new(Full::new(Bytes::from(body)));
@@ -460,7 +479,7 @@
     *req.uri_mut() = http::Uri::from_static(PATH);
     let host = http::HeaderValue::from_str(&address.to_string()).map_err(|e| e.to_string())?;
     req.headers_mut().insert(http::header::HOST, host);
-    let res: Response<Bytes> = direct::ask(address, req, time, MAX_MESSAGE_BYTES)
+    let res: Response<Bytes> = direct::ask(address, req, timeout, MAX_MESSAGE_BYTES)
         .await
         .map_err(|e| e.to_string())?;
     rmp_serde::from_slice(res.body()).map_err(|e| e.to_string())
--- a/plugins/relay/src/quarantine.rs
+++ b/plugins/relay/src/quarantine.rs
@@ -207,7 +207,7 @@
 }
 
 fn is_writer(node: &Node, request: Fingerprint) -> bool {
-    let hear_store = peers::hear_store(node);
+    let reaching_store = peers::reaching_store(node);
     node.reaches_store.get()
-        && quarantine::is_writer(&node.settings.name, hear_store.iter(), request)
+        && quarantine::is_writer(&node.settings.name, reaching_store.iter(), request)
 }
--- a/plugins/relay/src/watch.rs
+++ b/plugins/relay/src/watch.rs
@@ -94,7 +94,7 @@
         sleep(CONFIRM_LOOK).await;
         note_era(node);
         let age = node.config_confirmation.borrow().age_ms(node.now());
-        let confirming = peers::confirming(node);
+        let confirming = peers::confirm_scope(node);
         if !store_watch::should_confirm(age, node.random_f64(), reading_ms, confirming) {
             continue;
         }
@@ -246,7 +246,7 @@
 }
 
 fn longest_pause_ms(node: &Node) -> Millis {
-    let bound = match peers::confirming(node) {
+    let bound = match peers::confirm_scope(node) {
         ConfirmScope::Domain => PAUSE_BOUND_MS,
         ConfirmScope::Own => LATE_PAUSE_BOUND_MS,
     };
@@ -493,7 +493,7 @@
         }
         let (address, message) = (m.peers, Rc::clone(&message));
         tokio::task::spawn_local(async move {
-            if let Err(cause) = peers::post(address, &message, peers::ANSWER).await {
+            if let Err(cause) = peers::post(address, &message, peers::PEER_TIMEOUT).await {
                 log::debug!(address:% = address, cause; "changes of runners not told");
             }
         });
