--- a/plugins/relay/src/news.rs
+++ b/plugins/relay/src/news.rs
@@ -64,8 +64,8 @@
 
     /// Applies what another instance has seen. A silent watch may hide it from this one.
     pub(crate) fn apply(&self, node: &Node) {
-        watch::heard_version(node, self.version);
-        watch::heard_revision(node, self.runners_revision);
+        watch::record_peer_version(node, self.version);
+        watch::record_peer_revision(node, self.runners_revision);
         let mut changed = false;
         for (id, born_ms) in &self.leaving {
             if node.runners.borrow_mut().mark_draining(id, *born_ms) {
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -389,7 +389,7 @@
             Reply::Done
         }
         Message::Step(changes) => {
-            let _applied = watch::hear_step(node, &changes);
+            let _applied = watch::apply_batch(node, &changes);
             Reply::Done
         }
         Message::Own => Reply::Record(node.membership.borrow().own().clone()),
--- a/plugins/relay/src/watch.rs
+++ b/plugins/relay/src/watch.rs
@@ -1,11 +1,11 @@
-//! Follows the store: the configuration, and the runners.
+//! Store watches for the configuration and for the runners.
 //!
-//! Each of the two is listed once and then watched from the list's revision, the runners by a few
-//! instances that tell the others. A watch brings a change at once; how long it waits without one is
-//! told by [`store_watch`]. That nothing was missed is shown
-//! by an answer, even an empty one, by a reading of the configuration when its confirmation is old,
-//! and by what other instances have seen. When the history is gone, or a call fails, it is listed
-//! again.
+//! Each of the two is listed once and then watched from the revision of the list. Only a few
+//! instances watch the runners; they notify the others. A watch is a long poll and returns on the
+//! first change; its timeout is determined by [`store_watch`]. Three things show that no change was
+//! missed: any response of the watch, even an empty one; a read of the configuration when its
+//! confirmation is old; and the revisions that other instances have seen. When the history has been
+//! compacted, or a call fails, the objects are listed again.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,41 +21,44 @@
 use crate::node::Node;
 use crate::peers::{self, Message};
 
-/// Wait of a watch of the configuration where there are few instances, in milliseconds. One whose
-/// connection fell silent hides a change for no longer than until the next reading.
-const CONFIGURATION_WAIT_MS: Millis = 3_000;
+/// Timeout of a watch on the configuration in a small fleet, in milliseconds. A watch whose
+/// connection fell silent hides a change until the next read at the latest.
+const CONFIGURATION_WATCH_MS: Millis = 3_000;
 
-/// Wait of a watch of the runners, in milliseconds. A watch whose
-/// connection fell silent hides a runner that leaves for as long; a shorter one costs calls.
-const RUNNERS_WAIT_MS: Millis = 2_000;
+/// Timeout of a watch on the runners, in milliseconds. A watch whose connection fell silent hides a
+/// draining runner for that long; a shorter timeout costs more calls.
+const RUNNERS_WATCH_MS: Millis = 2_000;
 
-/// Pause after a failed call, and the longest one where there are few instances, in milliseconds. The
-/// store's rates are shared by all; after an outage they come back spread over this time, and hear
-/// confirmations from those that were first.
-const PAUSE_MS: u64 = 150;
-const LONGEST_PAUSE_MS: u64 = 600;
+/// Initial back-off after a failed call, and the longest one in a small fleet, in milliseconds. All
+/// instances share the store's call rate, so their calls after an outage are spread over this time.
+/// The later ones receive confirmations from the first.
+const BACKOFF_MS: u64 = 150;
+const MAX_BACKOFF_MS: u64 = 600;
 
-/// The longest pause in any case of those that read the configuration for others, and of the rest, in
-/// milliseconds: these hear when the store is back.
-const PAUSE_BOUND_MS: u64 = 2_400;
-const LATE_PAUSE_BOUND_MS: u64 = 4_800;
+/// Upper bounds of the longest back-off, in milliseconds: of the instances that confirm the
+/// configuration for their failure domain, and of the rest, which learn from these when the store
+/// is back.
+const DOMAIN_BACKOFF_BOUND_MS: u64 = 2_400;
+const OWN_BACKOFF_BOUND_MS: u64 = 4_800;
 
-/// Period of looking whether others hear the store again, and the longest pause once they do, in
-/// milliseconds.
-const BACK_LOOK: Duration = Duration::from_millis(100);
-const BACK_SPREAD_MS: f64 = 300.0;
+/// Interval between checks whether peers reach the store again.
+const RECOVERY_POLL: Duration = Duration::from_millis(100);
 
-/// Time without the store in which leases of runners' entries may lapse, in milliseconds; they last
-/// for three heartbeats of a second or more. After a shorter one an entry that is missing is gone.
+/// Maximum jitter before the next call once they do, in milliseconds.
+const RECOVERY_JITTER_MS: f64 = 300.0;
+
+/// Duration of a store outage from which on the leases of runners' entries may have lapsed, in
+/// milliseconds; leases last for three heartbeats of a second or more. After a shorter outage, a
+/// missing entry means that the runner is gone.
 const OUTAGE_MS: Millis = 2_000;
 
-/// Period of looking whether the configuration is to be confirmed.
-const CONFIRM_LOOK: Duration = Duration::from_millis(100);
+/// Interval between checks whether the configuration has to be confirmed.
+const CONFIRM_POLL: Duration = Duration::from_millis(100);
 
-/// Starts all.
+/// Starts the watches and the confirmation of the configuration.
 pub(crate) fn spawn(node: &Rc<Node>) {
-    follow(node, Followed::Configuration);
-    follow(node, Followed::Runners);
+    spawn_watch(node, Watched::Configuration);
+    spawn_watch(node, Watched::Runners);
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
         let stop = node.stop.clone();
@@ -63,8 +66,8 @@
     });
 }
 
-/// Acts on an era of the store that was not seen before: it came back from an older copy, and what was
-/// written there since is gone.
+/// Handles a new era of the store: the store was restored from an older copy, and later writes are
+/// lost.
 pub(crate) fn note_era(node: &Node) {
     let era = node.store.era();
     let before = node.era.replace(era);
@@ -88,14 +91,14 @@
 
 /// Reads the configuration whenever its last confirmation is old.
 async fn confirm(node: &Node) {
-    let mut reading_ms = 0;
+    let mut read_ms = 0;
     let mut lost_ms = None;
     loop {
-        sleep(CONFIRM_LOOK).await;
+        sleep(CONFIRM_POLL).await;
         note_era(node);
         let age = node.config_confirmation.borrow().age_ms(node.now());
-        let confirming = peers::confirm_scope(node);
-        if !store_watch::should_confirm(age, node.random_f64(), reading_ms, confirming) {
+        let scope = peers::confirm_scope(node);
+        if !store_watch::should_confirm(age, node.random_f64(), read_ms, scope) {
             continue;
         }
         let sent = node.now();
@@ -104,106 +107,107 @@
             Ok(Some(object)) => {
                 node.reaches_store.set(true);
                 lost_ms = None;
-                reading_ms = node.now() - sent;
-                log::info!(took_ms = reading_ms; "configuration read");
-                if take_configuration(node, &object) {
+                read_ms = node.now() - sent;
+                log::info!(took_ms = read_ms; "configuration read");
+                if apply_configuration(node, &object) {
                     node.config_confirmation.borrow_mut().confirm(sent);
                 }
             }
             Ok(None) => log::warn!("the store has no configuration"),
-            // The watch of the configuration tells of a store that is lost.
+            // The watch on the configuration logs that the store is unreachable.
             Err(cause) => {
                 log::debug!(cause:% = cause; "configuration not confirmed");
                 node.reaches_store.set(false);
                 let lost_ms = *lost_ms.get_or_insert(sent);
-                pause(node, longest_pause_ms(node), lost_ms).await;
+                back_off(node, max_backoff_ms(node), lost_ms).await;
             }
         }
     }
 }
 
-/// What is followed.
+/// Objects that a watch is on.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
-pub(crate) enum Followed {
+pub(crate) enum Watched {
     #[display("configuration")]
     Configuration,
     #[display("runners")]
     Runners,
 }
 
-impl Followed {
+impl Watched {
     fn kind(self) -> &'static str {
         match self {
-            Followed::Configuration => desired::KIND,
-            Followed::Runners => runner::ENTRIES,
+            Watched::Configuration => desired::KIND,
+            Watched::Runners => runner::ENTRIES,
         }
     }
 
-    /// Whether others know more.
+    /// Whether a peer has seen a newer state.
     fn is_behind(self, node: &Node) -> bool {
         match self {
-            Followed::Configuration => {
+            Watched::Configuration => {
                 let version = node.intent().map_or(0, |i| i.version);
                 node.peer_versions.borrow().is_behind(version)
             }
-            Followed::Runners => {
+            Watched::Runners => {
                 let seen = node.runners_revision.get();
                 node.peer_revisions.borrow().is_behind(seen)
             }
         }
     }
 
-    /// The store is asked for what others know.
-    fn asked(self, node: &Node) {
+    /// Records that the store is being asked for the state that peers have seen.
+    fn mark_checked(self, node: &Node) {
         match self {
-            Followed::Configuration => node.peer_versions.borrow_mut().mark_checked(),
-            Followed::Runners => node.peer_revisions.borrow_mut().mark_checked(),
+            Watched::Configuration => node.peer_versions.borrow_mut().mark_checked(),
+            Watched::Runners => node.peer_revisions.borrow_mut().mark_checked(),
         }
     }
 }
 
-/// Another instance has a version of the configuration in force.
-pub(crate) fn heard_version(node: &Node, version: u64) {
+/// Records the version of the configuration in force on a peer.
+pub(crate) fn record_peer_version(node: &Node, version: u64) {
     node.peer_versions.borrow_mut().record_peer(version);
     let own = node.intent().map_or(0, |i| i.version);
     let mut outdated = node.outdated.get();
     outdated.record_peer(version, own, node.now());
     node.outdated.set(outdated);
-    notify_overtaken(node, Followed::Configuration);
+    notify_if_behind(node, Watched::Configuration);
 }
 
-/// Another instance has seen a revision of a runner's entry.
-pub(crate) fn heard_revision(node: &Node, revision: Revision) {
+/// Records the revision of a runner's entry that a peer has seen.
+pub(crate) fn record_peer_revision(node: &Node, revision: Revision) {
     node.peer_revisions.borrow_mut().record_peer(revision);
-    notify_overtaken(node, Followed::Runners);
+    notify_if_behind(node, Watched::Runners);
 }
 
-fn notify_overtaken(node: &Node, what: Followed) {
+fn notify_if_behind(node: &Node, what: Watched) {
     if what.is_behind(node) {
         node.peer_ahead.notify_waiters();
     }
 }
 
-/// Ends when another instance has known more for a while.
-async fn overtaken(node: &Node, what: Followed) {
+/// Returns when a peer has been ahead of this instance for a while.
+async fn peer_ahead(node: &Node, what: Watched) {
     loop {
         let notified = node.peer_ahead.notified();
         if !what.is_behind(node) {
             notified.await;
         }
-        let wait = match what {
-            Followed::Configuration => store_watch::catch_up_ms(node.live_instances()),
-            Followed::Runners => store_watch::catch_up_ms(1),
+        let delay_ms = match what {
+            Watched::Configuration => store_watch::catch_up_ms(node.live_instances()),
+            Watched::Runners => store_watch::catch_up_ms(1),
         };
-        sleep(Duration::from_millis(wait)).await;
+        sleep(Duration::from_millis(delay_ms)).await;
         if what.is_behind(node) {
-            what.asked(node);
+            what.mark_checked(node);
             return;
         }
     }
 }
 
-fn follow(node: &Rc<Node>, what: Followed) {
+/// Starts the watch on `what`.
+fn spawn_watch(node: &Rc<Node>, what: Watched) {
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
         let stop = node.stop.clone();
@@ -211,19 +215,20 @@
     });
 }
 
-async fn run(node: &Node, what: Followed) {
+/// Lists and watches, again after every failure.
+async fn run(node: &Node, what: Watched) {
     let mut failures = 0;
     let mut lost_ms = None;
-    let mut new = true;
+    let mut first = true;
     loop {
         let outage = lost_ms.is_some_and(|at| node.now() >= at + OUTAGE_MS);
-        let error = match list(node, what, new || outage).await {
+        let error = match list(node, what, first || outage).await {
             Ok(revision) => {
                 if let Some(at) = lost_ms.take() {
-                    log::info!(what:% = what, after_ms = node.now() - at; "store is back");
+                    log::info!(what:% = what, after_ms = node.now() - at; "store is reachable");
                 }
                 failures = 0;
-                new = false;
+                first = false;
                 watch(node, what, revision).await
             }
             Err(e) => e,
@@ -235,72 +240,76 @@
         failures += 1;
         node.reaches_store.set(false);
         if lost_ms.is_none() {
-            log::warn!(what:% = what, cause:% = error; "store is lost");
+            log::warn!(what:% = what, cause:% = error; "store is unreachable");
             lost_ms = Some(node.now());
         }
         metrics::counter!("jacinthweir_store_failures_total").increment(1);
-        let longest = (PAUSE_MS << failures.min(4)).min(longest_pause_ms(node));
-        let ms = PAUSE_MS / 2 + (node.random_f64() * longest as f64) as u64;
-        pause(node, ms, lost_ms.unwrap_or_default()).await;
+        let longest = (BACKOFF_MS << failures.min(4)).min(max_backoff_ms(node));
+        let ms = BACKOFF_MS / 2 + (node.random_f64() * longest as f64) as u64;
+        back_off(node, ms, lost_ms.unwrap_or_default()).await;
     }
 }
 
-fn longest_pause_ms(node: &Node) -> Millis {
+/// Returns the longest back-off after a failed call in a fleet of the current size.
+fn max_backoff_ms(node: &Node) -> Millis {
     let bound = match peers::confirm_scope(node) {
-        ConfirmScope::Domain => PAUSE_BOUND_MS,
-        ConfirmScope::Own => LATE_PAUSE_BOUND_MS,
+        ConfirmScope::Domain => DOMAIN_BACKOFF_BOUND_MS,
+        ConfirmScope::Own => OWN_BACKOFF_BOUND_MS,
     };
-    store_watch::scaled_interval_ms(LONGEST_PAUSE_MS, node.live_instances()).min(bound)
+    store_watch::scaled_interval_ms(MAX_BACKOFF_MS, node.live_instances()).min(bound)
 }
 
-/// Waits after a failed call for `ms` milliseconds, or until others hear the store again that was lost at
-/// `lost_ms`. Those that do while this instance does not are no sign that it will.
-async fn pause(node: &Node, ms: Millis, lost_ms: Millis) {
-    let pause = sleep(Duration::from_millis(ms));
+/// Backs off after a failed call for `ms` milliseconds, or until peers reach the store again, which
+/// became unreachable at `lost_ms`. If peers have reached it since before the back-off, only this
+/// instance is cut off, and their confirmations do not end its back-off.
+async fn back_off(node: &Node, ms: Millis, lost_ms: Millis) {
+    let backoff = sleep(Duration::from_millis(ms));
     if confirmed_since(node, lost_ms) {
-        return pause.await;
+        return backoff.await;
     }
     tokio::select! {
-        () = pause => {}
+        () = backoff => {}
         () = until_confirmed(node, lost_ms) => {
-            let spread_ms = (node.random_f64() * BACK_SPREAD_MS) as Millis;
-            sleep(Duration::from_millis(spread_ms)).await;
+            let jitter_ms = (node.random_f64() * RECOVERY_JITTER_MS) as Millis;
+            sleep(Duration::from_millis(jitter_ms)).await;
         }
     }
 }
 
-/// Whether the configuration was confirmed by a call that was made after `since`.
+/// Whether the configuration was confirmed by a call sent after `since`.
 fn confirmed_since(node: &Node, since: Millis) -> bool {
     let now = node.now();
     let age = node.config_confirmation.borrow().age_ms(now);
     age.is_some_and(|age| now - age > since)
 }
 
+/// Returns once the configuration has been confirmed by a call sent after `since`.
 async fn until_confirmed(node: &Node, since: Millis) {
     while !confirmed_since(node, since) {
-        sleep(BACK_LOOK).await;
+        sleep(RECOVERY_POLL).await;
     }
 }
 
-/// `anew`: the store did not answer for so long that entries may be missing.
-async fn list(node: &Node, what: Followed, anew: bool) -> Result<Revision, StoreError> {
+/// Lists the objects and returns the revision of the list. With `may_lack_entries`, the store was
+/// unreachable for so long that entries of live runners may be missing.
+async fn list(node: &Node, what: Watched, may_lack_entries: bool) -> Result<Revision, StoreError> {
     let sent = node.now();
     count_call("list");
     let listed = node.store.list(what.kind()).await?;
     node.reaches_store.set(true);
     match what {
-        Followed::Configuration => {
+        Watched::Configuration => {
             let found = listed
                 .objects
                 .iter()
                 .find(|o| *o.meta.name == *desired::NAME);
             if let Some(object) = found
-                && take_configuration(node, object)
+                && apply_configuration(node, object)
             {
                 node.config_confirmation.borrow_mut().confirm(sent);
             }
         }
-        Followed::Runners => {
+        Watched::Runners => {
             let revisions = listed.objects.iter().map(|o| o.meta.revision);
             let newest = revisions.max().unwrap_or_default();
             let entries = listed.objects.iter().filter_map(decode).collect();
@@ -308,7 +317,7 @@
             let now = node.now();
             let mut runners = node.runners.borrow_mut();
             let restored = listed.revision.era != node.runners_as_of.get().era;
-            if anew || restored {
+            if may_lack_entries || restored {
                 runners.store_recovered(now);
             }
             runners.replace(entries, now);
@@ -321,16 +330,16 @@
     Ok(listed.revision)
 }
 
-/// Watches until a call fails.
-async fn watch(node: &Node, what: Followed, mut revision: Revision) -> StoreError {
+/// Watches from `revision` on until a call fails, and returns its error.
+async fn watch(node: &Node, what: Watched, mut revision: Revision) -> StoreError {
     loop {
-        let wait = match what {
-            Followed::Runners => rest(node).await,
-            Followed::Configuration => {
-                store_watch::scaled_interval_ms(CONFIGURATION_WAIT_MS, node.live_instances())
+        let timeout_ms = match what {
+            Watched::Runners => follower_wait(node).await,
+            Watched::Configuration => {
+                store_watch::scaled_interval_ms(CONFIGURATION_WATCH_MS, node.live_instances())
             }
         };
-        if what == Followed::Runners {
+        if what == Watched::Runners {
             revision = node.runners_as_of.get();
         }
         if node.store.era() != Some(revision.era) {
@@ -338,12 +347,12 @@
         }
         let sent = node.now();
         count_call("watch");
-        let wait = Duration::from_millis(wait);
+        let timeout = Duration::from_millis(timeout_ms);
         let watched = tokio::select! {
-            watched = node.store.watch(what.kind(), revision, wait) => watched,
+            watched = node.store.watch(what.kind(), revision, timeout) => watched,
             () = node.store_restored.notified() => return StoreError::Restored,
-            () = overtaken(node, what) => {
-                log::info!(what:% = what, revision:% = revision; "others know more, watching anew");
+            () = peer_ahead(node, what) => {
+                log::info!(what:% = what, revision:% = revision; "peer is ahead, restarting the watch");
                 continue;
             }
         };
@@ -354,79 +363,79 @@
         node.reaches_store.set(true);
         let any = !changes.changes.is_empty();
         match what {
-            Followed::Configuration => {
+            Watched::Configuration => {
                 revision = changes.revision;
-                if take_configurations(node, &changes.changes) {
+                if apply_newest_configuration(node, &changes.changes) {
                     node.config_confirmation.borrow_mut().confirm(sent);
                 }
             }
-            Followed::Runners => {
-                let step = step(revision, changes);
-                log_step(node, &step);
-                if hear_step(node, &step) {
-                    tell_step(node, step);
+            Watched::Runners => {
+                let batch = change_batch(revision, changes);
+                log_batch(node, &batch);
+                if apply_batch(node, &batch) {
+                    notify_followers(node, batch);
                 }
             }
         }
         if any {
-            sleep(Duration::from_millis(gather_ms(node, what))).await;
+            sleep(Duration::from_millis(debounce_ms(node, what))).await;
         }
     }
 }
 
-/// Changes that come within this time are read with one call, in milliseconds.
-fn gather_ms(node: &Node, what: Followed) -> Millis {
+/// Returns the debounce interval in milliseconds; changes within it are read with one call.
+fn debounce_ms(node: &Node, what: Watched) -> Millis {
     match what {
-        Followed::Configuration => store_watch::debounce_ms(node.live_instances()),
-        Followed::Runners => {
+        Watched::Configuration => store_watch::debounce_ms(node.live_instances()),
+        Watched::Runners => {
             let gives_orders = node.lease.borrow().held(node.now()).is_some();
             store_watch::runners_debounce_ms(node.now(), gives_orders)
         }
     }
 }
 
-/// Longest rest of an instance that hears of the runners from others, in milliseconds, and what is
-/// added to it at the most. One that missed a change hears at its next exchange that there is more.
-const REST_MS: Millis = 30_000;
-const REST_SPREAD_MS: f64 = 30_000.0;
+/// Interval between store calls of an instance that is notified of the runners by others, and its
+/// maximum jitter, in milliseconds. An instance that missed a change learns at its next exchange
+/// that it is behind.
+const FOLLOWER_POLL_MS: Millis = 30_000;
+const FOLLOWER_POLL_JITTER_MS: f64 = 30_000.0;
 
-/// Period of looking whether this instance has to watch the runners by itself.
-const REST_LOOK: Duration = Duration::from_millis(500);
+/// Interval between checks whether this instance has to watch the runners itself.
+const ROLE_POLL: Duration = Duration::from_millis(500);
 
-/// Wait of a call that is to bring only what has been missed, in milliseconds.
-const MISSED_WAIT_MS: Millis = 1;
+/// Timeout of a watch that only has to fetch missed changes, in milliseconds.
+const CATCH_UP_WATCH_MS: Millis = 1;
 
-/// Rests while others tell of changed runners; returns how long the next watch is to wait, in
-/// milliseconds.
-async fn rest(node: &Node) -> Millis {
-    let spread_ms = (node.random_f64() * REST_SPREAD_MS) as Millis;
-    let until = node.now() + REST_MS + spread_ms;
+/// Waits while other instances watch the runners and notify this one. Returns the timeout of the
+/// next watch in milliseconds.
+async fn follower_wait(node: &Node) -> Millis {
+    let jitter_ms = (node.random_f64() * FOLLOWER_POLL_JITTER_MS) as Millis;
+    let until = node.now() + FOLLOWER_POLL_MS + jitter_ms;
     while !peers::watches_runners(node) {
         if node.now() >= until {
-            return MISSED_WAIT_MS;
+            return CATCH_UP_WATCH_MS;
         }
         tokio::select! {
-            () = overtaken(node, Followed::Runners) => return MISSED_WAIT_MS,
-            () = node.store_restored.notified() => return MISSED_WAIT_MS,
-            () = sleep(REST_LOOK) => {}
+            () = peer_ahead(node, Watched::Runners) => return CATCH_UP_WATCH_MS,
+            () = node.store_restored.notified() => return CATCH_UP_WATCH_MS,
+            () = sleep(ROLE_POLL) => {}
         }
     }
-    RUNNERS_WAIT_MS
+    RUNNERS_WATCH_MS
 }
 
-/// Whether what is in force is now the newest of what came.
-fn take_configurations(node: &Node, changes: &[Change]) -> bool {
+/// Applies the newest configuration among the changes. Returns whether it is now in force.
+fn apply_newest_configuration(node: &Node, changes: &[Change]) -> bool {
     let mut newest = changes.iter().filter(|c| !c.deleted);
     let newest = newest.rfind(|c| *c.object.meta.name == *desired::NAME);
     match newest {
-        Some(change) => take_configuration(node, &change.object),
+        Some(change) => apply_configuration(node, &change.object),
         None => node.intent.borrow().is_some(),
     }
 }
 
-/// Whether an object that was read is the configuration in force, which it is from now on if it is
-/// newer.
-fn take_configuration(node: &Node, object: &Object) -> bool {
+/// Puts the configuration in an object in force if it is newer. Returns whether it is now in force.
+fn apply_configuration(node: &Node, object: &Object) -> bool {
     let revision = object.meta.revision;
     if node.configuration_revision.get() == Some(revision) {
         return true;
@@ -442,27 +451,27 @@
             in_force
         }
         Err(e) => {
-            log::error!(revision:% = revision, cause:% = e; "configuration is not usable");
+            log::error!(revision:% = revision, cause:% = e; "cannot decode the configuration");
             false
         }
     }
 }
 
-/// Remembers the newest entry of a runner that was seen.
+/// Updates the newest revision of a runner's entry seen so far.
 fn note_revision(node: &Node, revision: Revision) {
     let newest = node.runners_revision.get().max(revision);
     node.runners_revision.set(newest);
 }
 
-/// What a watch from the revision `since` brought.
-fn step(since: Revision, changes: Changes) -> ChangeBatch {
+/// Returns the changes that a watch from the revision `since` returned.
+fn change_batch(since: Revision, changes: Changes) -> ChangeBatch {
     let until = changes.revision;
     let mut newest = Revision::default();
     let mut decoded = Vec::with_capacity(changes.changes.len());
     for change in changes.changes {
         newest = newest.max(change.object.meta.revision);
         if change.deleted {
-            // The entry's own revision is older than its end.
+            // The object carries its last revision, which is older than the deletion.
             newest = newest.max(until);
             decoded.push(RunnerChange::Gone(change.object.meta.name.clone()));
         } else if let Some(entry) = decode(&change.object) {
@@ -477,15 +486,15 @@
     }
 }
 
-/// Tells the instances that hear of the runners from this one. Who misses it hears at an exchange that
-/// there is more, and asks the store.
-fn tell_step(node: &Node, step: ChangeBatch) {
-    if step.changes.is_empty() {
+/// Sends changes to the instances that this one notifies. An instance that misses them learns at an
+/// exchange that it is behind, and asks the store.
+fn notify_followers(node: &Node, batch: ChangeBatch) {
+    if batch.changes.is_empty() {
         return;
     }
     let own = &node.settings.name;
     let watchers = peers::watchers(node);
-    let message = Rc::new(Message::Step(step));
+    let message = Rc::new(Message::Step(batch));
     let membership = node.membership.borrow();
     for m in membership.live().filter(|m| m.name != *own) {
         if watchers.contains(&m.name) || !watchers.notifies(own, &m.name) {
@@ -494,26 +503,27 @@
         let (address, message) = (m.peers, Rc::clone(&message));
         tokio::task::spawn_local(async move {
             if let Err(cause) = peers::post(address, &message, peers::PEER_TIMEOUT).await {
-                log::debug!(address:% = address, cause; "changes of runners not told");
+                log::debug!(address:% = address, cause; "changes of runners not delivered");
             }
         });
     }
 }
 
-/// The store, or another instance, tells what changed; it is taken over if nothing is missing before it
-/// and something is new. An answer of the store that was overtaken by another instance's word would
-/// bring back runners that have left since; whether it was taken over.
-pub(crate) fn hear_step(node: &Node, step: &ChangeBatch) -> bool {
-    let follows = step.applies_to(node.runners_as_of.get());
-    if follows {
-        take_step(node, step);
+/// Applies changes from the store or from another instance, if there is no gap before them and they
+/// contain something new. Returns whether they were applied. A response of the store that is older
+/// than what another instance sent would bring back runners that have left since.
+pub(crate) fn apply_batch(node: &Node, batch: &ChangeBatch) -> bool {
+    let applies = batch.applies_to(node.runners_as_of.get());
+    if applies {
+        apply_changes(node, batch);
     }
-    follows
+    applies
 }
 
-/// Logs changes that this instance read from the store; whom it tells does not log them once more.
-fn log_step(node: &Node, step: &ChangeBatch) {
-    for change in &step.changes {
+/// Logs changes that this instance read from the store. The instances it notifies do not log them
+/// again.
+fn log_batch(node: &Node, batch: &ChangeBatch) {
+    for change in &batch.changes {
         match change {
             RunnerChange::Gone(id) => {
                 log::info!(runner = id.as_ref(); "runner is gone from the store");
@@ -523,12 +533,12 @@
     }
 }
 
-/// Takes over what changed.
-fn take_step(node: &Node, step: &ChangeBatch) {
-    note_revision(node, step.newest);
-    node.runners_as_of.set(step.until);
+/// Applies changes unconditionally.
+fn apply_changes(node: &Node, batch: &ChangeBatch) {
+    note_revision(node, batch.newest);
+    node.runners_as_of.set(batch.until);
     let mut changed = false;
-    for change in &step.changes {
+    for change in &batch.changes {
         match change {
             RunnerChange::Gone(id) => {
                 changed |= node.runners.borrow_mut().remove(id, node.now());
@@ -546,6 +556,7 @@
     }
 }
 
+/// Logs a runner's entry if it changed.
 fn log_entry(node: &Node, entry: &RunnerEntry) {
     let runners = node.runners.borrow();
     let old = runners.entry(&entry.id);
@@ -564,17 +575,19 @@
     );
 }
 
+/// Decodes a runner's entry, or logs why it cannot be decoded.
 fn decode(object: &Object) -> Option<RunnerEntry> {
     match runner::entry(&object.meta.name, &object.spec) {
         Ok(entry) => Some(entry),
         Err(e) => {
             let name: &Name = &object.meta.name;
-            log::warn!(runner = name.as_ref(), cause:% = e; "runner's entry is left out");
+            log::warn!(runner = name.as_ref(), cause:% = e; "cannot decode a runner's entry");
             None
         }
     }
 }
 
+/// Counts a call to the store.
 pub(crate) fn count_call(call: &'static str) {
     metrics::counter!("jacinthweir_store_calls_total", "call" => call).increment(1);
 }
