--- a/plugins/relay/src/watch.rs
+++ b/plugins/relay/src/watch.rs
@@ -352,7 +352,7 @@
             watched = node.store.watch(what.kind(), revision, timeout) => watched,
             () = node.store_restored.notified() => return StoreError::Restored,
             () = peer_ahead(node, what) => {
-                log::info!(what:% = what, revision:% = revision; "peer is ahead, restarting the watch");
+                log::info!(what:% = what, revision:% = revision; "peer is ahead, watching again");
                 continue;
             }
         };
