--- a/plugins/relay/src/placer.rs
+++ b/plugins/relay/src/placer.rs
@@ -1,8 +1,8 @@
-//! The lease on giving orders, and the orders.
+//! The placement lease, and placement orders to runners.
 //!
-//! Orders name a wanted state and the count of orders that the runner must have accepted before;
-//! one that comes late meets another count and is refused. So an order without an answer does no
-//! harm: the runner's entry shows what came of it, and the next plan starts from there.
+//! An order contains the wanted layer range and the number of orders that the runner must have
+//! accepted before. A late order meets another number and is refused. An order without an answer
+//! therefore does no harm: the runner's entry shows its result, and the next plan starts from there.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -22,24 +22,25 @@
 use crate::peers;
 use crate::watch::{count_call, note_era};
 
-/// Kind and name of the lease's object.
+/// Kind and name of the lease object in the store.
 const LEASE_KIND: &str = "jacinthweir-leases";
 const LEASE_NAME: &str = "orders";
 
-/// Period of looking whether orders are due. A hole costs the streams of a domain each second.
-const PERIOD: Duration = Duration::from_millis(100);
+/// Interval between placement rounds. A gap in a chain costs the streams of a failure domain each
+/// second that it lasts.
+const ROUND: Duration = Duration::from_millis(100);
 
-/// Time that a runner has to answer an order.
-const ORDER_TIME: Duration = Duration::from_millis(500);
+/// Timeout of an order.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time after a runner's order was answered within which its entry must show the new range, beside
-/// the time of the load, in milliseconds: entries are written at every heartbeat at the latest.
+/// Time after an answered order within which the runner's entry has to show the new range, in
+/// addition to the load time, in milliseconds. Entries are written at least at every heartbeat.
 const ENTRY_LAG_MS: Millis = 2_500;
 
-/// Time for which a runner whose order got no answer is left alone, in milliseconds.
-const UNANSWERED_MS: Millis = 1_500;
+/// Time for which a runner gets no further order after one without an answer, in milliseconds.
+const UNANSWERED_BACKOFF_MS: Millis = 1_500;
 
-/// Ranges that runners were told to hold and do not report yet.
+/// Layer ranges that runners were ordered to hold and do not report yet.
 #[derive(Default)]
 pub(crate) struct Loading(BTreeMap<Name, Pending>);
 
@@ -55,15 +56,16 @@
     }
 }
 
+/// Contents of the lease object.
 #[derive(Serialize, Deserialize)]
 struct LeaseSpec {
     holder: Name,
     term: u64,
-    /// Changes with each renewal: a write that changes nothing leaves the revision as it is.
+    /// Changes with each renewal, since a write without changes does not advance the revision.
     renewed: u64,
 }
 
-/// Starts giving orders whenever this instance holds the lease.
+/// Starts the task that sends orders while this instance holds the lease.
 pub(crate) fn spawn(node: &Rc<Node>) {
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
@@ -72,21 +74,23 @@
     });
 }
 
-/// New runners register over seconds when all start at once; a placement made from the first few
-/// would put layers on slow ones that fast ones are to hold.
-const SETTLE_MS: Millis = 1_200;
+/// Debounce interval of the first placement, in milliseconds. When all runners start at once they
+/// register over seconds, and a placement computed from the first few would put layers on slow
+/// runners that belong on fast ones.
+const REGISTRATION_DEBOUNCE_MS: Millis = 1_200;
 
-/// The longest that a first placement waits for runners, in milliseconds.
-const SETTLE_LONGEST_MS: Millis = 4_500;
+/// Maximum delay of the first placement, in milliseconds.
+const REGISTRATION_MAX_MS: Millis = 4_500;
 
-/// Whether the runners of a first placement have come.
-struct Settling {
+/// Debounces the registration of runners before the first placement.
+struct RegistrationDebounce {
     known: usize,
     changed_ms: Millis,
     began_ms: Millis,
 }
 
-impl Settling {
+impl RegistrationDebounce {
+    /// Whether no runner registered recently, a runner holds layers, or the maximum delay is over.
     fn is_over(&mut self, node: &Node) -> bool {
         let now = node.now();
         let known = node.runners.borrow().entries().count();
@@ -95,19 +99,20 @@
             self.changed_ms = now;
         }
         let held = node.runners.borrow().entries().any(|e| e.held() > 0);
-        held || now >= self.changed_ms + SETTLE_MS || now >= self.began_ms + SETTLE_LONGEST_MS
+        held || now >= self.changed_ms + REGISTRATION_DEBOUNCE_MS
+            || now >= self.began_ms + REGISTRATION_MAX_MS
     }
 }
 
 async fn run(node: &Rc<Node>) {
     let mut held = None;
-    let mut settling = Settling {
+    let mut registration = RegistrationDebounce {
         known: 0,
         changed_ms: node.now(),
         began_ms: node.now(),
     };
     loop {
-        sleep(PERIOD).await;
+        sleep(ROUND).await;
         if !needs_orders(node) {
             continue;
         }
@@ -115,18 +120,18 @@
         let now = node.now();
         let term = node.lease.borrow().held(now);
         if term != held {
-            log::info!(term = term.unwrap_or(0), held = term.is_some(); "lease on giving orders");
+            log::info!(term = term.unwrap_or(0), held = term.is_some(); "placement lease");
             held = term;
         }
         if let Some(term) = term
-            && settling.is_over(node)
+            && registration.is_over(node)
         {
-            give_orders(node, term).await;
+            send_orders(node, term).await;
         }
     }
 }
 
-/// Whether any runner is to hold layers.
+/// Whether the configuration has a service whose runners hold layers.
 fn needs_orders(node: &Node) -> bool {
     let intent = node.intent();
     let layered = |i: Rc<jacinthweir_policy::relay::intent::Intent>| {
@@ -137,6 +142,7 @@
     node.runners_listed.get() && intent.is_some_and(layered)
 }
 
+/// Performs the next step of the lease protocol.
 async fn step_lease(node: &Node) {
     note_era(node);
     let bid = peers::bid(node);
@@ -158,12 +164,12 @@
                 .await
         }
     };
-    note_answer(node, written.as_ref().err());
+    note_reachability(node, written.as_ref().err());
     match written.as_ref().map(grant_of) {
         Ok(Some(grant)) => node.lease.borrow_mut().write_accepted(sent, grant),
-        Ok(None) => log::error!("the lease that was written cannot be read"),
+        Ok(None) => log::error!("cannot decode the lease that was written"),
         Err(cause) => {
-            log::warn!(cause:% = cause; "lease not written");
+            log::warn!(cause:% = cause; "cannot write the lease");
             node.lease.borrow_mut().write_failed(node.now());
         }
     }
@@ -172,25 +178,25 @@
 async fn read_lease(node: &Node) {
     count_call("get");
     let found = node.store.get(LEASE_KIND, LEASE_NAME).await;
-    note_answer(node, found.as_ref().err());
+    note_reachability(node, found.as_ref().err());
     match found {
         Ok(object) => {
             let grant = object.as_ref().and_then(grant_of);
             node.lease.borrow_mut().observe(node.now(), grant);
         }
         Err(StoreError::Refused { .. } | StoreError::NoAnswer(_)) => {}
-        Err(cause) => log::warn!(cause:% = cause; "lease not read"),
+        Err(cause) => log::warn!(cause:% = cause; "cannot read the lease"),
     }
 }
 
-/// One that the store does not answer leaves the lease to others. Its watches may be silent for long
-/// before they show it.
-fn note_answer(node: &Node, failure: Option<&StoreError>) {
-    let lost = matches!(
+/// Records whether the store answered. An instance that does not reach the store leaves the lease
+/// to others, and its watches may be silent for long before they show the failure.
+fn note_reachability(node: &Node, failure: Option<&StoreError>) {
+    let unreachable = matches!(
         failure,
         Some(StoreError::Refused { .. } | StoreError::NoAnswer(_))
     );
-    node.reaches_store.set(!lost);
+    node.reaches_store.set(!unreachable);
 }
 
 fn lease_spec(node: &Node, term: u64) -> serde_json::Value {
@@ -211,7 +217,8 @@
     })
 }
 
-async fn give_orders(node: &Node, term: u64) {
+/// Sends the orders of the current plan of each service.
+async fn send_orders(node: &Node, term: u64) {
     let Some(intent) = node.intent() else {
         return;
     };
@@ -220,11 +227,12 @@
             continue;
         };
         let moves = plan(node, service, engine);
-        let orders = moves.iter().map(|m| give_order(node, engine, term, m));
+        let orders = moves.iter().map(|m| send_order(node, engine, term, m));
         join_all(orders).await;
     }
 }
 
+/// Plans the orders of a service, assuming that pending ones succeed.
 fn plan(node: &Node, service: &Name, engine: &Engine) -> Vec<Move> {
     let now = node.now();
     let runners = node.runners.borrow();
@@ -240,7 +248,7 @@
     placement::plan(&runners, service, engine, &wanted.collect(), now)
 }
 
-async fn give_order(node: &Node, engine: &Engine, term: u64, m: &Move) {
+async fn send_order(node: &Node, engine: &Engine, term: u64, m: &Move) {
     let born_ms = {
         let runners = node.runners.borrow();
         runners.entry(&m.runner).map_or(0, |e| e.born_ms)
@@ -249,7 +257,7 @@
         return;
     };
     metrics::counter!("jacinthweir_orders_total").increment(1);
-    let answer = runner::place(m.address, m.layers, term, orders, ORDER_TIME).await;
+    let answer = runner::place(m.address, m.layers, term, orders, ORDER_TIMEOUT).await;
     if let Some(s) = node.runners.borrow_mut().health_mut(&m.runner) {
         s.orders = match &answer {
             Ok(Accepted::Begun) => Some(orders + 1),
@@ -267,8 +275,8 @@
     log::info!(runner, from, to, term, orders, why:% = m.reason, outcome; "order");
     let wait_ms = match answer {
         Ok(_) => load_ms(engine, m) + ENTRY_LAG_MS,
-        Err(RunnerError::NoAnswer(_)) => UNANSWERED_MS,
-        // Its entry is behind its state: it is read anew from the next one.
+        Err(RunnerError::NoAnswer(_)) => UNANSWERED_BACKOFF_MS,
+        // The entry is older than the runner's state; the next entry will show it.
         Err(RunnerError::Refused { .. } | RunnerError::Undecodable(_)) => ENTRY_LAG_MS,
     };
     let pending = Pending {
@@ -282,33 +290,34 @@
         .insert(m.runner.clone(), pending);
 }
 
-/// Orders that a runner has accepted so far: counted since it was last asked, or asked now. `None`
-/// if it gives no answer, or holds something other than the plan was made from.
+/// Returns how many orders a runner has accepted so far, as counted since its last report or as
+/// reported now. `None` if the runner does not answer, or its state differs from the one that the
+/// plan is based on.
 async fn accepted_orders(node: &Node, m: &Move) -> Option<u64> {
     if let Some(orders) = node.runners.borrow().health(&m.runner).orders {
         return Some(orders);
     }
     metrics::counter!("jacinthweir_probes_total").increment(1);
-    let report = runner::report(m.address, ORDER_TIME).await;
+    let report = runner::report(m.address, ORDER_TIMEOUT).await;
     let runner = m.runner.as_ref();
     let report = match report {
         Ok(report) => report,
         Err(e) => {
-            log::info!(runner, cause:% = e; "no report, no order");
+            log::info!(runner, cause:% = e; "no report from runner, order not sent");
             return None;
         }
     };
     let mut runners = node.runners.borrow_mut();
     let (born_ms, layers) = runners.entry(&m.runner).map(|e| (e.born_ms, e.layers))?;
     if report.busy || report.layers != layers || !report.is_of(born_ms) {
-        log::info!(runner, busy = report.busy, layers:? = report.layers; "entry is behind, no order");
+        log::info!(runner, busy = report.busy, layers:? = report.layers; "entry is stale");
         return None;
     }
     runners.health_mut(&m.runner)?.orders = Some(report.orders);
     Some(report.orders)
 }
 
-/// The longest that a load takes: other loads slow it down.
+/// Returns the maximum duration of a load in milliseconds, which concurrent loads slow down.
 fn load_ms(engine: &Engine, m: &Move) -> Millis {
     let share = f64::from(m.layers.1 - m.layers.0) / f64::from(engine.layers.max(1));
     (engine.load_ms * share * 3.0) as Millis
