--- a/plugins/relay/src/quarantine.rs
+++ b/plugins/relay/src/quarantine.rs
@@ -1,8 +1,8 @@
-//! Requests that end the runners which run them: what breaks shows, what others tell, and what the store
-//! keeps.
+//! Quarantine of requests that crash their runners: evaluates broken runs, merges the crash records
+//! of other instances, and persists quarantined requests in the store.
 //!
-//! Instances keep nothing, and all may be lost at once; so a request that is held stands in the store, and
-//! an instance that starts reads which are.
+//! Instances have no persistent state, and all may be lost at once. Quarantined requests are
+//! therefore written to the store, and an instance reads them when it starts.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,19 +21,21 @@
 use crate::request::Proxied;
 use crate::watch::count_call;
 
-/// Kind of the objects that say which requests are held. Each is named by its request's fingerprint.
+/// Kind of the store objects of quarantined requests. Each is named by its request's fingerprint.
 const KIND: &str = "jacinthweir-quarantine";
 
-/// Period of looking whether the store has all that is held, and pause after a failed call.
-const LOOK: Duration = Duration::from_millis(300);
-const PAUSE: Duration = Duration::from_millis(1_000);
+/// Interval between checks whether the store has all quarantined requests.
+const SYNC_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Lifetimes that a request passes through along a chain, the first one first.
+/// Pause after a failed call to the store.
+const RETRY_PAUSE: Duration = Duration::from_millis(1_000);
+
+/// Returns the lifetimes of a chain's runners, in the order of its stages.
 pub(crate) fn lifetimes(chain: &Chain) -> Vec<Lifetime> {
     chain.stages.iter().map(|s| lifetime(&s.runner)).collect()
 }
 
-/// The lifetime that a runner's entry is of.
+/// Returns the lifetime of a runner's entry.
 pub(crate) fn lifetime(runner: &RunnerEntry) -> Lifetime {
     Lifetime {
         runner: runner.id.clone(),
@@ -41,11 +43,11 @@
     }
 }
 
-/// When to come back to an instance that does not know yet whether a runner ended, in milliseconds.
-const UNDECIDED_MS: Millis = 1_000;
+/// Retry delay named to callers while it is not known whether a runner crashed, in milliseconds.
+const UNDECIDED_RETRY_MS: Millis = 1_000;
 
-/// Period of looking whether it is known by now.
-const DECISION_LOOK: Duration = Duration::from_millis(20);
+/// Interval between checks whether an undecided verdict is known.
+const VERDICT_POLL: Duration = Duration::from_millis(20);
 
 fn verdict(node: &Node, rq: &Proxied) -> Verdict {
     let quarantine = node.quarantine.borrow();
@@ -55,75 +57,75 @@
     }
 }
 
-/// How long a request is not to be sent to any runner, in milliseconds; `None` if it may be. What is not
-/// known yet is waited for until the time `until`.
+/// Returns how long a request is quarantined, in milliseconds; `None` if it may be sent. Waits for
+/// an undecided verdict up to the time `until`.
 pub(crate) async fn quarantined_ms(node: &Node, rq: &Proxied, until: Millis) -> Option<Millis> {
     loop {
         match verdict(node, rq) {
             Verdict::Allowed => return None,
             Verdict::Quarantined(ms) => return Some(ms),
-            Verdict::Undecided if node.now() >= until => return Some(UNDECIDED_MS),
-            Verdict::Undecided => sleep(DECISION_LOOK).await,
+            Verdict::Undecided if node.now() >= until => return Some(UNDECIDED_RETRY_MS),
+            Verdict::Undecided => sleep(VERDICT_POLL).await,
         }
     }
 }
 
-/// A run of a request came to its end, or went on for long enough.
+/// Records that a run of a request completed or went on for long enough, which clears its crashes.
 pub(crate) fn record_survival(node: &Node, rq: &Proxied) {
     let mut quarantine = node.quarantine.borrow_mut();
     if !quarantine.is_idle() && quarantine.record_survival(rq.fingerprint(), node.now()) {
-        log::info!(request = rq.id.as_ref(), fingerprint:% = rq.fingerprint(); "strikes are void");
+        log::info!(request = rq.id.as_ref(), fingerprint:% = rq.fingerprint(); "crashes cleared");
         node.gossip_due.notify_one();
     }
 }
 
-/// Looks what became of the runners of runs that broke off.
+/// Evaluates whether the runners of broken runs crashed.
 pub(crate) fn evaluate(node: &Node) {
     let mut quarantine = node.quarantine.borrow_mut();
     if quarantine.is_idle() {
         return;
     }
     let runners = node.runners.borrow();
-    let settled = quarantine.evaluate(node.now(), |l| runners.lifetime_state(l));
+    let evaluation = quarantine.evaluate(node.now(), |l| runners.lifetime_state(l));
     drop(quarantine);
-    log_settled(&settled);
-    if settled.is_news() {
+    log_crashes(&evaluation);
+    if evaluation.is_news() {
         node.gossip_due.notify_one();
     }
     node.expired_quarantines
         .borrow_mut()
-        .extend(settled.expired);
+        .extend(evaluation.expired);
 }
 
-fn log_settled(settled: &Evaluation) {
-    for strike in &settled.new_crashes {
+fn log_crashes(evaluation: &Evaluation) {
+    for crash in &evaluation.new_crashes {
         metrics::counter!("jacinthweir_strikes_total").increment(1);
         log::warn!(
-            fingerprint:% = strike.request,
-            runner:% = strike.lifetime,
-            born_ms = strike.lifetime.born_ms,
-            strikes = strike.count;
+            fingerprint:% = crash.request,
+            runner:% = crash.lifetime,
+            born_ms = crash.lifetime.born_ms,
+            strikes = crash.count;
             "a runner ended under a request"
         );
-        if strike.count == quarantine::CRASH_THRESHOLD {
-            log::warn!(fingerprint:% = strike.request; "request is held");
+        if crash.count == quarantine::CRASH_THRESHOLD {
+            log::warn!(fingerprint:% = crash.request; "request is quarantined");
         }
     }
 }
 
-/// Takes in cases that another instance, or the store, tells.
-pub(crate) fn merge_records(node: &Node, cases: &[CrashRecord]) {
+/// Merges crash records from another instance or the store.
+pub(crate) fn merge_records(node: &Node, records: &[CrashRecord]) {
     let now = node.now();
-    let mut is_news = false;
-    for case in cases {
-        is_news |= node.quarantine.borrow_mut().merge(case, now);
+    let mut changed = false;
+    for record in records {
+        changed |= node.quarantine.borrow_mut().merge(record, now);
     }
-    if is_news {
+    if changed {
         node.gossip_due.notify_one();
     }
 }
 
-/// Starts following and writing what the store has of requests that are held.
+/// Starts the task that reads quarantined requests from the store and keeps them up to date there.
 pub(crate) fn spawn(node: &Rc<Node>) {
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
@@ -134,58 +136,63 @@
 
 async fn run(node: &Node) {
     while let Err(cause) = read(node).await {
-        log::debug!(cause:% = cause; "held requests not read");
-        sleep(PAUSE).await;
+        log::debug!(cause:% = cause; "cannot read quarantined requests");
+        sleep(RETRY_PAUSE).await;
     }
     loop {
-        sleep(LOOK).await;
+        sleep(SYNC_INTERVAL).await;
         evaluate(node);
         let written = write(node).await;
         if let Err(cause) = written {
-            log::warn!(cause:% = cause; "held requests not written");
-            sleep(PAUSE).await;
+            log::warn!(cause:% = cause; "cannot write quarantined requests");
+            sleep(RETRY_PAUSE).await;
         }
     }
 }
 
-/// Reads which requests are held.
+/// Reads the quarantined requests from the store.
 async fn read(node: &Node) -> Result<(), StoreError> {
     count_call("list");
     let listed = match node.store.list(KIND).await {
         Ok(listed) => listed,
-        // Nothing was ever written.
+        // The kind does not exist before the first write.
         Err(StoreError::Refused { status: 404 }) => return Ok(()),
         Err(e) => return Err(e),
     };
-    let cases = listed.objects.iter().filter_map(|o| {
-        let case = o.spec.decode::<CrashRecord>("held request");
-        case.inspect_err(|e| log::warn!(object = o.meta.name.as_ref(), cause:% = e; "left out"))
+    let records = listed.objects.iter().filter_map(|o| {
+        let record = o.spec.decode::<CrashRecord>("held request");
+        record
+            .inspect_err(
+                |e| log::warn!(object = o.meta.name.as_ref(), cause:% = e; "cannot decode a crash record"),
+            )
             .ok()
     });
-    let cases: Vec<CrashRecord> = cases.collect();
-    if !cases.is_empty() {
-        log::info!(held = cases.len(); "held requests read");
+    let records: Vec<CrashRecord> = records.collect();
+    if !records.is_empty() {
+        log::info!(held = records.len(); "quarantined requests read");
     }
-    merge_records(node, &cases);
+    merge_records(node, &records);
     Ok(())
 }
 
-/// Writes what is held and the store lacks, and removes what is forgotten, as far as it falls to this
-/// instance.
+/// Writes quarantined requests that the store lacks and removes expired ones, as far as this
+/// instance is their writer.
 async fn write(node: &Node) -> Result<(), StoreError> {
-    let forgotten = std::mem::take(&mut *node.expired_quarantines.borrow_mut());
-    for request in forgotten.into_iter().filter(|r| is_writer(node, *r)) {
+    let expired = std::mem::take(&mut *node.expired_quarantines.borrow_mut());
+    for request in expired.into_iter().filter(|r| is_writer(node, *r)) {
         count_call("remove");
         node.store.remove(KIND, &request.to_string()).await?;
     }
     let era = node.store.era().unwrap_or_default();
-    for case in lacking(node, era) {
+    for record in unstored(node, era) {
         count_call("create");
-        let spec = serde_json::to_value(&case).unwrap_or_default();
-        let name = case.request.to_string();
+        let spec = serde_json::to_value(&record).unwrap_or_default();
+        let name = record.request.to_string();
         match node.store.create(KIND, &name, spec).await {
             Ok(_) | Err(StoreError::Conflict) => {
-                node.quarantine.borrow_mut().mark_stored(case.request, era);
+                node.quarantine
+                    .borrow_mut()
+                    .mark_stored(record.request, era);
             }
             Err(e) => return Err(e),
         }
@@ -193,12 +200,13 @@
     Ok(())
 }
 
-/// Cases that this instance is to write: the store may have lost those that were written in an era before.
-fn lacking(node: &Node, era: u64) -> Vec<CrashRecord> {
+/// Returns the crash records that this instance has to write. Those that were written in an earlier
+/// era of the store may have been lost.
+fn unstored(node: &Node, era: u64) -> Vec<CrashRecord> {
     let quarantine = node.quarantine.borrow();
     let held = quarantine.quarantined(node.now());
-    let lacking = held.filter(|c| c.stored_era < Some(era) && is_writer(node, c.request));
-    let written = lacking.map(|c| CrashRecord {
+    let unstored = held.filter(|c| c.stored_era < Some(era) && is_writer(node, c.request));
+    let written = unstored.map(|c| CrashRecord {
         stored_era: Some(era),
         age_ms: 0,
         ..c
@@ -206,6 +214,7 @@
     written.collect()
 }
 
+/// Whether this instance is the one that writes a request's record.
 fn is_writer(node: &Node, request: Fingerprint) -> bool {
     let reaching_store = peers::reaching_store(node);
     node.reaches_store.get()
