--- a/plugins/relay/src/dump.rs
+++ b/plugins/relay/src/dump.rs
@@ -1,4 +1,4 @@
-//! A dump of the process's state.
+//! State dump for operators.
 
 use jacinthweir_policy::relay::chain::Stage;
 use jacinthweir_policy::relay::runners::{RunnerEntry, Runners};
@@ -7,7 +7,7 @@
 use crate::live::LiveChain;
 use crate::node::Node;
 
-/// The whole state as JSON.
+/// Returns the state of the process as JSON.
 pub(crate) fn dump(node: &Node) -> String {
     let now = node.now();
     let chains = node.chains.borrow();
@@ -51,7 +51,7 @@
 }
 
 fn runner(node: &Node, runners: &Runners, entry: &RunnerEntry) -> RunnerDump {
-    let s = runners.health(&entry.id);
+    let health = runners.health(&entry.id);
     RunnerDump {
         id: entry.id.clone(),
         service: entry.service.clone(),
@@ -60,11 +60,11 @@
         kind: entry.kind.clone(),
         layers: entry.layers,
         draining: entry.draining,
-        dead: s.dead,
+        dead: health.dead,
         born_ms: entry.born_ms,
-        orders: s.orders,
-        pace: s.pace(),
-        failing: s.failure_rate_at(node.now()),
-        in_flight: s.in_flight,
+        orders: health.orders,
+        pace: health.pace(),
+        failing: health.failure_rate_at(node.now()),
+        in_flight: health.in_flight,
     }
 }
--- a/plugins/relay/src/lib.rs
+++ b/plugins/relay/src/lib.rs
@@ -133,7 +133,7 @@
     let mut signals = shutdown::Signals::open()?;
     let relay = Relay::spawn(settings).await?;
     log::info!(incarnation = relay.node.incarnation; "started");
-    signals.end(&path).await;
+    signals.wait_for_termination(&path).await;
     let outcome = relay.shut_down().await;
     log::info!(ended:% = outcome; "stopped");
     logs::flush();
--- a/plugins/relay/src/limits.rs
+++ b/plugins/relay/src/limits.rs
@@ -1,4 +1,4 @@
-//! Rates that runners name in their answers: heard, told, and kept.
+//! Rate limits that runners announce in their answers: recorded, gossiped, and applied.
 
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::relay::lifetime::Lifetime;
@@ -8,7 +8,7 @@
 use crate::node::Node;
 use crate::quarantine::lifetime;
 
-/// A runner's answer named a rate, or none.
+/// Records the rate that a runner's answer announces, or that it announces none.
 pub(crate) fn record_answer(node: &Node, runner: &RunnerEntry, rate: Option<f64>) {
     let now = node.now();
     let mut limits = node.rate_limits.borrow_mut();
@@ -16,25 +16,25 @@
         return;
     }
     if limits.record_answer(&lifetime(runner), rate, now) {
-        log::info!(runner = runner.id.as_ref(), rate:? = rate; "runner names a limit");
+        log::info!(runner = runner.id.as_ref(), rate:? = rate; "runner announces a rate limit");
         node.gossip_due.notify_one();
         drop(limits);
         mark_limited(node);
     }
 }
 
-/// Takes in what runners said to another instance.
-pub(crate) fn merge_reports(node: &Node, statements: &[RateReport]) {
+/// Merges the rates that runners announced to another instance.
+pub(crate) fn merge_reports(node: &Node, reports: &[RateReport]) {
     let now = node.now();
     let mut limits = node.rate_limits.borrow_mut();
-    if limits.is_idle() && statements.is_empty() {
+    if limits.is_idle() && reports.is_empty() {
         return;
     }
     limits.expire(now);
-    for s in statements {
+    for s in reports {
         if limits.merge(s, now) {
             let runner = s.lifetime.runner.as_ref();
-            log::info!(runner, rate:? = s.rate, age_ms = s.age_ms; "runner named a limit elsewhere");
+            log::info!(runner, rate:? = s.rate, age_ms = s.age_ms; "peer reports a rate limit");
             node.gossip_due.notify_one();
         }
     }
@@ -42,7 +42,7 @@
     mark_limited(node);
 }
 
-/// Has chains begin elsewhere than at limited runners, as far as they can.
+/// Marks limited runners, so that chains begin at other runners where possible.
 fn mark_limited(node: &Node) {
     let now = node.now();
     let mut changed = false;
@@ -67,7 +67,7 @@
     }
 }
 
-/// Whether this instance may send a runner a request now.
+/// Whether the rate limit of a runner permits this instance to send it a request now.
 pub(crate) fn allows(node: &Node, runner: &RunnerEntry) -> bool {
     let lifetime = lifetime(runner);
     let now = node.now();
@@ -75,7 +75,7 @@
     if limits.is_idle() || !limits.is_limited(&lifetime, now) {
         return true;
     }
-    let live = live(node);
+    let live = live_instances(node);
     let allows = limits.allows(&lifetime, fleet(node, &live), now);
     if !allows {
         metrics::counter!("jacinthweir_limited_total").increment(1);
@@ -83,18 +83,18 @@
     allows
 }
 
-/// A request is sent to a runner.
+/// Records that a request is sent to a runner.
 pub(crate) fn record_sent(node: &Node, runner: &RunnerEntry) {
     let lifetime = lifetime(runner);
     let now = node.now();
     let mut limits = node.rate_limits.borrow_mut();
     if limits.is_limited(&lifetime, now) {
-        let live = live(node);
+        let live = live_instances(node);
         limits.record_sent(&lifetime, fleet(node, &live), now);
     }
 }
 
-fn live(node: &Node) -> Vec<Name> {
+fn live_instances(node: &Node) -> Vec<Name> {
     let membership = node.membership.borrow();
     membership.live().map(|m| m.name.clone()).collect()
 }
--- a/plugins/relay/src/settings.rs
+++ b/plugins/relay/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the relay: JSON with comments, checked whole.
+//! Settings of the relay: JSON with comments, validated as a whole.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,23 +13,23 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelaySettings {
-    /// Name of the instance, kept over restarts.
+    /// Name of the instance, stable across restarts.
     pub name: Name,
-    /// Failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: Name,
     /// Addresses to listen on.
     pub listen: Listen,
-    /// Peers' addresses of other instances; may be stale.
+    /// Addresses on which other instances listen for peers; may be stale.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// Address of the platform's metadata store.
     pub store: SocketAddr,
-    /// Limits on what comes in.
+    /// Limits on incoming connections.
     #[serde(default)]
     pub limits: RelayLimits,
-    /// What has been promised.
+    /// Service-level bounds.
     pub bounds: Bounds,
-    /// Logs.
+    /// Log settings.
     #[serde(default)]
     pub log: LogSettings,
 }
@@ -40,9 +40,9 @@
 pub struct Listen {
     /// Requests of callers.
     pub callers: SocketAddr,
-    /// The platform's question whether this instance takes callers.
+    /// Readiness probes of the platform.
     pub ready: SocketAddr,
-    /// Callers' question which addresses to use.
+    /// Callers' requests for the addresses to use.
     pub entry: SocketAddr,
     /// Other instances.
     pub peers: SocketAddr,
@@ -50,12 +50,12 @@
     pub operators: SocketAddr,
 }
 
-/// Limits on what comes in.
+/// Limits on incoming connections.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RelayLimits {
-    /// The most connections of callers. A small instance has some thousand descriptors, and each
-    /// request in progress takes a second one.
+    /// Maximum number of connections of callers. A small instance has some thousand file
+    /// descriptors, and each request in progress uses a second one.
     pub connections: usize,
 }
 
@@ -65,32 +65,32 @@
     }
 }
 
-/// What has been promised to the users.
+/// Service-level bounds that users rely on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// A key that was taken away is refused after this time, in milliseconds.
+    /// Time after which a revoked key is refused, in milliseconds.
     pub revocation_ms: Millis,
-    /// A shutdown is over after this time, in seconds.
+    /// Maximum duration of a shutdown, in seconds.
     pub shutdown_s: f64,
-    /// How long callers may keep an entry answer, in milliseconds.
+    /// Time to live of an entry answer at callers, in milliseconds.
     pub entry_ttl_ms: Millis,
-    /// Further sends for each request.
+    /// Retries per request that the shared retry budget grants.
     pub repeat_ratio: f64,
-    /// Further sends besides in a window, over all instances.
+    /// Additional retries per window, over all instances.
     pub repeat_slack: f64,
-    /// Length of that window, in seconds.
+    /// Length of the window, in seconds.
     pub repeat_window_s: f64,
 }
 
 impl Bounds {
-    /// A shutdown is over after this time, in milliseconds.
+    /// Returns the maximum duration of a shutdown in milliseconds.
     #[must_use]
     pub fn shutdown_ms(&self) -> Millis {
         (self.shutdown_s * 1e3) as Millis
     }
 
-    /// Length of the window of further sends, in milliseconds.
+    /// Returns the length of the retry budget's window in milliseconds.
     #[must_use]
     pub fn repeat_window_ms(&self) -> Millis {
         (self.repeat_window_s * 1e3) as Millis
@@ -98,18 +98,18 @@
 }
 
 impl RelaySettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// The file cannot be read, or every fault found in it.
+    /// The file cannot be read, or it has faults, all of which are listed.
     pub fn open(path: &Path) -> Result<RelaySettings, KernelError> {
         open_with(path, RelaySettings::parse)
     }
 
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
-    /// Every fault found.
+    /// All faults found.
     pub fn parse(text: &str) -> Result<RelaySettings, Vec<Fault>> {
         let doc = Document::parse(text)?;
         let settings: RelaySettings = doc.read()?;
--- a/plugins/relay/src/shutdown.rs
+++ b/plugins/relay/src/shutdown.rs
@@ -1,8 +1,9 @@
-//! From the signal to the exit.
+//! Drain and shutdown.
 //!
-//! Callers keep an entry answer for its time to live, some three times as long, and connect
-//! without asking again. So this instance leaves the answers at once and goes on accepting for
-//! that long; then it refuses new connections and ends with the last request, or at the bound.
+//! Callers cache an entry answer for its time to live, some of them for three times as long, and
+//! connect without asking again. On a signal, this instance is therefore removed from entry answers
+//! at once and goes on accepting connections for that long. Then it refuses new connections and
+//! stops after the last request, or when the shutdown bound is reached.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -19,17 +20,17 @@
 use crate::settings::RelaySettings;
 use crate::{RelayError, peers};
 
-/// Times to live that some callers keep an entry answer for.
-const TTL_TIMES: u64 = 3;
+/// Number of times to live for which some callers cache an entry answer.
+const CACHED_TTLS: u64 = 3;
 
-/// Time before the bound at which what is left is cut: a cut by the platform says nothing in the
-/// logs.
-const MARGIN_MS: u64 = 300;
+/// Time before the shutdown bound at which the remaining requests are aborted, in milliseconds. If
+/// the platform killed the process instead, nothing would be logged.
+const ABORT_MARGIN_MS: u64 = 300;
 
-/// Period of looking whether the last request has ended, and time for the last bytes to leave.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval between checks whether the last request has ended, and time to flush the last bytes.
+const POLL: Duration = Duration::from_millis(20);
 
-/// Signals that the process takes.
+/// Handlers of the signals that the process reacts to.
 pub(crate) struct Signals {
     term: Signal,
     int: Signal,
@@ -53,55 +54,57 @@
         })
     }
 
-    /// Waits for the end; checks the settings file again at each hang-up signal.
-    pub(crate) async fn end(&mut self, path: &Path) {
+    /// Waits for a termination signal; validates the settings file at each hang-up signal.
+    pub(crate) async fn wait_for_termination(&mut self, path: &Path) {
         loop {
             tokio::select! {
                 _ = self.term.recv() => return,
                 _ = self.int.recv() => return,
-                _ = self.hup.recv() => reload(path),
+                _ = self.hup.recv() => check_settings(path),
             }
         }
     }
 }
 
-/// Settings are read at the start. What changes at run time comes from the store and from peers,
-/// so a reload checks the file, for the next start, and says what is wrong with it.
-fn reload(path: &Path) {
+/// Validates the settings file for the next start and logs its faults. Settings are only read at
+/// start; what changes at run time comes from the store and from peers.
+fn check_settings(path: &Path) {
     match RelaySettings::open(path) {
         Ok(_) => log::info!("settings file is valid; it takes effect at the next start"),
-        Err(e) => log::error!(cause:% = e; "settings file is not valid; the running ones stay"),
+        Err(e) => {
+            log::error!(cause:% = e; "settings file is not valid; the settings in force stay")
+        }
     }
 }
 
-/// Shuts down.
+/// Drains the instance and shuts it down.
 pub(crate) async fn run(node: &Rc<Node>, servers: &Servers) -> DrainOutcome {
-    let began = node.now();
+    let start = node.now();
     let bounds = &node.settings.bounds;
-    let end = began + bounds.shutdown_ms().saturating_sub(MARGIN_MS);
+    let end = start + bounds.shutdown_ms().saturating_sub(ABORT_MARGIN_MS);
     node.draining.set(true);
     peers::announce(node, Phase::Draining);
-    log::info!(requests = node.active.get(); "stopping: out of the entry answers");
-    let accept_ms = (bounds.entry_ttl_ms * TTL_TIMES).min(bounds.shutdown_ms() / 2 + 500);
+    log::info!(requests = node.active.get(); "draining: removed from entry answers");
+    let accept_ms = (bounds.entry_ttl_ms * CACHED_TTLS).min(bounds.shutdown_ms() / 2 + 500);
     sleep(Duration::from_millis(accept_ms)).await;
     servers.refuse.cancel();
     servers.finish.cancel();
     servers.callers.close();
-    log::info!(requests = node.active.get(); "stopping: no new connections");
+    log::info!(requests = node.active.get(); "draining: refusing new connections");
     let left = Duration::from_millis(end.saturating_sub(node.now()));
-    let all = async {
+    let drained = async {
         while node.active.get() > 0 {
-            sleep(LOOK).await;
+            sleep(POLL).await;
         }
     };
-    let ended = match timeout(left, all).await {
+    let outcome = match timeout(left, drained).await {
         Ok(()) => DrainOutcome::Clean,
         Err(_) => DrainOutcome::Cut,
     };
-    if ended == DrainOutcome::Cut {
-        log::warn!(requests = node.active.get(); "requests are cut at the bound");
+    if outcome == DrainOutcome::Cut {
+        log::warn!(requests = node.active.get(); "aborting requests at the shutdown bound");
     }
     peers::announce(node, Phase::Gone);
-    sleep(LOOK).await;
-    ended
+    sleep(POLL).await;
+    outcome
 }
