--- a/plugins/relay/src/placer.rs
+++ b/plugins/relay/src/placer.rs
@@ -2,7 +2,7 @@
 //!
 //! An order contains the wanted layer range and the number of orders that the runner must have
 //! accepted before. A late order meets another number and is refused. An order without an answer
-//! therefore does no harm: the runner's entry shows its result, and the next plan starts from there.
+//! therefore does no harm: the runner's entry shows its result, and the next plan starts there.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/plugins/relay/src/quarantine.rs
+++ b/plugins/relay/src/quarantine.rs
@@ -163,7 +163,7 @@
         let record = o.spec.decode::<CrashRecord>("held request");
         record
             .inspect_err(
-                |e| log::warn!(object = o.meta.name.as_ref(), cause:% = e; "cannot decode a crash record"),
+                |e| log::warn!(object = o.meta.name.as_ref(), cause:% = e; "bad crash record"),
             )
             .ok()
     });
--- a/plugins/relay/src/shutdown.rs
+++ b/plugins/relay/src/shutdown.rs
@@ -72,7 +72,7 @@
     match RelaySettings::open(path) {
         Ok(_) => log::info!("settings file is valid; it takes effect at the next start"),
         Err(e) => {
-            log::error!(cause:% = e; "settings file is not valid; the settings in force stay")
+            log::error!(cause:% = e; "settings file is not valid; keeping the old ones");
         }
     }
 }
