--- a/plugins/relay/src/admit.rs
+++ b/plugins/relay/src/admit.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use crate::answer::{Cause, Journal};
-use crate::live::LiveChain;
+use crate::live_chains::LiveChain;
 use crate::node::Node;
 use crate::request::Proxied;
 
--- a/plugins/relay/src/attempt.rs
+++ b/plugins/relay/src/attempt.rs
@@ -9,8 +9,8 @@
 use jacinthweir_platform::header;
 use jacinthweir_policy::relay::runners::RunnerEntry;
 
-use crate::limits;
 use crate::node::Node;
+use crate::rate_limits;
 
 /// Time that a new connection to a runner may take. Runners are a millisecond away; a dropped
 /// opening packet is sent again only after seconds.
@@ -39,7 +39,7 @@
     id: &str,
     req: Request<Full<bytes::Bytes>>,
 ) -> Sent {
-    limits::record_sent(node, runner);
+    rate_limits::record_sent(node, runner);
     let res = match direct::send(runner.address, req, CONNECT).await {
         Ok(res) => res,
         Err(e) if e.is_unsent() => return Sent::Unreached(e),
@@ -47,7 +47,7 @@
     };
     let headers = res.headers();
     if res.status() != StatusCode::MISDIRECTED_REQUEST {
-        limits::record_answer(node, runner, header::named_limit(headers));
+        rate_limits::record_answer(node, runner, header::named_limit(headers));
     }
     let refused = headers.contains_key(header::NOT_RUN);
     if refused || res.status() == StatusCode::MISDIRECTED_REQUEST {
--- a/plugins/relay/src/call.rs
+++ b/plugins/relay/src/call.rs
@@ -17,10 +17,10 @@
 use crate::answer::{Cause, Journal, RelayBody};
 use crate::attempt::{self, Sent};
 use crate::breaks::{self, BrokenOff, Progress};
-use crate::limits;
 use crate::node::Node;
 use crate::probe;
 use crate::quarantine;
+use crate::rate_limits;
 use crate::request::{Proxied, count};
 
 /// The longest answer, in bytes: it is held in memory.
@@ -123,7 +123,7 @@
     let domain = &node.settings.failure_domain;
     let ranked = runners.service_candidates(&rq.service, domain, now, || node.random_u32());
     let mut untried = ranked.into_iter().filter(|e| !tried.contains(&e.id));
-    untried.find(|e| limits::allows(node, e)).cloned()
+    untried.find(|e| rate_limits::allows(node, e)).cloned()
 }
 
 async fn attempt(node: &Rc<Node>, rq: &Proxied, runner: &RunnerEntry, repeatable: bool) -> Ended {
--- a/plugins/relay/src/dump.rs
+++ b/plugins/relay/src/dump.rs
@@ -4,7 +4,7 @@
 use jacinthweir_policy::relay::runners::{RunnerEntry, Runners};
 use jacinthweir_wire::relay::{ChainDump, RelayDump, RunnerDump, StageDump};
 
-use crate::live::LiveChain;
+use crate::live_chains::LiveChain;
 use crate::node::Node;
 
 /// Returns the state of the process as JSON.
--- a/plugins/relay/src/news.rs
+++ b/plugins/relay/src/gossip.rs
@@ -20,11 +20,11 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
 
-use crate::limits;
 use crate::node::Node;
 use crate::peers::{Message, PEER_TIMEOUT, post};
 use crate::probe;
 use crate::quarantine;
+use crate::rate_limits;
 use crate::watch;
 
 /// Instances that a gossip message is sent to.
@@ -188,7 +188,7 @@
     news.seen.apply(node);
     probe::hear_words(node, &news.dead);
     quarantine::merge_records(node, &news.cases);
-    limits::merge_reports(node, &news.limits);
+    rate_limits::merge_reports(node, &news.limits);
     let mut changed = false;
     for (id, born_ms) in &news.alive {
         changed |= probe::hear_alive(node, id, *born_ms, &news.domain);
--- a/plugins/relay/src/lib.rs
+++ b/plugins/relay/src/lib.rs
@@ -9,10 +9,10 @@
 //! |---|---|
 //! | [`settings`] | the settings file |
 //! | [`node`] | shared state of the process |
-//! | `live` | chains in use and the requests in flight on each |
+//! | `live_chains` | chains in use and the requests in flight on each |
 //! | `watch` | watches the store for the configuration and the runners |
 //! | `peers` | anti-entropy exchanges with other instances |
-//! | [`news`] | gossip of changes that cannot wait for the next exchange |
+//! | [`gossip`] | gossip of changes that cannot wait for the next exchange |
 //! | `placer` | placement lease, and placement orders to runners |
 //! | `probe` | probes the runners of a silent chain |
 //! | `server` | listeners |
@@ -21,7 +21,7 @@
 //! | `breaks`, `quarantine` | interrupted runs; requests that crash their runners |
 //! | `call` | requests with a single response |
 //! | `admit`, `tried`, `stream`, `events` | event streams: admission, attempts, response, events |
-//! | `limits` | rate limits that runners announce |
+//! | `rate_limits` | rate limits that runners announce |
 //! | `answer` | final responses, and what they may contain |
 //! | `shutdown` | drain and shutdown |
 //! | `dump` | state dump for operators |
@@ -37,15 +37,15 @@
 mod call;
 mod dump;
 mod events;
-mod limits;
-mod live;
-pub mod news;
+pub mod gossip;
+mod live_chains;
 mod node;
 mod peers;
 mod placer;
 mod probe;
 mod quarantine;
 mod question;
+mod rate_limits;
 mod request;
 mod server;
 pub mod settings;
@@ -99,7 +99,7 @@
         let servers = server::bind(&node).await?;
         watch::spawn(&node);
         peers::spawn(&node);
-        news::spawn(&node);
+        gossip::spawn(&node);
         placer::spawn(&node);
         probe::spawn(&node);
         quarantine::spawn(&node);
--- a/plugins/relay/src/live.rs
+++ b/plugins/relay/src/live_chains.rs
@@ -13,9 +13,9 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::admit;
-use crate::limits;
 use crate::node::Node;
 use crate::quarantine;
+use crate::rate_limits;
 use crate::request::Proxied;
 
 /// A chain in use.
@@ -251,7 +251,7 @@
         }
         let mut candidates = Vec::with_capacity(live.len());
         for (i, l) in live.iter().enumerate() {
-            let is_limited = !limits::allows(self, l.chain.head());
+            let is_limited = !rate_limits::allows(self, l.chain.head());
             if is_limited || l.broken.is_cancelled() || !may_take(l) {
                 continue;
             }
--- a/plugins/relay/src/node.rs
+++ b/plugins/relay/src/node.rs
@@ -33,7 +33,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::RelayError;
-use crate::live::Chains;
+use crate::live_chains::Chains;
 use crate::placer::Loading;
 use crate::settings::RelaySettings;
 
--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -3,7 +3,7 @@
 //!
 //! The membership selects the peers; [`loads`](jacinthweir_policy::relay::loads) decides which
 //! loads each of them is sent. Changes that cannot wait for the next exchange are sent by
-//! [`news`](crate::news).
+//! [`gossip`](crate::gossip).
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -28,9 +28,9 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::interval;
 
-use crate::news::{self, News, Seen};
+use crate::gossip::{self, News, Seen};
 use crate::node::{Node, ROUND_MS};
-use crate::{limits, probe, quarantine, watch};
+use crate::{probe, quarantine, rate_limits, watch};
 
 /// Path to which instances post their messages.
 pub(crate) const PATH: &str = "/peer";
@@ -99,7 +99,7 @@
         self.seen.apply(node);
         probe::hear_words(node, &self.failure_reports);
         quarantine::merge_records(node, &self.crash_records);
-        limits::merge_reports(node, &self.rate_reports);
+        rate_limits::merge_reports(node, &self.rate_reports);
     }
 }
 
@@ -385,7 +385,7 @@
             Reply::Done
         }
         Message::News(news) => {
-            news::apply(node, &news);
+            gossip::apply(node, &news);
             Reply::Done
         }
         Message::Step(changes) => {
--- a/plugins/relay/src/probe.rs
+++ b/plugins/relay/src/probe.rs
@@ -16,7 +16,7 @@
 use jacinthweir_policy::relay::store_watch;
 use tokio::time::sleep;
 
-use crate::live::LiveChain;
+use crate::live_chains::LiveChain;
 use crate::node::Node;
 use crate::peers;
 use crate::question::{self, Asked, Finding, Suspect, TRIES};
--- a/plugins/relay/src/stream.rs
+++ b/plugins/relay/src/stream.rs
@@ -21,7 +21,7 @@
 use crate::answer::{Cause, Cut, Journal, RelayBody};
 use crate::breaks::{self, BrokenOff, Progress};
 use crate::events::Events;
-use crate::live::{InFlight, LiveChain};
+use crate::live_chains::{InFlight, LiveChain};
 use crate::node::Node;
 use crate::quarantine;
 use crate::request::{Proxied, count};
--- a/plugins/relay/src/tried.rs
+++ b/plugins/relay/src/tried.rs
@@ -14,7 +14,7 @@
 use crate::answer::Journal;
 use crate::attempt::{self, Sent};
 use crate::breaks::{self, BrokenOff, Progress};
-use crate::live::{InFlight, LiveChain};
+use crate::live_chains::{InFlight, LiveChain};
 use crate::node::Node;
 use crate::probe;
 use crate::quarantine::lifetimes;
