--- a/plugins/relay/src/admission.rs
+++ b/plugins/relay/src/admission.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use crate::answer::{Cause, SendRecord};
-use crate::live::LiveChain;
+use crate::live_chains::LiveChain;
 use crate::node::Node;
 use crate::request::ProxiedRequest;
 
@@ -68,7 +68,7 @@
     let position = QueuePosition::open(node, queue_rank(rq), tokens);
     let mut first_check = true;
     loop {
-        let notified = node.room.notified();
+        let notified = node.room_freed.notified();
         if position.is_first()
             && let Some(live) = node.choose_chain(rq, chain_selection::MAX_FILL, &may_take)
         {
@@ -133,13 +133,13 @@
             .sum();
         let now = self.node.now();
         let left = until.saturating_sub(now);
-        ahead > self.node.flow.borrow().expected_release(now, left)
+        ahead > self.node.release_rate.borrow().expected_release(now, left)
     }
 }
 
 impl Drop for QueuePosition {
     fn drop(&mut self) {
         self.node.queue.borrow_mut().remove(&self.key);
-        self.node.room.notify_waiters();
+        self.node.room_freed.notify_waiters();
     }
 }
--- a/plugins/relay/src/attempt.rs
+++ b/plugins/relay/src/attempt.rs
@@ -9,8 +9,8 @@
 use jacinthweir_platform::header;
 use jacinthweir_policy::relay::runners::RunnerEntry;
 
-use crate::limits;
 use crate::node::Node;
+use crate::rate_limits;
 
 /// Time limit for a new connection to a runner. The round trip takes about a millisecond, while a
 /// lost SYN is retransmitted only after seconds.
@@ -39,7 +39,7 @@
     id: &str,
     req: Request<Full<bytes::Bytes>>,
 ) -> SendOutcome {
-    limits::sent(node, runner);
+    rate_limits::record_sent(node, runner);
     let res = match direct::send(runner.address, req, CONNECT_TIMEOUT).await {
         Ok(res) => res,
         Err(e) if e.is_unsent() => return SendOutcome::Unreached(e),
@@ -47,7 +47,7 @@
     };
     let headers = res.headers();
     if res.status() != StatusCode::MISDIRECTED_REQUEST {
-        limits::said(node, runner, header::rate_limit(headers));
+        rate_limits::record_answer(node, runner, header::rate_limit(headers));
     }
     let refused = headers.contains_key(header::NOT_RUN);
     if refused || res.status() == StatusCode::MISDIRECTED_REQUEST {
--- a/plugins/relay/src/call.rs
+++ b/plugins/relay/src/call.rs
@@ -18,9 +18,9 @@
 use crate::attempt::{self, SendOutcome};
 use crate::failure_detector;
 use crate::interrupted_run::{self, InterruptedRun, Progress};
-use crate::limits;
 use crate::node::Node;
 use crate::quarantine;
+use crate::rate_limits;
 use crate::request::{ProxiedRequest, count_outcome};
 
 /// Maximum answer size, in bytes: the answer is buffered in memory.
@@ -67,7 +67,7 @@
     let mut unreached = 0;
     loop {
         let until = admission::until(node, &rq, send_record);
-        if let Some(held_ms) = quarantine::held_ms(node, &rq, until).await {
+        if let Some(held_ms) = quarantine::quarantined_ms(node, &rq, until).await {
             return rq.unanswered_response(node, send_record, Cause::Quarantined, held_ms);
         }
         if rq.remaining_ms(node) == 0 {
@@ -115,7 +115,7 @@
             res
         }
         _ => {
-            let jitter_ms = (node.draw() * RETRY_AFTER_JITTER_MS) as Millis;
+            let jitter_ms = (node.random_f64() * RETRY_AFTER_JITTER_MS) as Millis;
             rq.unanswered_response(node, send_record, cause, RETRY_AFTER_MS + jitter_ms)
         }
     }
@@ -125,9 +125,9 @@
     let now = node.now();
     let runners = node.runners.borrow();
     let domain = &node.settings.failure_domain;
-    let ranked = runners.service_candidates(&rq.service, domain, now, || node.draw_u32());
+    let ranked = runners.service_candidates(&rq.service, domain, now, || node.random_u32());
     let mut untried = ranked.into_iter().filter(|e| !tried.contains(&e.id));
-    untried.find(|e| limits::allows(node, e)).cloned()
+    untried.find(|e| rate_limits::allows(node, e)).cloned()
 }
 
 async fn attempt(
@@ -168,7 +168,7 @@
             if failed {
                 log_attempt(rq, runner, "failed", res.status().as_str());
             }
-            quarantine::survived(node, rq);
+            quarantine::record_survival(node, rq);
             let res = to_caller(res);
             if failed {
                 CallOutcome::Failed(Some(res))
--- a/plugins/relay/src/chain_attempts.rs
+++ b/plugins/relay/src/chain_attempts.rs
@@ -15,15 +15,15 @@
 use crate::attempt::{self, SendOutcome};
 use crate::failure_detector;
 use crate::interrupted_run::{self, InterruptedRun, Progress};
-use crate::live::{LiveChain, Passage};
+use crate::live_chains::{InFlight, LiveChain};
 use crate::node::Node;
-use crate::quarantine::along;
+use crate::quarantine::lifetimes;
 use crate::request::ProxiedRequest;
 
 /// Outcome of an attempt on a chain.
 pub(crate) enum AttemptOutcome {
     /// The head of an answer arrived.
-    Stream(Passage, Response<ResponseBody>),
+    Stream(InFlight, Response<ResponseBody>),
     /// A runner states that it did not run the request.
     NotRun,
     /// The connection to the first runner failed.
@@ -104,7 +104,7 @@
     live: &Rc<LiveChain>,
     after: Option<u64>,
 ) -> AttemptOutcome {
-    let passage = Passage::open(node, Rc::clone(live), admission::tokens(rq));
+    let in_flight = InFlight::open(node, Rc::clone(live), admission::tokens(rq));
     let head = live.chain.head();
     let mut req = rq.runner_request(node, &head.id);
     if let Some(value) = header::value(&header::encode_chain(&live.chain)) {
@@ -120,14 +120,14 @@
         sent = timeout(left, attempt::send(node, head, &rq.id, req)) => sent,
         () = live.broken.cancelled() => {
             log_attempt(rq, live, "chain broke", "");
-            record_interruption(node, rq, &passage, "chain broke");
+            record_interruption(node, rq, &in_flight, "chain broke");
             return AttemptOutcome::Broken;
         }
     };
     match sent {
         Ok(SendOutcome::Answer(res)) => {
             live.refusals.borrow_mut().record_accepted(node.now());
-            AttemptOutcome::Stream(passage, res)
+            AttemptOutcome::Stream(in_flight, res)
         }
         Ok(SendOutcome::NotRun { status, at_fault }) => {
             let at_fault_shown = at_fault.map_or_else(String::new, |a| a.to_string());
@@ -146,7 +146,7 @@
         }
         Ok(SendOutcome::Lost(cause)) => {
             log_attempt(rq, live, "lost", &cause);
-            record_interruption(node, rq, &passage, &cause);
+            record_interruption(node, rq, &in_flight, &cause);
             AttemptOutcome::Lost
         }
         Err(_) => {
@@ -157,11 +157,11 @@
 }
 
 /// Records the interruption of a run of which nothing had arrived.
-fn record_interruption(node: &Rc<Node>, rq: &ProxiedRequest, passage: &Passage, cause: &str) {
+fn record_interruption(node: &Rc<Node>, rq: &ProxiedRequest, in_flight: &InFlight, cause: &str) {
     let interrupted_run = InterruptedRun {
         rq,
-        lifetimes: along(&passage.live.chain),
-        sent_ms: passage.sent_ms,
+        lifetimes: lifetimes(&in_flight.live.chain),
+        sent_ms: in_flight.sent_ms,
         progress: Progress::NothingReceived,
         cause,
     };
--- a/plugins/relay/src/failure_detector.rs
+++ b/plugins/relay/src/failure_detector.rs
@@ -16,7 +16,7 @@
 use jacinthweir_policy::relay::store_watch;
 use tokio::time::sleep;
 
-use crate::live::LiveChain;
+use crate::live_chains::LiveChain;
 use crate::node::Node;
 use crate::peers;
 use crate::runner_probe::{self, MAX_PROBES, ProbeResult, ProbeTarget, Suspect};
@@ -57,7 +57,10 @@
         let silent_chains: Vec<Rc<LiveChain>> = {
             let chains = node.chains.borrow();
             let alive = chains.all().filter(|l| !l.broken.is_cancelled());
-            alive.filter(|l| l.should_ask(now)).cloned().collect()
+            alive
+                .filter(|l| l.should_probe_runners(now))
+                .cloned()
+                .collect()
         };
         for live in silent_chains {
             tokio::task::spawn_local(probe_stages(Rc::clone(node), live));
@@ -69,10 +72,10 @@
 async fn wait_for_check(node: &Node) {
     let now = node.now();
     let next = next_check_ms(node, now);
-    node.next_look_ms.set(next);
+    node.next_silence_check_ms.set(next);
     tokio::select! {
         () = sleep(Duration::from_millis(next - now)) => log_late_check(node.now().saturating_sub(next)),
-        () = node.look.notified() => sleep(Duration::from_millis(MIN_CHECK_INTERVAL_MS)).await,
+        () = node.check_silence.notified() => sleep(Duration::from_millis(MIN_CHECK_INTERVAL_MS)).await,
     }
 }
 
@@ -188,19 +191,21 @@
 /// `silent_rounds` times already.
 fn examine(node: &Rc<Node>, suspect: Suspect, silent_rounds: u32) {
     let lifetime = (suspect.id.clone(), suspect.born_ms);
-    if !node.examined.borrow_mut().insert(lifetime.clone()) {
+    if !node.probed_suspects.borrow_mut().insert(lifetime.clone()) {
         return;
     }
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
         runner_probe::examine(Rc::clone(&node), suspect, silent_rounds).await;
-        node.examined.borrow_mut().remove(&lifetime);
+        node.probed_suspects.borrow_mut().remove(&lifetime);
     });
 }
 
 /// Records that a runner answered, which refutes the failure reports on it.
 pub(crate) fn record_answer(node: &Node, id: &Name, born_ms: u64) {
-    node.words.borrow_mut().refute(id, born_ms, node.now());
+    node.failure_reports
+        .borrow_mut()
+        .refute(id, born_ms, node.now());
 }
 
 /// Processes a runner's report: its lifetime, its pace, and the runners that its requests are
@@ -215,7 +220,7 @@
         changed |= mark_dead_at(node, *address);
     }
     if changed {
-        node.news.notify_one();
+        node.gossip_due.notify_one();
         node.rebuild_chains();
     }
 }
@@ -226,7 +231,7 @@
 /// Declares a lifetime of a runner dead and notifies the other instances at once.
 pub(crate) fn report_dead(node: &Node, id: &Name, born_ms: u64, evidence: &str) {
     if mark_dead_and_report(node, id, born_ms, evidence) {
-        node.news.notify_one();
+        node.gossip_due.notify_one();
         node.rebuild_chains();
     }
 }
@@ -253,7 +258,9 @@
             born_ms,
             reporters: [node.settings.name.clone()].into(),
         };
-        node.words.borrow_mut().record(&report, node.now());
+        node.failure_reports
+            .borrow_mut()
+            .record(&report, node.now());
         if let Some(health) = node.runners.borrow_mut().health_mut(id) {
             health.found_locally = true;
         }
@@ -302,12 +309,12 @@
     let mut is_new = false;
     for report in reports {
         if is_presumed_alive(node, &report.runner, report.born_ms) {
-            is_new |= node.words.borrow_mut().record(report, node.now());
+            is_new |= node.failure_reports.borrow_mut().record(report, node.now());
         }
     }
     apply_failure_reports(node);
     if is_new {
-        node.news.notify_one();
+        node.gossip_due.notify_one();
     }
 }
 
@@ -321,9 +328,9 @@
 /// Marks runners that other instances reported as dead, or probes them, as the reports require.
 fn apply_failure_reports(node: &Rc<Node>) {
     let now = node.now();
-    let instances = node.instances();
+    let instances = node.live_instances();
     let named: Vec<(Name, u64)> = {
-        let reports = node.words.borrow();
+        let reports = node.failure_reports.borrow();
         reports
             .runners()
             .map(|(id, born)| (id.clone(), born))
@@ -335,7 +342,7 @@
             continue;
         }
         let is_affected = passes_through(node, &id);
-        let reports = node.words.borrow();
+        let reports = node.failure_reports.borrow();
         let advice = reports.advice(&id, born_ms, is_affected, instances, now);
         drop(reports);
         match advice {
@@ -347,7 +354,7 @@
         }
     }
     if changed {
-        node.news.notify_one();
+        node.gossip_due.notify_one();
         node.rebuild_chains();
     }
 }
@@ -391,7 +398,9 @@
     let is_accepted = near && !health.found_locally;
     if is_accepted {
         health.mark_recovered(now);
-        node.words.borrow_mut().refute(id, born_ms, node.now());
+        node.failure_reports
+            .borrow_mut()
+            .refute(id, born_ms, node.now());
         log::info!(runner = id.as_ref(); "runner answers another instance of the failure domain again");
     } else {
         health.probe_soon();
@@ -403,7 +412,7 @@
 fn due_recovery_probes(node: &Node) -> Vec<Suspect> {
     let now = node.now();
     // Instances share the results, so in a large fleet each may probe less often.
-    let interval_ms = store_watch::scaled_interval_ms(PROBE_INTERVAL_MS, node.instances());
+    let interval_ms = store_watch::scaled_interval_ms(PROBE_INTERVAL_MS, node.live_instances());
     let mut runners = node.runners.borrow_mut();
     let suspects: Vec<Suspect> = {
         let is_unhealthy = |s: &RunnerHealth| s.dead || s.is_slow();
@@ -444,7 +453,7 @@
             changed |= mark_recovered_if_dead(node, id, *born_ms);
         }
         if changed {
-            node.news.notify_one();
+            node.gossip_due.notify_one();
             node.rebuild_chains();
         }
     }
--- a/plugins/relay/src/interrupted_run.rs
+++ b/plugins/relay/src/interrupted_run.rs
@@ -61,7 +61,7 @@
     metrics::counter!("jacinthweir_runs_broken_total").increment(1);
     probe_first(node, &lifetimes);
     match progress {
-        Progress::Received(ms) if ms >= SURVIVED_MS => quarantine::survived(node, rq),
+        Progress::Received(ms) if ms >= SURVIVED_MS => quarantine::record_survival(node, rq),
         Progress::Received(_) | Progress::NothingReceived => {
             node.quarantine.borrow_mut().record_broken_run(BrokenRun {
                 request: rq.fingerprint(),
--- a/plugins/relay/src/request.rs
+++ b/plugins/relay/src/request.rs
@@ -174,7 +174,7 @@
         return Err(unconfirmed(node, &id));
     }
     let body = read_body(&intent, &parts, body, &id).await?;
-    let draw = node.draw();
+    let draw = node.random_f64();
     let Some(service) = route.service(draw).cloned() else {
         return Err(deny(
             node,
@@ -228,7 +228,7 @@
 
 async fn wait_for_configuration(node: &Node) {
     let until = node.now() + STARTUP_WAIT_MS;
-    while node.now() < until && node.vouch.borrow().is_starting(node.now()) {
+    while node.now() < until && node.config_confirmation.borrow().is_starting(node.now()) {
         sleep(STARTUP_POLL_INTERVAL).await;
     }
 }
@@ -284,7 +284,7 @@
 }
 
 fn unconfirmed(node: &Node, id: &Name) -> Response<RelayBody> {
-    let age_ms = node.vouch.borrow().age_ms(node.now());
+    let age_ms = node.config_confirmation.borrow().age_ms(node.now());
     log::info!(request = id.as_ref(), age_ms:? = age_ms; "refused: no confirmed configuration");
     count_outcome("unconfirmed");
     SendRecord::default().failure(Cause::Unconfirmed, UNCONFIRMED_RETRY_MS)
@@ -293,7 +293,7 @@
 /// Denies a request, or answers "unconfirmed" if the configuration's confirmation is too old for a
 /// denial.
 fn deny(node: &Node, id: &Name, status: StatusCode, why: &str) -> Response<RelayBody> {
-    let age = node.vouch.borrow().age_ms(node.now());
+    let age = node.config_confirmation.borrow().age_ms(node.now());
     if age.is_none_or(|age| age > MAX_DENIAL_AGE_MS) {
         return unconfirmed(node, id);
     }
--- a/plugins/relay/src/stream.rs
+++ b/plugins/relay/src/stream.rs
@@ -22,7 +22,7 @@
 use crate::chain_attempts::{AttemptOutcome, ChainAttempts};
 use crate::events::EventSplitter;
 use crate::interrupted_run::{self, InterruptedRun, Progress};
-use crate::live::{LiveChain, Passage};
+use crate::live_chains::{InFlight, LiveChain};
 use crate::node::Node;
 use crate::quarantine;
 use crate::request::{ProxiedRequest, count_outcome};
@@ -53,7 +53,7 @@
     let mut attempts = ChainAttempts::default();
     let cause = loop {
         let until = admission::until(node, &rq, attempts.send_record);
-        if let Some(held_ms) = quarantine::held_ms(node, &rq, until).await {
+        if let Some(held_ms) = quarantine::quarantined_ms(node, &rq, until).await {
             return rq.unanswered_response(node, attempts.send_record, Cause::Quarantined, held_ms);
         }
         let may_take = |live: &LiveChain| attempts.may_take(node, &rq, live);
@@ -62,7 +62,7 @@
             Err(cause) => break cause,
         };
         // The request may have been quarantined while it waited for room.
-        if let Some(held_ms) = quarantine::held_ms(node, &rq, until).await {
+        if let Some(held_ms) = quarantine::quarantined_ms(node, &rq, until).await {
             return rq.unanswered_response(node, attempts.send_record, Cause::Quarantined, held_ms);
         }
         if attempts.send_record.sends > 0
@@ -71,8 +71,8 @@
             break Cause::RunnerFailed;
         }
         match attempts.attempt(node, &rq, &live, rq.last_event).await {
-            AttemptOutcome::Stream(passage, res) => {
-                return forward(node, rq, passage, res, attempts);
+            AttemptOutcome::Stream(in_flight, res) => {
+                return forward(node, rq, in_flight, res, attempts);
             }
             AttemptOutcome::Timeout => break Cause::Timeout,
             AttemptOutcome::NotRun
@@ -96,7 +96,7 @@
     let retry_after_ms = node
         .shortage
         .borrow_mut()
-        .record_refused(node.now(), node.draw());
+        .record_refused(node.now(), node.random_f64());
     rq.unanswered_response(node, send_record, cause, retry_after_ms)
 }
 
@@ -104,13 +104,13 @@
 fn forward(
     node: &Rc<Node>,
     rq: ProxiedRequest,
-    passage: Passage,
+    in_flight: InFlight,
     res: Response<ResponseBody>,
     attempts: ChainAttempts,
 ) -> Response<RelayBody> {
     let (parts, body) = res.into_parts();
     let now = node.now();
-    passage.heard();
+    in_flight.record_bytes();
     metrics::histogram!("jacinthweir_first_event_seconds")
         .record((now - rq.received_ms) as f64 / 1e3);
     let forwarded = ForwardedStream {
@@ -122,7 +122,7 @@
         longest_gap_ms: 0,
         resumed: 0,
         attempts,
-        passage: Some(passage),
+        in_flight: Some(in_flight),
         body: Some(body),
         node: Rc::clone(node),
         rq,
@@ -142,7 +142,7 @@
 struct ForwardedStream {
     node: Rc<Node>,
     rq: ProxiedRequest,
-    passage: Option<Passage>,
+    in_flight: Option<InFlight>,
     body: Option<ResponseBody>,
     events: EventSplitter,
     /// Whether the answer is a success: only then does its body consist of events.
@@ -242,7 +242,7 @@
 
     async fn read(&mut self) -> ReadOutcome {
         let left = Duration::from_millis(self.rq.remaining_ms(&self.node));
-        let (Some(body), Some(passage)) = (&mut self.body, &self.passage) else {
+        let (Some(body), Some(in_flight)) = (&mut self.body, &self.in_flight) else {
             return ReadOutcome::RunFailed("no run".to_owned());
         };
         tokio::select! {
@@ -252,21 +252,21 @@
                 Some(Err(e)) => ReadOutcome::RunFailed(e.to_string()),
                 None => ReadOutcome::End,
             },
-            () = passage.live.broken.cancelled() => ReadOutcome::ChainBroke,
+            () = in_flight.live.broken.cancelled() => ReadOutcome::ChainBroke,
             () = sleep(left) => ReadOutcome::Timeout,
         }
     }
 
     /// Records that the current run was interrupted.
     fn record_interruption(&self, cause: &str) {
-        if let Some(passage) = &self.passage {
+        if let Some(in_flight) = &self.in_flight {
             let progress =
                 Progress::Received(self.last_received_ms.saturating_sub(self.run_head_ms));
-            let lifetimes = quarantine::along(&passage.live.chain);
+            let lifetimes = quarantine::lifetimes(&in_flight.live.chain);
             let interrupted_run = InterruptedRun {
                 rq: &self.rq,
                 lifetimes,
-                sent_ms: passage.sent_ms,
+                sent_ms: in_flight.sent_ms,
                 progress,
                 cause,
             };
@@ -279,9 +279,9 @@
         let gap = now - self.last_received_ms;
         self.last_received_ms = now;
         self.longest_gap_ms = self.longest_gap_ms.max(gap);
-        if let Some(passage) = &self.passage {
-            passage.heard();
-            passage.live.gaps.borrow_mut().record(now, gap);
+        if let Some(in_flight) = &self.in_flight {
+            in_flight.record_bytes();
+            in_flight.live.gaps.borrow_mut().record(now, gap);
         }
     }
 
@@ -290,8 +290,8 @@
         let per_event = self.rq.engine().map_or(1, |e| e.event_tokens);
         let (prompt, _) = admission::token_counts(&self.rq);
         let written = self.events.count() * u64::from(per_event);
-        if let Some(passage) = &mut self.passage {
-            passage.at_least(f64::from(prompt) + written as f64);
+        if let Some(in_flight) = &mut self.in_flight {
+            in_flight.raise_tokens(f64::from(prompt) + written as f64);
         }
     }
 
@@ -303,30 +303,30 @@
     /// new run is preferred where it starts sooner and in time.
     async fn reroute(&mut self) -> Option<()> {
         let decided = self.last_received_ms + self.abandon_fraction_ms(REROUTE_FRACTION);
-        if quarantine::held_ms(&self.node, &self.rq, decided)
+        if quarantine::quarantined_ms(&self.node, &self.rq, decided)
             .await
             .is_some()
         {
             return None;
         }
-        let broken = Rc::clone(&self.passage.as_ref()?.live);
+        let broken = Rc::clone(&self.in_flight.as_ref()?.live);
         let in_time =
             self.last_received_ms + self.rq.max_gap_ms.saturating_sub(RESUME_FIRST_EVENT_MS);
         let until = self.last_received_ms + self.abandon_fraction_ms(REROUTE_FRACTION);
-        while self.node.now() < until && self.node.has_head(&broken) {
+        while self.node.now() < until && self.node.is_head_alive(&broken) {
             // Without a retry another chain is of no use, so the run waits for the lost layers.
             let elsewhere = self.next_chain().filter(|_| self.may_run_again());
-            let elsewhere = elsewhere.map(|l| l.unread_tokens());
+            let elsewhere = elsewhere.map(|l| l.prefill_tokens());
             let in_time = self.node.now() < in_time;
             match (self.node.successor(&broken), elsewhere) {
-                (Some(live), Some(tokens)) if in_time && live.unread_tokens() > tokens => {
+                (Some(live), Some(tokens)) if in_time && live.prefill_tokens() > tokens => {
                     return None;
                 }
                 (Some(live), _) => return self.reroute_along(live).await,
                 (None, Some(_)) => return None,
                 (None, None) => {}
             }
-            let _ = timeout(POLL_INTERVAL, self.node.room.notified()).await;
+            let _ = timeout(POLL_INTERVAL, self.node.room_freed.notified()).await;
         }
         None
     }
@@ -344,7 +344,7 @@
     }
 
     async fn reroute_along(&mut self, live: Rc<LiveChain>) -> Option<()> {
-        self.passage.as_mut()?.move_to(Rc::clone(&live));
+        self.in_flight.as_mut()?.move_to(Rc::clone(&live));
         let ordered = runner::reroute(&live.chain, &self.rq.id, REROUTE_TIMEOUT).await;
         let outcome = match &ordered {
             Ok(_) => "ordered".to_owned(),
@@ -368,7 +368,7 @@
         self.body = None;
         // The runner is probably dead but not yet detected as such, so its chain is excluded.
         self.attempts.excluded = self
-            .passage
+            .in_flight
             .take()
             .iter()
             .map(|p| Rc::clone(&p.live))
@@ -382,7 +382,7 @@
         let mut position = Some(QueuePosition::ahead_of_new_requests(&self.node));
         let mut failure = ResumeFailure::NoChain;
         while self.node.now() < until {
-            if quarantine::held_ms(&self.node, &self.rq, until)
+            if quarantine::quarantined_ms(&self.node, &self.rq, until)
                 .await
                 .is_some()
             {
@@ -397,23 +397,23 @@
                 position = None;
             }
             failure = match self.try_resume().await {
-                Ok((passage, res)) => {
+                Ok((in_flight, res)) => {
                     drop(position);
-                    self.finish_resume(passage, res, cause);
+                    self.finish_resume(in_flight, res, cause);
                     return Ok(());
                 }
                 Err(ResumeFailure::OutOfTime) => return Err(ResumeFailure::OutOfTime),
                 Err(failure) => failure,
             };
             if matches!(failure, ResumeFailure::NoChain | ResumeFailure::NoRetry) {
-                let _ = timeout(POLL_INTERVAL, self.node.room.notified()).await;
+                let _ = timeout(POLL_INTERVAL, self.node.room_freed.notified()).await;
             }
         }
         Err(failure)
     }
 
     /// Tries once to resume the stream with another run.
-    async fn try_resume(&mut self) -> Result<(Passage, Response<ResponseBody>), ResumeFailure> {
+    async fn try_resume(&mut self) -> Result<(InFlight, Response<ResponseBody>), ResumeFailure> {
         let live = self.next_chain().ok_or(ResumeFailure::NoChain)?;
         // Each send spends a retry, even one that a runner refuses.
         if !self
@@ -428,8 +428,8 @@
             .attempt(&self.node, &self.rq, &live, after)
             .await
         {
-            AttemptOutcome::Stream(passage, res) if res.status() == StatusCode::OK => {
-                Ok((passage, res))
+            AttemptOutcome::Stream(in_flight, res) if res.status() == StatusCode::OK => {
+                Ok((in_flight, res))
             }
             AttemptOutcome::Stream(..) => Err(ResumeFailure::NextFailed),
             AttemptOutcome::NotRun | AttemptOutcome::Unreached => Err(ResumeFailure::NextRefused),
@@ -445,31 +445,31 @@
             .choose_chain(&self.rq, chain_selection::MAX_FILL_RESUMED, may_take)
     }
 
-    fn finish_resume(&mut self, passage: Passage, res: Response<ResponseBody>, cause: &str) {
+    fn finish_resume(&mut self, in_flight: InFlight, res: Response<ResponseBody>, cause: &str) {
         self.resumed += 1;
         self.run_head_ms = self.node.now();
         count_outcome("resumed");
         log::info!(
             request = self.rq.id.as_ref(),
-            chain = passage.live.label(),
+            chain = in_flight.live.label(),
             after:? = self.events.last(),
             silent_ms = self.node.now() - self.last_received_ms,
             cause;
             "resumed"
         );
-        self.passage = Some(passage);
+        self.in_flight = Some(in_flight);
         self.body = Some(res.into_body());
     }
 
     fn finish(&mut self) -> Option<Result<Bytes, StreamCut>> {
         self.ended = true;
-        quarantine::survived(&self.node, &self.rq);
+        quarantine::record_survival(&self.node, &self.rq);
         let after_ms = self.node.now() - self.rq.received_ms;
         count_outcome("answered");
         log::info!(
             request = self.rq.id.as_ref(),
             route = self.rq.route.as_ref(),
-            chain = self.passage.as_ref().map_or_else(String::new, |p| p.live.label()),
+            chain = self.in_flight.as_ref().map_or_else(String::new, |p| p.live.label()),
             resumed = self.resumed,
             first_after_ms = self.first_head_ms - self.rq.received_ms,
             longest_gap_ms = self.longest_gap_ms,
@@ -477,7 +477,7 @@
             after_ms;
             "answered"
         );
-        self.passage = None;
+        self.in_flight = None;
         self.body = None;
         None
     }
@@ -488,7 +488,7 @@
         failure: Option<ResumeFailure>,
     ) -> Option<Result<Bytes, StreamCut>> {
         self.ended = true;
-        self.passage = None;
+        self.in_flight = None;
         self.body = None;
         count_outcome("cut");
         log::warn!(
@@ -517,7 +517,7 @@
         count_outcome("left");
         log::info!(
             request = self.rq.id.as_ref(),
-            chain = self.passage.as_ref().map_or_else(String::new, |p| p.live.label()),
+            chain = self.in_flight.as_ref().map_or_else(String::new, |p| p.live.label()),
             events = self.events.count(),
             silent_ms = now - self.last_received_ms,
             after_ms = now - self.rq.received_ms;
