--- a/ctl/src/day.rs
+++ b/ctl/src/day.rs
@@ -1,8 +1,9 @@
-//! What became of the requests of a relay, from the lines that its processes wrote.
+//! Summarises the outcomes of a relay's requests from the log lines of its processes.
 //!
-//! Each line is JSON behind whatever a collector put before it; lines without JSON are passed over.
-//! A request counts in the window in which it came. A late stream is put down to what its lines say
-//! of it: it was gone on with on another chain, ordered along another chain, or neither.
+//! Each log line is a JSON object, optionally behind a prefix that a log collector added; lines
+//! without JSON are skipped. A request is counted in the window in which it was received. A late
+//! stream is attributed to what its log lines report: it was resumed on another chain, rerouted
+//! along another chain, or neither.
 
 pub mod plot;
 
@@ -14,223 +15,241 @@
 
 use crate::table::Table;
 
-/// What is late, and how the time is divided.
+/// Latency thresholds and the window length of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
-    /// Time to the first event of a stream, in milliseconds.
+pub struct ReportOptions {
+    /// Maximum time to the first event of a stream, in milliseconds.
     pub objective_ms: u64,
-    /// Pause between two events, in milliseconds.
+    /// Maximum gap between two events, in milliseconds.
     pub pause_ms: u64,
-    /// Length of a window, in milliseconds.
+    /// Window length, in milliseconds.
     pub window_ms: u64,
 }
 
-/// How a request ended, as its lines tell.
+/// The outcome of a request, as derived from its log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
-    /// Whole, and no pause too long.
+pub enum RequestOutcome {
+    /// Completed with the first event and every gap within the thresholds.
     InTime,
-    /// Its first event came late.
+    /// The first event came later than the objective allows.
     FirstLate,
-    /// A pause was too long, and another run went on with it.
+    /// A gap exceeded the threshold, and another run resumed the stream.
     ResumedLate,
-    /// A pause was too long, and its run was ordered along another chain.
+    /// A gap exceeded the threshold, and the run was rerouted along another chain.
     ReroutedLate,
-    /// A pause was too long for another reason.
+    /// A gap exceeded the threshold for another reason.
     PauseLate,
-    /// Broken off.
+    /// The stream was aborted before its end.
     Cut,
-    /// Not answered by a runner.
+    /// No runner answered.
     NotAnswered,
 }
 
-impl End {
-    /// All of them.
-    pub const ALL: [End; 7] = [
-        End::InTime,
-        End::FirstLate,
-        End::ResumedLate,
-        End::ReroutedLate,
-        End::PauseLate,
-        End::Cut,
-        End::NotAnswered,
+impl RequestOutcome {
+    /// Every outcome, in the order of the table columns.
+    pub const ALL: [RequestOutcome; 7] = [
+        RequestOutcome::InTime,
+        RequestOutcome::FirstLate,
+        RequestOutcome::ResumedLate,
+        RequestOutcome::ReroutedLate,
+        RequestOutcome::PauseLate,
+        RequestOutcome::Cut,
+        RequestOutcome::NotAnswered,
     ];
 
-    /// Title of its column.
+    /// Returns the column title.
     #[must_use]
     pub fn title(self) -> &'static str {
         match self {
-            End::InTime => "in time",
-            End::FirstLate => "first late",
-            End::ResumedLate => "resumed late",
-            End::ReroutedLate => "rerouted late",
-            End::PauseLate => "pause late",
-            End::Cut => "cut",
-            End::NotAnswered => "not answered",
+            RequestOutcome::InTime => "in time",
+            RequestOutcome::FirstLate => "first late",
+            RequestOutcome::ResumedLate => "resumed late",
+            RequestOutcome::ReroutedLate => "rerouted late",
+            RequestOutcome::PauseLate => "pause late",
+            RequestOutcome::Cut => "cut",
+            RequestOutcome::NotAnswered => "not answered",
         }
     }
 }
 
-/// What happened in one window.
+/// Counts for one window.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Window {
-    /// Requests that came in it, by their end.
-    pub ends: BTreeMap<End, u64>,
-    /// Runners that an instance found dead.
+    /// Number of requests received in the window, by outcome.
+    pub ends: BTreeMap<RequestOutcome, u64>,
+    /// Runners that an instance's failure detector declared dead.
     pub dead: BTreeSet<String>,
-    /// Runners that said to have another pace.
+    /// Runners for which a change of pace was logged.
     pub paced: BTreeSet<String>,
-    /// Chains that broke, once for each instance.
+    /// Number of broken chains; a chain counts once for each instance that logs it.
     pub broken: u64,
 }
 
-/// A day.
+/// Request outcomes by window, as printed by `jwctl day`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Day {
-    /// Time of the first line, in Unix milliseconds.
+pub struct DayReport {
+    /// Time of the first log line, in Unix milliseconds.
     pub start_ms: u64,
-    /// Windows by their begin, in milliseconds since the start.
+    /// Windows by start time, in milliseconds since `start_ms`.
     pub windows: BTreeMap<u64, Window>,
-    /// Longest pauses of streams that were gone on with or ordered along another chain, in order, in
-    /// milliseconds.
+    /// The longest gap of each stream that was resumed or rerouted, in milliseconds, ascending.
     pub pauses_ms: Vec<u64>,
-    /// Lines that were read.
+    /// Number of log lines read.
     pub lines: usize,
 }
 
-/// A line as far as it is looked at.
-struct Line {
+/// A parsed log line.
+struct LogLine {
     at_ms: u64,
     fields: Value,
 }
 
-impl Line {
-    fn parse(text: &str) -> Option<Line> {
+impl LogLine {
+    fn parse(text: &str) -> Option<LogLine> {
         let json = &text[text.find('{')?..];
         let fields: Value = serde_json::from_str(json).ok()?;
         let at = humantime::parse_rfc3339(fields.get("at")?.as_str()?).ok()?;
-        let since = at.duration_since(std::time::UNIX_EPOCH).ok()?;
-        let at_ms = u64::try_from(since.as_millis()).ok()?;
-        Some(Line { at_ms, fields })
+        let elapsed = at.duration_since(std::time::UNIX_EPOCH).ok()?;
+        let at_ms = u64::try_from(elapsed.as_millis()).ok()?;
+        Some(LogLine { at_ms, fields })
     }
 
     fn text(&self, key: &str) -> &str {
         self.fields.get(key).and_then(Value::as_str).unwrap_or("")
     }
 
-    /// Numbers are written as text.
+    /// Returns a numeric field; log lines usually hold numbers as strings.
     fn number(&self, key: &str) -> Option<u64> {
         let value = self.fields.get(key)?;
         value.as_u64().or_else(|| value.as_str()?.parse().ok())
     }
 }
 
-impl Day {
-    /// Reads the lines of all processes, in any order.
+impl DayReport {
+    /// Builds a report from the log lines of all processes, in any order.
     #[must_use]
-    pub fn read<'a>(texts: impl Iterator<Item = &'a str>, limits: &Limits) -> Day {
-        let mut lines: Vec<Line> = texts.filter_map(Line::parse).collect();
+    pub fn from_lines<'a>(
+        texts: impl Iterator<Item = &'a str>,
+        options: &ReportOptions,
+    ) -> DayReport {
+        let mut lines: Vec<LogLine> = texts.filter_map(LogLine::parse).collect();
         lines.sort_by_key(|l| l.at_ms);
-        let mut day = Day {
+        let mut report = DayReport {
             start_ms: lines.first().map_or(0, |l| l.at_ms),
             lines: lines.len(),
-            ..Day::default()
+            ..DayReport::default()
         };
-        let moved = |message: &str| -> BTreeSet<&str> {
-            let of_kind = lines.iter().filter(|l| l.text("message") == message);
-            of_kind.map(|l| l.text("request")).collect()
+        let requests_with = |message: &str| -> BTreeSet<&str> {
+            let matching = lines.iter().filter(|l| l.text("message") == message);
+            matching.map(|l| l.text("request")).collect()
         };
-        let (resumed, rerouted) = (moved("resumed"), moved("rerouted"));
+        let (resumed, rerouted) = (requests_with("resumed"), requests_with("rerouted"));
         for line in &lines {
             let request = line.text("request");
-            let moves = (resumed.contains(request), rerouted.contains(request));
-            day.take(line, moves, limits);
+            let failovers = (resumed.contains(request), rerouted.contains(request));
+            report.record(line, failovers, options);
         }
-        day.pauses_ms.sort_unstable();
-        day
+        report.pauses_ms.sort_unstable();
+        report
     }
 
-    fn take(&mut self, line: &Line, (resumed, rerouted): (bool, bool), limits: &Limits) {
+    fn record(
+        &mut self,
+        line: &LogLine,
+        (resumed, rerouted): (bool, bool),
+        options: &ReportOptions,
+    ) {
         let runner = || line.text("runner").to_owned();
-        let end = match line.text("message") {
+        let outcome = match line.text("message") {
             "answered" => {
-                let pause = line.number("longest_gap_ms").unwrap_or(0);
+                let longest_gap_ms = line.number("longest_gap_ms").unwrap_or(0);
                 if resumed || rerouted {
-                    self.pauses_ms.push(pause);
+                    self.pauses_ms.push(longest_gap_ms);
                 }
-                let first = line.number("first_after_ms").unwrap_or(0);
-                match (first > limits.objective_ms, pause > limits.pause_ms) {
-                    (true, _) => End::FirstLate,
-                    (false, false) => End::InTime,
-                    (false, true) if resumed => End::ResumedLate,
-                    (false, true) if rerouted => End::ReroutedLate,
-                    (false, true) => End::PauseLate,
+                let first_after_ms = line.number("first_after_ms").unwrap_or(0);
+                match (
+                    first_after_ms > options.objective_ms,
+                    longest_gap_ms > options.pause_ms,
+                ) {
+                    (true, _) => RequestOutcome::FirstLate,
+                    (false, false) => RequestOutcome::InTime,
+                    (false, true) if resumed => RequestOutcome::ResumedLate,
+                    (false, true) if rerouted => RequestOutcome::ReroutedLate,
+                    (false, true) => RequestOutcome::PauseLate,
                 }
             }
-            "stream cut" => End::Cut,
-            "not answered" => End::NotAnswered,
+            "stream cut" => RequestOutcome::Cut,
+            "not answered" => RequestOutcome::NotAnswered,
             "runner counts as dead" => {
-                self.window(line.at_ms, limits).dead.insert(runner());
+                self.window_mut(line.at_ms, options).dead.insert(runner());
                 return;
             }
             "runner's pace" => {
-                self.window(line.at_ms, limits).paced.insert(runner());
+                self.window_mut(line.at_ms, options).paced.insert(runner());
                 return;
             }
             "a chain is broken" => {
-                self.window(line.at_ms, limits).broken += 1;
+                self.window_mut(line.at_ms, options).broken += 1;
                 return;
             }
             _ => return,
         };
-        let came_ms = line.at_ms - line.number("after_ms").unwrap_or(0).min(line.at_ms);
-        *self.window(came_ms, limits).ends.entry(end).or_default() += 1;
+        let received_ms = line.at_ms - line.number("after_ms").unwrap_or(0).min(line.at_ms);
+        *self
+            .window_mut(received_ms, options)
+            .ends
+            .entry(outcome)
+            .or_default() += 1;
     }
 
-    fn window(&mut self, at_ms: u64, limits: &Limits) -> &mut Window {
-        let since = at_ms.saturating_sub(self.start_ms);
-        let begin = since - since % limits.window_ms.max(1);
-        self.windows.entry(begin).or_default()
+    /// Returns the window that contains the time, creating it if needed.
+    fn window_mut(&mut self, at_ms: u64, options: &ReportOptions) -> &mut Window {
+        let elapsed_ms = at_ms.saturating_sub(self.start_ms);
+        let start = elapsed_ms - elapsed_ms % options.window_ms.max(1);
+        self.windows.entry(start).or_default()
     }
 
-    /// The longest pause that a share of the moved streams stayed below, in milliseconds.
+    /// Returns a percentile of the longest gaps of resumed and rerouted streams, in milliseconds.
+    ///
+    /// `fraction` is between 0 and 1.
     #[must_use]
-    pub fn pause_ms(&self, share: f64) -> Option<u64> {
+    pub fn pause_percentile_ms(&self, fraction: f64) -> Option<u64> {
         let last = self.pauses_ms.len().checked_sub(1)?;
-        Some(self.pauses_ms[(last as f64 * share) as usize])
+        Some(self.pauses_ms[(last as f64 * fraction) as usize])
     }
 }
 
-impl fmt::Display for Day {
+impl fmt::Display for DayReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut table = Table::new(&[
             "from s",
-            End::ALL[0].title(),
-            End::ALL[1].title(),
-            End::ALL[2].title(),
-            End::ALL[3].title(),
-            End::ALL[4].title(),
-            End::ALL[5].title(),
-            End::ALL[6].title(),
+            RequestOutcome::ALL[0].title(),
+            RequestOutcome::ALL[1].title(),
+            RequestOutcome::ALL[2].title(),
+            RequestOutcome::ALL[3].title(),
+            RequestOutcome::ALL[4].title(),
+            RequestOutcome::ALL[5].title(),
+            RequestOutcome::ALL[6].title(),
             "dead",
             "other pace",
             "broken",
         ]);
-        for (begin, w) in &self.windows {
-            let count = |end| w.ends.get(&end).copied().unwrap_or(0).to_string();
-            let [a, b, c, d, e, g, h] = End::ALL.map(count);
-            let marks = [w.dead.len(), w.paced.len()].map(|n| n.to_string());
-            let [dead, paced] = marks;
-            let from = format!("{:.1}", *begin as f64 / 1e3);
+        for (start, w) in &self.windows {
+            let count = |outcome| w.ends.get(&outcome).copied().unwrap_or(0).to_string();
+            let [a, b, c, d, e, g, h] = RequestOutcome::ALL.map(count);
+            let [dead, paced] = [w.dead.len(), w.paced.len()].map(|n| n.to_string());
+            let from = format!("{:.1}", *start as f64 / 1e3);
             table.row([from, a, b, c, d, e, g, h, dead, paced, w.broken.to_string()]);
         }
         write!(f, "{table}")?;
-        if let (Some(half), Some(most)) = (self.pause_ms(0.5), self.pause_ms(0.9)) {
+        if let (Some(p50_ms), Some(p90_ms)) =
+            (self.pause_percentile_ms(0.5), self.pause_percentile_ms(0.9))
+        {
             let moved = self.pauses_ms.len();
             writeln!(
                 f,
-                "{moved} streams moved to another chain: longest pause {half} ms for half, {most} ms for 90%"
+                "{moved} streams moved to another chain: longest pause {p50_ms} ms for half, {p90_ms} ms for 90%"
             )?;
         }
         writeln!(f, "{} lines", self.lines)
--- a/ctl/src/day/plot.rs
+++ b/ctl/src/day/plot.rs
@@ -1,21 +1,21 @@
-//! Draws a day: how the requests of each window ended, and when chains broke.
+//! Draws a report as a chart: request outcomes by window, with a mark where a chain broke.
 
 use plotters::prelude::*;
 
-use crate::day::{Day, End};
+use crate::day::{DayReport, RequestOutcome};
 
-/// Size of the drawing, in pixels.
-const SIZE: (u32, u32) = (1_100, 420);
+/// Width and height of the chart, in pixels.
+const SIZE_PX: (u32, u32) = (1_100, 420);
 
-/// A day as SVG.
+/// Renders a report as SVG.
 ///
 /// # Errors
-/// The drawing library's words.
-pub fn svg(day: &Day) -> Result<String, String> {
+/// Returns the message of the plotting library.
+pub fn render_svg(report: &DayReport) -> Result<String, String> {
     let mut out = String::new();
     {
-        let root = SVGBackend::with_string(&mut out, SIZE).into_drawing_area();
-        draw(&root, day).map_err(|e| e.to_string())?;
+        let root = SVGBackend::with_string(&mut out, SIZE_PX).into_drawing_area();
+        draw(&root, report).map_err(|e| e.to_string())?;
         root.present().map_err(|e| e.to_string())?;
     }
     Ok(out)
@@ -23,36 +23,45 @@
 
 fn draw<'a>(
     root: &DrawingArea<SVGBackend<'a>, plotters::coord::Shift>,
-    day: &Day,
+    report: &DayReport,
 ) -> Result<(), DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>> {
     root.fill(&WHITE)?;
-    let last = day.windows.keys().next_back().copied().unwrap_or(0);
-    let most = day.windows.values().map(|w| w.ends.values().sum::<u64>());
-    let most = most.max().unwrap_or(1).max(1);
+    let last_start_ms = report.windows.keys().next_back().copied().unwrap_or(0);
+    let totals = report
+        .windows
+        .values()
+        .map(|w| w.ends.values().sum::<u64>());
+    let max_total = totals.max().unwrap_or(1).max(1);
     let mut chart = ChartBuilder::on(root)
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(48)
-        .build_cartesian_2d(0.0..(last as f64 / 1e3 + 1.0), 0.0..most as f64)?;
+        .build_cartesian_2d(
+            0.0..(last_start_ms as f64 / 1e3 + 1.0),
+            0.0..max_total as f64,
+        )?;
     chart
         .configure_mesh()
         .x_desc("s")
         .y_desc("requests a window")
         .draw()?;
-    for (i, end) in End::ALL.into_iter().enumerate() {
+    for (i, outcome) in RequestOutcome::ALL.into_iter().enumerate() {
         let color = Palette99::pick(i).to_rgba();
-        let at = day.windows.iter().map(|(begin, w)| {
-            let count = w.ends.get(&end).copied().unwrap_or(0);
-            (*begin as f64 / 1e3, count as f64)
+        let points = report.windows.iter().map(|(start, w)| {
+            let count = w.ends.get(&outcome).copied().unwrap_or(0);
+            (*start as f64 / 1e3, count as f64)
         });
-        let series = LineSeries::new(at, color.stroke_width(2));
+        let series = LineSeries::new(points, color.stroke_width(2));
         let legend = move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], color);
-        chart.draw_series(series)?.label(end.title()).legend(legend);
+        chart
+            .draw_series(series)?
+            .label(outcome.title())
+            .legend(legend);
     }
-    let broken = day.windows.iter().filter(|(_, w)| w.broken > 0);
-    let marks = broken.map(|(begin, _)| {
-        let x = *begin as f64 / 1e3;
-        PathElement::new(vec![(x, 0.0), (x, most as f64)], RED.mix(0.3))
+    let broken = report.windows.iter().filter(|(_, w)| w.broken > 0);
+    let marks = broken.map(|(start, _)| {
+        let x = *start as f64 / 1e3;
+        PathElement::new(vec![(x, 0.0), (x, max_total as f64)], RED.mix(0.3))
     });
     chart.draw_series(marks)?;
     chart
--- a/ctl/tests/day.rs
+++ b/ctl/tests/day.rs
@@ -1,9 +1,9 @@
-//! What a relay's lines say of a day.
+//! Tests of the report that `jwctl day` builds from a relay's log lines.
 
 use googletest::prelude::*;
-use jacinthweir_ctl::day::{Day, End, Limits, plot};
+use jacinthweir_ctl::day::{DayReport, ReportOptions, RequestOutcome, plot};
 
-const LIMITS: Limits = Limits {
+const OPTIONS: ReportOptions = ReportOptions {
     objective_ms: 500,
     pause_ms: 200,
     window_ms: 2_000,
@@ -11,7 +11,7 @@
 
 const LINES: &str = r#"
    1.000 front-1 {"at":"2026-01-28T11:56:00.000Z","message":"started"}
-not a line of ours
+a line without JSON
 {"at":"2026-01-28T11:56:01.000Z","message":"answered","request":"a","first_after_ms":"40","longest_gap_ms":"60","after_ms":"900"}
 {"at":"2026-01-28T11:56:02.100Z","message":"runner counts as dead","runner":"i-1"}
 {"at":"2026-01-28T11:56:02.110Z","message":"a chain is broken","chain":"east/9","waiting":"3"}
@@ -25,40 +25,49 @@
 "#;
 
 #[gtest]
-fn requests_count_by_when_they_came_and_how_they_ended() {
-    let day = Day::read(LINES.lines(), &LIMITS);
-    expect_that!(day.lines, eq(11));
-    let count = |begin, end| day.windows[&begin].ends.get(&end).copied().unwrap_or(0);
-    expect_that!(count(0, End::InTime), eq(1));
-    expect_that!(count(0, End::ResumedLate), eq(1));
-    expect_that!(count(2_000, End::InTime), eq(1));
-    expect_that!(count(2_000, End::FirstLate), eq(1));
-    expect_that!(count(4_000, End::Cut), eq(1));
-    expect_that!(count(4_000, End::NotAnswered), eq(1));
-    expect_that!(day.windows[&2_000].dead.len(), eq(1));
-    expect_that!(day.windows[&2_000].broken, eq(1));
-    expect_that!(day.pause_ms(0.5), some(eq(190)));
-    expect_that!(day.pause_ms(1.0), some(eq(260)));
+fn requests_are_counted_by_window_and_outcome() {
+    let report = DayReport::from_lines(LINES.lines(), &OPTIONS);
+    expect_that!(report.lines, eq(11));
+    let count = |start, outcome| {
+        report.windows[&start]
+            .ends
+            .get(&outcome)
+            .copied()
+            .unwrap_or(0)
+    };
+    expect_that!(count(0, RequestOutcome::InTime), eq(1));
+    expect_that!(count(0, RequestOutcome::ResumedLate), eq(1));
+    expect_that!(count(2_000, RequestOutcome::InTime), eq(1));
+    expect_that!(count(2_000, RequestOutcome::FirstLate), eq(1));
+    expect_that!(count(4_000, RequestOutcome::Cut), eq(1));
+    expect_that!(count(4_000, RequestOutcome::NotAnswered), eq(1));
+    expect_that!(report.windows[&2_000].dead.len(), eq(1));
+    expect_that!(report.windows[&2_000].broken, eq(1));
+    expect_that!(report.pause_percentile_ms(0.5), some(eq(190)));
+    expect_that!(report.pause_percentile_ms(1.0), some(eq(260)));
 }
 
-/// The lines come from several processes one after the other, as a collector wrote them.
+/// A log collector concatenates the lines of several processes, so they are not sorted by time.
 #[gtest]
-fn the_order_of_lines_does_not_matter() {
-    let mut turned: Vec<&str> = LINES.lines().collect();
-    turned.reverse();
+fn line_order_does_not_affect_the_report() {
+    let mut reversed: Vec<&str> = LINES.lines().collect();
+    reversed.reverse();
     expect_that!(
-        Day::read(turned.into_iter(), &LIMITS),
-        eq(&Day::read(LINES.lines(), &LIMITS))
+        DayReport::from_lines(reversed.into_iter(), &OPTIONS),
+        eq(&DayReport::from_lines(LINES.lines(), &OPTIONS))
     );
 }
 
 #[gtest]
-fn a_day_is_shown_and_drawn_also_without_lines() {
-    let day = Day::read(LINES.lines(), &LIMITS);
-    expect_that!(day.to_string(), contains_substring("resumed late"));
-    expect_that!(day.to_string(), contains_substring("2 streams moved"));
-    expect_that!(plot::svg(&day), ok(contains_substring("rerouted late")));
-    let none = Day::read("".lines(), &LIMITS);
-    expect_that!(none.windows.len(), eq(0));
-    expect_that!(plot::svg(&none), ok(contains_substring("<svg")));
+fn reports_and_charts_render_with_and_without_lines() {
+    let report = DayReport::from_lines(LINES.lines(), &OPTIONS);
+    expect_that!(report.to_string(), contains_substring("resumed late"));
+    expect_that!(report.to_string(), contains_substring("2 streams moved"));
+    expect_that!(
+        plot::render_svg(&report),
+        ok(contains_substring("rerouted late"))
+    );
+    let empty = DayReport::from_lines("".lines(), &OPTIONS);
+    expect_that!(empty.windows.len(), eq(0));
+    expect_that!(plot::render_svg(&empty), ok(contains_substring("<svg")));
 }
