--- a/ctl/src/command.rs
+++ b/ctl/src/command.rs
@@ -27,7 +27,7 @@
 pub async fn run(args: &Args) -> Result<String, CtlError> {
     if let Command::Check(check) = &args.command {
         let schema = read_schema(&check.file)?.schema;
-        return Ok(text::checked(&check.file, &schema));
+        return Ok(text::valid_schema(&check.file, &schema));
     }
     if let Command::Day(day) = &args.command {
         let day = day::run(day)?;
--- a/ctl/src/text.rs
+++ b/ctl/src/text.rs
@@ -1,4 +1,4 @@
-//! What the commands print for people.
+//! Formats the output of the commands as text.
 
 mod record;
 mod refused;
@@ -19,9 +19,9 @@
 pub use relay::relay;
 pub use status::status;
 
-/// A schema file without faults.
+/// Formats the result of a successful schema check.
 #[must_use]
-pub fn checked(path: &Path, schema: &Schema) -> String {
+pub fn valid_schema(path: &Path, schema: &Schema) -> String {
     format!(
         "{}: valid: {} models, {} pipelines, {} services, {} upstream groups, {} organisations\n",
         path.display(),
@@ -33,7 +33,7 @@
     )
 }
 
-/// A plan: one line a change.
+/// Formats a plan, with one line for each change.
 #[must_use]
 pub fn plan(reply: &PlanReply) -> String {
     if reply.changes.is_empty() {
@@ -46,18 +46,18 @@
     text
 }
 
-/// A confirmed commit.
+/// Formats a confirmed commit; `everywhere` says that it is in force on every live instance.
 #[must_use]
 pub fn applied(reply: &ApplyReply, everywhere: bool) -> String {
-    let place = if everywhere {
+    let scope = if everywhere {
         ", in force on every live instance"
     } else {
         ""
     };
-    format!("revision {} is committed{place}\n", reply.revision)
+    format!("revision {} is committed{scope}\n", reply.revision)
 }
 
-/// The latest commits.
+/// Formats the latest commits as a table.
 #[must_use]
 pub fn history(reply: &HistoryReply) -> String {
     let mut table = Table::new(&["REVISION", "COMMITTED", "OPERATOR", "CHANGE", "SUMMARY"]);
@@ -69,7 +69,7 @@
         let first = commit.summary.first().cloned().unwrap_or_default();
         table.row([
             commit.revision.to_string(),
-            time(commit.at_ms),
+            timestamp(commit.at_ms),
             commit.operator.to_string(),
             commit.change.to_string(),
             first + &more,
@@ -78,7 +78,7 @@
     table.to_string()
 }
 
-/// The addresses that callers are told to use.
+/// Formats the entry addresses that are advertised to callers.
 #[must_use]
 pub fn entry(answer: &EntryAnswer) -> String {
     let mut table = Table::new(&["ADDRESS", "FAILURE DOMAIN"]);
@@ -88,14 +88,15 @@
     format!("{table}may be kept for {} ms\n", answer.ttl_ms)
 }
 
-/// A Unix time in milliseconds as a date and time in UTC.
-pub(crate) fn time(ms: u64) -> String {
+/// Formats a Unix time in milliseconds as an RFC 3339 timestamp in UTC.
+pub(crate) fn timestamp(ms: u64) -> String {
     let at = UNIX_EPOCH + Duration::from_millis(ms);
     humantime::format_rfc3339_seconds(at).to_string()
 }
 
-/// A span in the two coarsest units that fit it.
-pub(crate) fn span(ms: u64) -> String {
+/// Formats a duration: in milliseconds below 10 s, in seconds below 10 min, otherwise in whole
+/// minutes and larger units.
+pub(crate) fn duration(ms: u64) -> String {
     match ms {
         0..10_000 => format!("{ms} ms"),
         10_000..600_000 => format!("{} s", ms / 1000),
--- a/ctl/src/text/record.rs
+++ b/ctl/src/text/record.rs
@@ -1,16 +1,16 @@
-//! What happened to a request.
+//! Formats the record of a request.
 
 use jacinthweir_wire::operator::RequestRecord;
 
-use super::time;
+use super::timestamp;
 
-/// A request's record, one step a line with the time since the first.
+/// Formats a request's record, with one line for each step and its time since the first step.
 #[must_use]
 pub fn record(record: &RequestRecord) -> String {
     let outcome = record
         .outcome
         .map_or_else(|| "in progress".to_owned(), |o| o.to_string());
-    let started = record.steps.first().map_or(0, |step| step.at_ms);
+    let started_ms = record.steps.first().map_or(0, |step| step.at_ms);
     let mut text = format!(
         "request       {}\ninstance      {}\norganisation  {}\ntarget        {}\nrevision      {}\n\
          received      {}\noutcome       {outcome}\n",
@@ -19,11 +19,11 @@
         record.organisation,
         record.target,
         record.revision,
-        time(started),
+        timestamp(started_ms),
     );
     for step in &record.steps {
-        let after = step.at_ms.saturating_sub(started);
-        text.push_str(&format!("  +{after:>6} ms  {}\n", step.what));
+        let elapsed_ms = step.at_ms.saturating_sub(started_ms);
+        text.push_str(&format!("  +{elapsed_ms:>6} ms  {}\n", step.what));
     }
     text
 }
--- a/ctl/src/text/relay.rs
+++ b/ctl/src/text/relay.rs
@@ -1,19 +1,19 @@
-//! State of a relay.
+//! Formats the state of a relay.
 
 use jacinthweir_wire::relay::{ChainDump, RelayDump, RunnerDump};
 
 use crate::table::Table;
 
-/// What an operator looks at first: the instance, the chains, then what is wrong with runners.
+/// Formats a relay's state: the instance, then its chains, then its runners.
 #[must_use]
 pub fn relay(dump: &RelayDump) -> String {
-    let mut text = head(dump);
+    let mut text = header(dump);
     text.push_str(&chains(&dump.chains));
     text.push_str(&runners(&dump.runners));
     text
 }
 
-fn head(dump: &RelayDump) -> String {
+fn header(dump: &RelayDump) -> String {
     let ready = match (dump.draining, dump.ready) {
         (true, _) => "stopping",
         (false, true) => "ready",
--- a/ctl/src/text/status.rs
+++ b/ctl/src/text/status.rs
@@ -1,14 +1,14 @@
-//! What is in force where.
+//! Formats the revision in force on each instance and the state of the upstreams.
 
 use jacinthweir_wire::operator::{InstanceStatus, StatusReply};
 
-use super::span;
+use super::duration;
 use crate::table::Table;
 
-/// Instances and upstreams; `now_ms` is the Unix time in milliseconds.
+/// Formats the status of instances and upstreams; `now_ms` is the Unix time in milliseconds.
 #[must_use]
 pub fn status(reply: &StatusReply, now_ms: u64) -> String {
-    let mut text = headline(reply);
+    let mut text = summary_line(reply);
     if !reply.confirmed {
         text.push_str("the answering instance refuses requests: nothing confirms its revision\n");
     }
@@ -21,14 +21,14 @@
     text
 }
 
-fn headline(reply: &StatusReply) -> String {
+fn summary_line(reply: &StatusReply) -> String {
     let (suspected, live): (Vec<_>, Vec<_>) = reply.instances.iter().partition(|i| i.suspected);
-    let current = live
+    let up_to_date = live
         .iter()
         .filter(|i| i.member.revision == reply.newest)
         .count();
     format!(
-        "revision {} in force on {current} of {} live instances, {} suspected; platform {}\n",
+        "revision {} in force on {up_to_date} of {} live instances, {} suspected; platform {}\n",
         reply.newest,
         live.len(),
         suspected.len(),
@@ -54,12 +54,12 @@
             member.domain.to_string(),
             state(instance),
             member.revision.to_string(),
-            since(
+            time_since(
                 member.revision,
                 now_ms.saturating_sub(member.revision_since_ms),
             ),
             member.in_flight.to_string(),
-            format!("{} ago", span(instance.silent_ms)),
+            format!("{} ago", duration(instance.silent_ms)),
             member.callers.to_string(),
         ]);
     }
@@ -74,11 +74,11 @@
     }
 }
 
-fn since(revision: u64, ms: u64) -> String {
+fn time_since(revision: u64, ms: u64) -> String {
     if revision == 0 {
         "-".to_owned()
     } else {
-        format!("{} ago", span(ms))
+        format!("{} ago", duration(ms))
     }
 }
 
