--- a/ctl/tests/jwctl.rs
+++ b/ctl/tests/jwctl.rs
@@ -1,5 +1,4 @@
-//! The program `jwctl` against an instance over a stand-in platform: what it prints and its exit
-//! codes.
+//! Runs `jwctl` against an instance on a stand-in platform and checks its output and exit codes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -21,23 +20,25 @@
 
 const TOKEN: &str = "operators";
 
-struct Rig {
+struct TestInstance {
     platform: Platform,
     operators: SocketAddr,
-    folder: PathBuf,
+    directory: PathBuf,
     _kernel: Arc<Kernel>,
     _listening: Vec<Listening>,
 }
 
-/// What the program did.
-struct Run {
+/// Exit code and output of a run of `jwctl`.
+struct Output {
     exit: i32,
     out: String,
     err: String,
 }
 
-/// An address that nothing else uses: on a loopback address of this process's own, below the
-/// range of ports from which outgoing connections take theirs.
+/// Returns an unused address.
+///
+/// The loopback address is derived from the process id, so that concurrent test processes do not
+/// collide, and the port lies below the ephemeral range of outgoing connections.
 fn free_address() -> SocketAddr {
     static NEXT_PORT: AtomicU16 = AtomicU16::new(20_000);
     let [_, a, b, c] = std::process::id().to_be_bytes();
@@ -45,7 +46,7 @@
     SocketAddr::from(([127, 64 + (a & 63), b, c], port))
 }
 
-async fn rig(name: &str) -> Rig {
+async fn start_instance(name: &str) -> TestInstance {
     let platform = Platform::bind(PlatformCfg::default(), CancellationToken::new())
         .await
         .unwrap();
@@ -61,7 +62,7 @@
         },
     });
     let kernel = Kernel::open(Settings::parse(&settings.to_string()).unwrap()).unwrap();
-    // The upstreams' plug-in, which says when the upstreams are known, is not linked here.
+    // The upstreams plug-in, which reports readiness once the upstreams are known, is not linked.
     kernel.set_ready();
     for plugin in sorted() {
         (plugin.spawn)(&kernel).unwrap();
@@ -70,20 +71,20 @@
     for face in [Face::Callers, Face::Operators] {
         listening.push(Listening::bind(&kernel, face).await.unwrap());
     }
-    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::create_dir_all(&folder).unwrap();
-    Rig {
+    let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::create_dir_all(&directory).unwrap();
+    TestInstance {
         platform,
         operators,
-        folder,
+        directory,
         _kernel: kernel,
         _listening: listening,
     }
 }
 
-impl Rig {
-    fn file(&self, name: &str, weight: u32) -> String {
-        let path = self.folder.join(name);
+impl TestInstance {
+    fn write_schema(&self, name: &str, weight: u32) -> String {
+        let path = self.directory.join(name);
         let text = format!(
             r#"{{"organisations": [
                 {{"name": "atelier", "priority": 1, "weight": {weight}, "key_sha256": []}}]}}"#
@@ -92,97 +93,110 @@
         path.display().to_string()
     }
 
-    async fn run(&self, words: &[&str]) -> Run {
-        let mut call = tokio::process::Command::new(env!("CARGO_BIN_EXE_jwctl"));
-        call.env("JWCTL_SERVER", self.operators.to_string())
+    async fn run(&self, args: &[&str]) -> Output {
+        let mut command = tokio::process::Command::new(env!("CARGO_BIN_EXE_jwctl"));
+        command
+            .env("JWCTL_SERVER", self.operators.to_string())
             .env("JWCTL_TOKEN", TOKEN);
-        run(call.args(["--operator", "ana"]).args(words)).await
+        run(command.args(["--operator", "ana"]).args(args)).await
     }
 }
 
-async fn run(call: &mut tokio::process::Command) -> Run {
-    let done = call.stdin(Stdio::null()).output().await.unwrap();
-    Run {
-        exit: done.status.code().unwrap(),
-        out: String::from_utf8(done.stdout).unwrap(),
-        err: String::from_utf8(done.stderr).unwrap(),
+async fn run(command: &mut tokio::process::Command) -> Output {
+    let output = command.stdin(Stdio::null()).output().await.unwrap();
+    Output {
+        exit: output.status.code().unwrap(),
+        out: String::from_utf8(output.stdout).unwrap(),
+        err: String::from_utf8(output.stderr).unwrap(),
     }
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn plan_apply_history_and_status_read_as_a_migration() {
-    let rig = rig("migration").await;
-    let (one, two) = (rig.file("one", 1), rig.file("two", 2));
-    let first = rig.run(&["apply", &one, "--wait"]).await;
+async fn plan_apply_history_and_status_report_each_revision() {
+    let instance = start_instance("migration").await;
+    let (one, two) = (
+        instance.write_schema("one", 1),
+        instance.write_schema("two", 2),
+    );
+    let first = instance.run(&["apply", &one, "--wait"]).await;
     expect_that!(first.exit, eq(0));
     expect_that!(
         first.out,
         ends_with("revision 1 is committed, in force on every live instance\n")
     );
-    let plan = rig.run(&["plan", &two]).await;
+    let plan = instance.run(&["plan", &two]).await;
     let wanted = "changes against revision 1:\n  ~ organisation atelier: weight 1 -> 2\n";
     expect_that!(plan.out, eq(wanted));
-    let second = rig
+    let second = instance
         .run(&["--json", "apply", &two, "--base", "1", "--change", "c2"])
         .await;
     let reply: serde_json::Value = serde_json::from_str(&second.out).unwrap();
     expect_that!(reply["revision"].as_u64(), some(eq(2)));
-    let history = rig.run(&["history"]).await.out;
+    let history = instance.run(&["history"]).await.out;
     expect_that!(
         history.lines().nth(1).unwrap(),
         contains_substring("ana       c2")
     );
-    let status = rig.run(&["status"]).await.out;
+    let status = instance.run(&["status"]).await.out;
     let wanted = "revision 2 in force on 1 of 1 live instances, 0 suspected; platform reached\n";
     expect_that!(status, starts_with(wanted));
-    let entry = rig.run(&["entry"]).await;
+    let entry = instance.run(&["entry"]).await;
     expect_that!(entry.out, contains_substring("recife"));
-    let dump = rig.run(&["dump"]).await;
+    let dump = instance.run(&["dump"]).await;
     expect_that!(dump.out, contains_substring("\"schema\""));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn refusals_say_why_and_exit_with_their_code() {
-    let rig = rig("refusals").await;
-    let (bad, one, two) = (rig.file("bad", 0), rig.file("one", 1), rig.file("two", 2));
-    let check = rig.run(&["check", &bad]).await;
+async fn refused_commands_print_the_reason_and_exit_with_its_code() {
+    let instance = start_instance("refusals").await;
+    let (bad, one, two) = (
+        instance.write_schema("bad", 0),
+        instance.write_schema("one", 1),
+        instance.write_schema("two", 2),
+    );
+    let check = instance.run(&["check", &bad]).await;
     expect_that!(check.exit, eq(1));
     expect_that!(
         check.err,
         contains_substring("line 2: organisations[0].weight")
     );
-    expect_that!(rig.run(&["apply", &one]).await.exit, eq(0));
-    let conflict = rig.run(&["apply", &two, "--base", "0"]).await;
+    expect_that!(instance.run(&["apply", &one]).await.exit, eq(0));
+    let conflict = instance.run(&["apply", &two, "--base", "0"]).await;
     expect_that!(conflict.exit, eq(1));
     expect_that!(
         conflict.err,
         contains_substring("conflict: revision 1 was committed first")
     );
-    expect_that!(rig.run(&["request", "entry-1.0"]).await.exit, eq(1));
-    expect_that!(rig.run(&["plan", "absent.jsonc"]).await.exit, eq(2));
-    expect_that!(rig.run(&["migrate"]).await.exit, eq(2));
-    let token = rig.folder.join("token");
+    expect_that!(instance.run(&["request", "entry-1.0"]).await.exit, eq(1));
+    expect_that!(instance.run(&["plan", "absent.jsonc"]).await.exit, eq(2));
+    expect_that!(instance.run(&["migrate"]).await.exit, eq(2));
+    let token = instance.directory.join("token");
     std::fs::write(&token, "guess").unwrap();
-    let guess = rig
+    let wrong_token = instance
         .run(&["--token-file", &token.display().to_string(), "status"])
         .await;
-    expect_that!(guess.exit, eq(2));
-    expect_that!(guess.err, contains_substring("token is missing or wrong"));
+    expect_that!(wrong_token.exit, eq(2));
+    expect_that!(
+        wrong_token.err,
+        contains_substring("token is missing or wrong")
+    );
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_apply_without_an_answer_is_not_known() {
-    // The platform is slow, and the operator's time is over before it has answered; the instance
-    // goes on. The operator is told that the commit is not known, and asks again with the same
-    // change id: it stands once.
-    let rig = rig("no_answer").await;
-    let (one, two) = (rig.file("one", 1), rig.file("two", 2));
-    expect_that!(rig.run(&["apply", &one]).await.exit, eq(0));
-    rig.platform.set_fault(Fault::Slow { ms: 2_000 });
-    let late = rig
+async fn apply_without_a_response_reports_an_unknown_outcome() {
+    // The platform is slow, so `jwctl` times out while the instance is still committing. It must
+    // report the outcome as unknown, and a retry with the same change id must commit only once.
+    let instance = start_instance("no_answer").await;
+    let (one, two) = (
+        instance.write_schema("one", 1),
+        instance.write_schema("two", 2),
+    );
+    expect_that!(instance.run(&["apply", &one]).await.exit, eq(0));
+    instance.platform.set_fault(Fault::Slow { ms: 2_000 });
+    let timed_out = instance
         .run(&[
             "--timeout",
             "1",
@@ -194,20 +208,20 @@
             "c2",
         ])
         .await;
-    expect_that!(late.exit, eq(3));
+    expect_that!(timed_out.exit, eq(3));
     expect_that!(
-        late.err,
+        timed_out.err,
         contains_substring("the same apply with --change c2")
     );
-    rig.platform.set_fault(Fault::None);
-    let again = rig
+    instance.platform.set_fault(Fault::None);
+    let retry = instance
         .run(&["apply", &two, "--base", "1", "--change", "c2"])
         .await;
-    expect_that!(again.exit, eq(0), "{}", again.err);
-    let history = rig.run(&["history"]).await.out;
+    expect_that!(retry.exit, eq(0), "{}", retry.err);
+    let history = instance.run(&["history"]).await.out;
     expect_that!(history.lines().count(), eq(3));
-    let nobody = rig
+    let unreachable = instance
         .run(&["--server", &free_address().to_string(), "status"])
         .await;
-    expect_that!(nobody.exit, eq(1));
+    expect_that!(unreachable.exit, eq(1));
 }
