--- a/ctl/src/args.rs
+++ b/ctl/src/args.rs
@@ -1,4 +1,6 @@
-//! The command line.
+//! Command-line arguments.
+//!
+//! The doc comments of the argument types and their fields are the help texts that `jwctl` prints.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -39,7 +41,7 @@
     pub command: Command,
 }
 
-/// What to do.
+/// The subcommands.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum Command {
@@ -169,21 +171,22 @@
 }
 
 impl Args {
-    /// Reads the process's command line; help and wrong use end early with their exit code.
+    /// Parses the process's command line.
     ///
     /// # Errors
-    /// The exit code to end with.
+    /// Returns the exit code if the help text was requested or the command line is invalid; the
+    /// message has then been printed.
     pub fn from_command_line() -> Result<Args, ExitCode> {
-        let words: Vec<String> = std::env::args().collect();
-        let words: Vec<&str> = words.iter().skip(1).map(String::as_str).collect();
-        Args::from_args(&["jwctl"], &words).map_err(|early| match early.status {
+        let args: Vec<String> = std::env::args().collect();
+        let args: Vec<&str> = args.iter().skip(1).map(String::as_str).collect();
+        Args::from_args(&["jwctl"], &args).map_err(|early_exit| match early_exit.status {
             Ok(()) => {
-                println!("{}", early.output);
+                println!("{}", early_exit.output);
                 ExitCode::SUCCESS
             }
             Err(()) => {
-                eprintln!("{}", early.output);
-                ExitCode::from(exit::WRONG_USE)
+                eprintln!("{}", early_exit.output);
+                ExitCode::from(exit::USAGE_ERROR)
             }
         })
     }
--- a/ctl/src/client.rs
+++ b/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to one instance. None is ever repeated here.
+//! HTTP client for the operators' listener of one instance. It never retries a call.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,14 +12,14 @@
 use crate::args::{Args, Command};
 use crate::error::CtlError;
 
-/// Environment variable with the server's address.
+/// Environment variable that holds the server's address.
 const SERVER_VARIABLE: &str = "JWCTL_SERVER";
-/// Environment variable with the operators' token.
+/// Environment variable that holds the operators' token.
 const TOKEN_VARIABLE: &str = "JWCTL_TOKEN";
-/// Time a connection may take.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A client of one instance's operators' listener.
+/// A client for the operators' listener of one instance.
 #[derive(Debug)]
 pub struct Client {
     http: reqwest::Client,
@@ -28,23 +28,23 @@
 }
 
 impl Client {
-    /// A client of the server that the command line or the environment names.
+    /// Creates a client for the server given on the command line or in the environment.
     ///
     /// # Errors
-    /// No server or token is given, or the token cannot be read.
-    pub fn open(args: &Args) -> Result<Client, CtlError> {
-        // A relay's operators' listener shows state only and asks for no token.
+    /// Fails if no server or token is given, or if the token file cannot be read.
+    pub fn from_args(args: &Args) -> Result<Client, CtlError> {
+        // A relay's operators' listener is read-only and requires no token.
         let token = match args.command {
             Command::Relay(_) => String::new(),
-            _ => token(args.token_file.as_deref())?,
+            _ => read_token(args.token_file.as_deref())?,
         };
-        let named = match &args.command {
+        let server_arg = match &args.command {
             Command::Relay(relay) => relay.address.or(args.server),
             _ => args.server,
         };
-        let server = match named {
+        let server = match server_arg {
             Some(server) => server,
-            None => server_of_environment()?,
+            None => server_from_env()?,
         };
         let http = reqwest::Client::builder()
             .no_proxy()
@@ -53,7 +53,7 @@
             .connect_timeout(CONNECT_TIMEOUT)
             .timeout(Duration::from_secs(args.timeout))
             .build();
-        let http = http.map_err(|e| usage(&e.to_string()))?;
+        let http = http.map_err(|e| usage_error(&e.to_string()))?;
         Ok(Client {
             http,
             server,
@@ -61,9 +61,9 @@
         })
     }
 
-    /// The same client towards another instance.
+    /// Returns a client with the same settings for another instance.
     #[must_use]
-    pub fn towards(&self, server: SocketAddr) -> Client {
+    pub fn with_server(&self, server: SocketAddr) -> Client {
         Client {
             http: self.http.clone(),
             server,
@@ -71,17 +71,17 @@
         }
     }
 
-    /// The server's address.
+    /// Returns the address of the server that the client calls.
     #[must_use]
     pub fn server(&self) -> SocketAddr {
         self.server
     }
 
-    /// Reads something with one more header, where it has a value.
+    /// Sends a GET request with an additional header if `value` is given.
     ///
     /// # Errors
     /// See [`CtlError`].
-    pub async fn get_with<A: DeserializeOwned>(
+    pub async fn get_with_header<A: DeserializeOwned>(
         &self,
         path: &str,
         header: &str,
@@ -89,20 +89,20 @@
     ) -> Result<A, CtlError> {
         let req = self.request(Method::GET, path);
         match value {
-            Some(value) => self.answer(req.header(header, value)).await,
-            None => self.answer(req).await,
+            Some(value) => self.send(req.header(header, value)).await,
+            None => self.send(req).await,
         }
     }
 
-    /// Reads something.
+    /// Sends a GET request and decodes the JSON response.
     ///
     /// # Errors
     /// See [`CtlError`].
     pub async fn get<A: DeserializeOwned>(&self, path: &str) -> Result<A, CtlError> {
-        self.answer(self.request(Method::GET, path)).await
+        self.send(self.request(Method::GET, path)).await
     }
 
-    /// Calls with a message.
+    /// Sends a POST request with a JSON body and decodes the JSON response.
     ///
     /// # Errors
     /// See [`CtlError`].
@@ -111,8 +111,7 @@
         path: &str,
         msg: &Q,
     ) -> Result<A, CtlError> {
-        self.answer(self.request(Method::POST, path).json(msg))
-            .await
+        self.send(self.request(Method::POST, path).json(msg)).await
     }
 
     fn request(&self, method: Method, path: &str) -> RequestBuilder {
@@ -120,16 +119,16 @@
         self.http.request(method, url).bearer_auth(&self.token)
     }
 
-    async fn answer<A: DeserializeOwned>(&self, req: RequestBuilder) -> Result<A, CtlError> {
-        let res = req.send().await.map_err(|e| self.failed(&e))?;
+    async fn send<A: DeserializeOwned>(&self, req: RequestBuilder) -> Result<A, CtlError> {
+        let res = req.send().await.map_err(|e| self.transport_error(&e))?;
         match res.status() {
             StatusCode::OK => res.json().await.map_err(|e| self.no_answer(&e.to_string())),
             StatusCode::UNAUTHORIZED => Err(CtlError::Unauthorized),
-            status => Err(self.refused(status, res).await),
+            status => Err(self.error_from_response(status, res).await),
         }
     }
 
-    async fn refused(&self, status: StatusCode, res: Response) -> CtlError {
+    async fn error_from_response(&self, status: StatusCode, res: Response) -> CtlError {
         let text = res.text().await.unwrap_or_default();
         if let Ok(refused) = serde_json::from_str::<ApplyRefused>(&text) {
             return CtlError::Refused(refused);
@@ -137,7 +136,7 @@
         let body: Option<jacinthweir_wire::caller::ErrorBody> = serde_json::from_str(&text).ok();
         match body {
             Some(body) if status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE => {
-                CtlError::Absent {
+                CtlError::NotAvailable {
                     message: body.error.message,
                 }
             }
@@ -145,8 +144,9 @@
         }
     }
 
-    /// A connection that was not made carried no call. Whatever comes after leaves it open.
-    fn failed(&self, e: &reqwest::Error) -> CtlError {
+    /// Classifies a transport error. If the connection was not established, the call had no effect;
+    /// after any later failure it is unknown whether the call had an effect.
+    fn transport_error(&self, e: &reqwest::Error) -> CtlError {
         let mut cause = e.to_string();
         let mut source = std::error::Error::source(e);
         while let Some(e) = source {
@@ -154,7 +154,7 @@
             source = e.source();
         }
         if e.is_connect() {
-            return CtlError::NoEffect {
+            return CtlError::NotConnected {
                 server: self.server.to_string(),
                 cause,
             };
@@ -176,21 +176,21 @@
     }
 }
 
-fn server_of_environment() -> Result<SocketAddr, CtlError> {
+fn server_from_env() -> Result<SocketAddr, CtlError> {
     let value = std::env::var(SERVER_VARIABLE)
-        .map_err(|_| usage("no server: give --server ADDRESS or set JWCTL_SERVER"))?;
+        .map_err(|_| usage_error("no server: give --server ADDRESS or set JWCTL_SERVER"))?;
     let parsed = value.parse();
     parsed.map_err(|_| {
-        usage(&format!(
+        usage_error(&format!(
             "{SERVER_VARIABLE}: `{value}` is not an address with a port"
         ))
     })
 }
 
-fn token(file: Option<&Path>) -> Result<String, CtlError> {
+fn read_token(file: Option<&Path>) -> Result<String, CtlError> {
     let Some(file) = file else {
         let missing = "no token: give --token-file FILE or set JWCTL_TOKEN";
-        return std::env::var(TOKEN_VARIABLE).map_err(|_| usage(missing));
+        return std::env::var(TOKEN_VARIABLE).map_err(|_| usage_error(missing));
     };
     let text = std::fs::read_to_string(file).map_err(|e| CtlError::File {
         path: file.display().to_string(),
@@ -199,7 +199,7 @@
     Ok(text.trim().to_owned())
 }
 
-fn usage(message: &str) -> CtlError {
+fn usage_error(message: &str) -> CtlError {
     CtlError::Usage {
         message: message.to_owned(),
     }
--- a/ctl/src/command.rs
+++ b/ctl/src/command.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Implementation of the commands.
 
 mod apply;
 mod day;
@@ -20,7 +20,7 @@
 use crate::error::CtlError;
 use crate::text;
 
-/// Runs a command and gives what it prints.
+/// Runs a command and returns its output.
 ///
 /// # Errors
 /// See [`CtlError`].
@@ -30,122 +30,131 @@
         return Ok(text::valid_schema(&check.file, &schema));
     }
     if let Command::Day(day) = &args.command {
-        let day = day::run(day)?;
-        return Ok(shown(args, &day, ToString::to_string));
+        let report = day::run(day)?;
+        return Ok(render(args, &report, ToString::to_string));
     }
-    let client = Client::open(args)?;
+    let client = Client::from_args(args)?;
     match &args.command {
         Command::Check(_) | Command::Day(_) => Ok(String::new()),
         Command::Plan(plan) => {
             let text = read_schema(&plan.file)?.text;
-            let reply = plan_text(&client, text).await?;
-            Ok(shown(args, &reply, text::plan))
+            let reply = request_plan(&client, text).await?;
+            Ok(render(args, &reply, text::plan))
         }
         Command::Apply(apply) => apply::run(args, &client, apply).await,
         Command::History(_) => {
             let reply: HistoryReply = client.get("/operator/history").await?;
-            Ok(shown(args, &reply, text::history))
+            Ok(render(args, &reply, text::history))
         }
         Command::Status(_) => {
             let reply: StatusReply = client.get("/operator/status").await?;
             let now_ms = now_ms();
-            Ok(shown(args, &reply, |reply| text::status(reply, now_ms)))
+            Ok(render(args, &reply, |reply| text::status(reply, now_ms)))
         }
         Command::Request(request) => {
             let path = format!("/operator/requests/{}", path_segment(&request.id)?);
             let record: RequestRecord = client.get(&path).await?;
-            Ok(shown(args, &record, text::record))
+            Ok(render(args, &record, text::record))
         }
         Command::Dump(dump) => {
             let client = dump
                 .address
-                .map_or(client.towards(client.server()), |a| client.towards(a));
+                .map_or(client.with_server(client.server()), |a| {
+                    client.with_server(a)
+                });
             let state: serde_json::Value = client.get("/operator/dump").await?;
-            Ok(json(&state))
+            Ok(to_json(&state))
         }
         Command::Relay(_) => {
             let state: RelayDump = client.get(DUMP_PATH).await?;
-            Ok(shown(args, &state, text::relay))
+            Ok(render(args, &state, text::relay))
         }
         Command::Entry(entry) => {
             let answer = entry_answer(&client, entry.domain.as_deref()).await?;
-            Ok(shown(args, &answer, text::entry))
+            Ok(render(args, &answer, text::entry))
         }
     }
 }
 
-/// A schema file that was read and found valid.
+/// A schema file that was read and validated.
 struct SchemaFile {
     text: String,
     schema: Schema,
 }
 
-/// Reads and checks a schema file here, so that faults are named before anything is sent.
+/// Reads and validates a schema file locally, so that faults are reported before anything is sent.
 fn read_schema(path: &Path) -> Result<SchemaFile, CtlError> {
-    let shown = path.display().to_string();
+    let path_text = path.display().to_string();
     let text = std::fs::read_to_string(path);
     let text = text.map_err(|e| CtlError::File {
-        path: shown.clone(),
+        path: path_text.clone(),
         cause: e.to_string(),
     })?;
-    let schema = parse_schema(&text).map_err(|faults| CtlError::Faults {
-        path: shown.clone(),
+    let schema = parse_schema(&text).map_err(|faults| CtlError::InvalidSchema {
+        path: path_text.clone(),
         faults,
     })?;
     if let Err(e) = split(&schema) {
         let faults = vec![Fault::new(1, "document", &e.to_string())];
-        return Err(CtlError::Faults {
-            path: shown,
+        return Err(CtlError::InvalidSchema {
+            path: path_text,
             faults,
         });
     }
     Ok(SchemaFile { text, schema })
 }
 
-async fn plan_text(client: &Client, text: String) -> Result<PlanReply, CtlError> {
+async fn request_plan(client: &Client, text: String) -> Result<PlanReply, CtlError> {
     client.post("/operator/plan", &PlanRequest { text }).await
 }
 
-/// Asks the callers' listener of the instance whose operators' listener is known.
+/// Queries the entry addresses at the callers' listener of the client's instance.
+///
+/// The status reply maps the operators' address to the callers' address; if no listed instance has
+/// the operators' address, the first one is queried.
 async fn entry_answer(client: &Client, domain: Option<&str>) -> Result<EntryAnswer, CtlError> {
     let status: StatusReply = client.get("/operator/status").await?;
-    let at = status
+    let instance = status
         .instances
         .iter()
         .find(|i| i.member.operators == client.server());
-    let Some(at) = at.or(status.instances.first()) else {
-        return Err(CtlError::Absent {
+    let Some(instance) = instance.or(status.instances.first()) else {
+        return Err(CtlError::NotAvailable {
             message: "no instance is known".to_owned(),
         });
     };
-    let callers = client.towards(at.member.callers);
-    callers.get_with("/v1/entry", header::DOMAIN, domain).await
+    let callers = client.with_server(instance.member.callers);
+    callers
+        .get_with_header("/v1/entry", header::DOMAIN, domain)
+        .await
 }
 
-/// A value as one segment of a path: ids have no other characters, so others are wrong use.
+/// Checks that a request id can be used as one path segment.
+///
+/// Request ids consist of the accepted characters only, so any other value is a usage error.
 fn path_segment(value: &str) -> Result<&str, CtlError> {
-    let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if !value.is_empty() && value.chars().all(fits) {
+    let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    if !value.is_empty() && value.chars().all(allowed) {
         return Ok(value);
     }
     let message = format!("`{value}` is not a request id");
     Err(CtlError::Usage { message })
 }
 
-fn shown<T: Serialize>(args: &Args, reply: &T, as_text: impl Fn(&T) -> String) -> String {
+fn render<T: Serialize>(args: &Args, reply: &T, as_text: impl Fn(&T) -> String) -> String {
     if args.json {
-        json(reply)
+        to_json(reply)
     } else {
         as_text(reply)
     }
 }
 
-fn json<T: Serialize>(value: &T) -> String {
+fn to_json<T: Serialize>(value: &T) -> String {
     let text = serde_json::to_string_pretty(value).unwrap_or_default();
     text + "\n"
 }
 
 fn now_ms() -> u64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    since.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
+    let elapsed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    elapsed.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
 }
--- a/ctl/src/command/apply.rs
+++ b/ctl/src/command/apply.rs
@@ -1,8 +1,8 @@
-//! Applying a schema.
+//! `jwctl apply`: commits a schema.
 //!
-//! The change id is chosen and shown before anything is sent. Whatever happens to the answer, the
-//! same apply with the same id commits at most once, so an apply without an answer is asked again
-//! once here, and after that by the operator.
+//! The change id is an idempotency key. It is generated and printed before anything is sent, and an
+//! apply with the same change id commits at most once, whatever happens to the response. An apply
+//! without a response is therefore retried once here; further retries are left to the operator.
 
 use std::time::{Duration, Instant};
 
@@ -11,16 +11,16 @@
     ApplyRefused, ApplyReply, ApplyRequest, InstanceStatus, StatusReply,
 };
 
-use super::{json, plan_text, read_schema};
+use super::{read_schema, request_plan, to_json};
 use crate::args::{Apply, Args};
 use crate::client::Client;
 use crate::error::CtlError;
 use crate::text;
 
-/// Times that an apply is asked, with the same change id.
-const ASKS: u32 = 2;
-/// Period of looking where the revision is in force.
-const WAIT_PERIOD: Duration = Duration::from_millis(200);
+/// Maximum number of attempts to send an apply, all with the same change id.
+const MAX_ATTEMPTS: u32 = 2;
+/// Interval between status polls while waiting for the revision to be in force.
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 pub(super) async fn run(args: &Args, client: &Client, apply: &Apply) -> Result<String, CtlError> {
     let text = read_schema(&apply.file)?.text;
@@ -28,7 +28,7 @@
     let base = match apply.base {
         Some(base) => base,
         None => {
-            let plan = plan_text(client, text.clone()).await?;
+            let plan = request_plan(client, text.clone()).await?;
             if !args.json {
                 output.push_str(&text::plan(&plan));
             }
@@ -40,76 +40,81 @@
         .clone()
         .unwrap_or_else(|| uuid::Uuid::now_v7().to_string());
     eprintln!("change {change}");
-    let operator = operator(args);
+    let operator = operator_name(args);
     let req = ApplyRequest {
         text,
         base,
         change: change.into(),
         operator: operator.into(),
     };
-    let reply = ask(client, &req).await?;
+    let reply = apply_with_retry(client, &req).await?;
     if apply.wait {
-        wait(args, client, reply.revision).await?;
+        wait_until_in_force(args, client, reply.revision).await?;
     }
     output.push_str(&if args.json {
-        json(&reply)
+        to_json(&reply)
     } else {
         text::applied(&reply, apply.wait)
     });
     Ok(output)
 }
 
-fn operator(args: &Args) -> String {
-    let environment = || std::env::var("USER").ok().filter(|user| !user.is_empty());
+fn operator_name(args: &Args) -> String {
+    let from_env = || std::env::var("USER").ok().filter(|user| !user.is_empty());
     args.operator
         .clone()
-        .or_else(environment)
+        .or_else(from_env)
         .unwrap_or_else(|| "unknown".to_owned())
 }
 
-/// Asks, and asks again once with the same change id where no answer came. A first call without
-/// an answer may have committed, so a later refusal for want of a connection doesn't undo that.
-async fn ask(client: &Client, req: &ApplyRequest) -> Result<ApplyReply, CtlError> {
-    let mut unknown = None;
-    for _ in 0..ASKS {
+/// Sends an apply and retries it with the same change id if the outcome is unknown.
+///
+/// An attempt without a response may have committed. If a later attempt cannot connect, the error
+/// of the earlier attempt is returned, because the outcome is still unknown.
+async fn apply_with_retry(client: &Client, req: &ApplyRequest) -> Result<ApplyReply, CtlError> {
+    let mut unknown_outcome = None;
+    for _ in 0..MAX_ATTEMPTS {
         match client.post("/operator/apply", req).await {
             Err(CtlError::NoAnswer { server, cause, .. }) => {
                 let change = Some(req.change.to_string());
-                unknown = Some(CtlError::NoAnswer {
+                unknown_outcome = Some(CtlError::NoAnswer {
                     server,
                     cause,
                     change,
                 });
             }
-            Err(e @ CtlError::Refused(ApplyRefused::Unconfirmed { .. })) => unknown = Some(e),
-            Err(e @ CtlError::NoEffect { .. }) => return Err(unknown.unwrap_or(e)),
-            answer => return answer,
+            Err(e @ CtlError::Refused(ApplyRefused::Unconfirmed { .. })) => {
+                unknown_outcome = Some(e);
+            }
+            Err(e @ CtlError::NotConnected { .. }) => return Err(unknown_outcome.unwrap_or(e)),
+            result => return result,
         }
     }
-    Err(unknown.unwrap_or(CtlError::Usage {
+    Err(unknown_outcome.unwrap_or(CtlError::Usage {
         message: "nothing was asked".to_owned(),
     }))
 }
 
-/// Waits until every live instance has the revision, or a later one, in force.
-async fn wait(args: &Args, client: &Client, revision: u64) -> Result<(), CtlError> {
-    let until = Instant::now() + Duration::from_secs(args.timeout);
+/// Polls until the revision, or a later one, is in force on every live instance.
+async fn wait_until_in_force(args: &Args, client: &Client, revision: u64) -> Result<(), CtlError> {
+    let deadline = Instant::now() + Duration::from_secs(args.timeout);
     loop {
         let lagging = match client.get::<StatusReply>("/operator/status").await {
-            Ok(status) => lagging(&status, revision),
+            Ok(status) => lagging_instances(&status, revision),
             Err(e) => vec![e.to_string()],
         };
         if lagging.is_empty() {
             return Ok(());
         }
-        if Instant::now() >= until {
-            return Err(CtlError::NotEverywhere { revision, lagging });
+        if Instant::now() >= deadline {
+            return Err(CtlError::RolloutIncomplete { revision, lagging });
         }
-        tokio::time::sleep(WAIT_PERIOD).await;
+        tokio::time::sleep(STATUS_POLL_INTERVAL).await;
     }
 }
 
-fn lagging(status: &StatusReply, revision: u64) -> Vec<String> {
+/// Returns the names of the live instances on which the revision is not yet in force.
+fn lagging_instances(status: &StatusReply, revision: u64) -> Vec<String> {
     let live = |i: &&InstanceStatus| !i.suspected && i.member.phase < Phase::Draining;
     let behind = status
         .instances
--- a/ctl/src/error.rs
+++ b/ctl/src/error.rs
@@ -1,70 +1,72 @@
-//! What can go wrong.
+//! Errors of the commands.
 
 use derive_more::{Display, Error};
 use jacinthweir_wire::operator::{ApplyRefused, Fault};
 
-/// A command did not do what it was asked for.
+/// Reason why a command failed.
 #[derive(Clone, Debug, Display, Error)]
 pub enum CtlError {
-    /// The command line lacks something.
+    /// The command line or the environment is incomplete or invalid.
     #[display("{message}")]
     Usage {
-        /// What.
+        /// What is missing or invalid.
         message: String,
     },
-    /// A file cannot be read.
+    /// A file cannot be read or written.
     #[display("{path}: {cause}")]
     File {
-        /// File.
+        /// Path of the file.
         path: String,
-        /// Cause.
+        /// Underlying error.
         cause: String,
     },
-    /// A schema file has faults.
+    /// A schema file failed validation.
     #[display("{path} has {} faults", faults.len())]
-    Faults {
-        /// File.
+    InvalidSchema {
+        /// Path of the file.
         path: String,
-        /// Every fault found.
+        /// All faults found.
         faults: Vec<Fault>,
     },
     /// The token is missing or wrong.
     #[display("the operators' token is missing or wrong")]
     Unauthorized,
-    /// The server refused, and says why.
+    /// The server refused the apply and gave the reason.
     #[display("refused")]
     Refused(#[error(not(source))] ApplyRefused),
-    /// What was asked for is not there.
+    /// The requested item is not available: the server answered with an error message, or no
+    /// instance is known.
     #[display("{message}")]
-    Absent {
-        /// What.
+    NotAvailable {
+        /// Message for the operator.
         message: String,
     },
-    /// The server was not reached: the call had no effect.
+    /// The connection to the server failed, so the call had no effect.
     #[display("{server} is not reached: {cause}")]
-    NoEffect {
-        /// Server.
+    NotConnected {
+        /// Address of the server.
         server: String,
-        /// Cause.
+        /// Underlying error.
         cause: String,
     },
-    /// The server gave no answer, or none that can be understood: whether the call had an effect
-    /// is not known.
+    /// The server sent no response or one that cannot be decoded, so it is unknown whether the call
+    /// had an effect.
     #[display("no answer from {server}: {cause}")]
     NoAnswer {
-        /// Server.
+        /// Address of the server.
         server: String,
-        /// Cause.
+        /// Underlying error.
         cause: String,
-        /// Change id to ask again with, for an apply.
+        /// Change id with which an apply can be retried.
         change: Option<String>,
     },
-    /// Committed, but not in force everywhere within the time.
+    /// The revision is committed, but was not in force on every live instance within the time
+    /// limit.
     #[display("revision {revision} is committed; not yet in force on: {}", lagging.join(", "))]
-    NotEverywhere {
-        /// Revision.
+    RolloutIncomplete {
+        /// Committed revision.
         revision: u64,
-        /// Live instances without it.
+        /// Live instances on which it is not yet in force, or the error of the last status poll.
         lagging: Vec<String>,
     },
 }
--- a/ctl/src/exit.rs
+++ b/ctl/src/exit.rs
@@ -4,28 +4,31 @@
 
 use crate::error::CtlError;
 
-/// Refused: nothing was changed.
+/// The command was refused and changed nothing.
 pub const REFUSED: u8 = 1;
-/// Wrong use: command line, file or token.
-pub const WRONG_USE: u8 = 2;
-/// Not known: no answer, or a commit that is not confirmed.
-pub const NOT_KNOWN: u8 = 3;
+/// The command line, a file or the token is invalid.
+pub const USAGE_ERROR: u8 = 2;
+/// The outcome is unknown: no response, or a commit that is not confirmed or not in force on every
+/// live instance.
+pub const UNKNOWN_OUTCOME: u8 = 3;
 
-/// The exit code of an error.
+/// Returns the process exit code for an error.
 #[must_use]
 pub fn code(e: &CtlError) -> ExitCode {
     ExitCode::from(number(e))
 }
 
-/// The exit code of an error, as a number.
+/// Returns the numeric exit code for an error.
 #[must_use]
 pub fn number(e: &CtlError) -> u8 {
     use jacinthweir_wire::operator::ApplyRefused;
     match e {
-        CtlError::Usage { .. } | CtlError::File { .. } | CtlError::Unauthorized => WRONG_USE,
-        CtlError::Refused(ApplyRefused::Unconfirmed { .. }) => NOT_KNOWN,
-        CtlError::Faults { .. } | CtlError::Refused(_) | CtlError::Absent { .. } => REFUSED,
-        CtlError::NoEffect { .. } => REFUSED,
-        CtlError::NoAnswer { .. } | CtlError::NotEverywhere { .. } => NOT_KNOWN,
+        CtlError::Usage { .. } | CtlError::File { .. } | CtlError::Unauthorized => USAGE_ERROR,
+        CtlError::Refused(ApplyRefused::Unconfirmed { .. }) => UNKNOWN_OUTCOME,
+        CtlError::InvalidSchema { .. } | CtlError::Refused(_) | CtlError::NotAvailable { .. } => {
+            REFUSED
+        }
+        CtlError::NotConnected { .. } => REFUSED,
+        CtlError::NoAnswer { .. } | CtlError::RolloutIncomplete { .. } => UNKNOWN_OUTCOME,
     }
 }
--- a/ctl/src/lib.rs
+++ b/ctl/src/lib.rs
@@ -1,8 +1,8 @@
-//! `jwctl`: plans and applies schemas and shows what is in force, as a database administrator
-//! knows it from migrations.
+//! `jwctl`, the operators' command-line tool: plans and applies schemas, in the manner of database
+//! migrations, and shows the configuration in force.
 //!
-//! Each command is one call to one instance ([`client`]); texts and tables are made in
-//! [`text`] and its folder, and [`exit`] has the documented exit codes.
+//! Commands that need a server call one instance through [`client`]. [`text`] and its submodules
+//! format the output, and [`exit`] defines the exit codes.
 
 pub mod args;
 pub mod client;
@@ -17,11 +17,11 @@
 
 use args::Args;
 
-/// Runs the command line and gives its exit code.
+/// Runs the command given on the command line and returns the exit code.
 pub async fn run() -> ExitCode {
     let args = match Args::from_command_line() {
         Ok(args) => args,
-        Err(early) => return early,
+        Err(exit_code) => return exit_code,
     };
     match command::run(&args).await {
         Ok(output) => {
--- a/ctl/src/main.rs
+++ b/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `jwctl`, the operators' tool.
+//! `jwctl`, the operators' command-line tool.
 
 use std::process::ExitCode;
 
--- a/ctl/src/text/refused.rs
+++ b/ctl/src/text/refused.rs
@@ -1,4 +1,4 @@
-//! What went wrong, and what can be done about it.
+//! Formats errors, with advice on how to proceed.
 
 use jacinthweir_wire::operator::{ApplyRefused, Fault};
 use serde_json::json;
@@ -6,19 +6,19 @@
 use crate::error::CtlError;
 use crate::exit;
 
-/// An error for people, or as JSON.
+/// Formats an error as text or as JSON.
 #[must_use]
 pub fn error(e: &CtlError, as_json: bool) -> String {
     if as_json {
         return format!(
             "{}\n",
-            json!({ "error": explain(e), "exit": exit::number(e), "refused": refused(e) })
+            json!({ "error": explain(e), "exit": exit::number(e), "refused": refusal(e) })
         );
     }
     format!("jwctl: {}\n", explain(e))
 }
 
-fn refused(e: &CtlError) -> Option<&ApplyRefused> {
+fn refusal(e: &CtlError) -> Option<&ApplyRefused> {
     match e {
         CtlError::Refused(refused) => Some(refused),
         _ => None,
@@ -27,24 +27,24 @@
 
 fn explain(e: &CtlError) -> String {
     match e {
-        CtlError::Faults { path, faults } => listed(path, faults),
-        CtlError::Refused(refused) => explain_refused(refused),
+        CtlError::InvalidSchema { path, faults } => fault_list(path, faults),
+        CtlError::Refused(refused) => explain_refusal(refused),
         CtlError::NoAnswer {
             change: Some(change),
             ..
         } => {
             format!(
                 "{e}\nwhether it is committed is not known; ask again: {}",
-                again(change)
+                retry_hint(change)
             )
         }
         _ => e.to_string(),
     }
 }
 
-fn explain_refused(refused: &ApplyRefused) -> String {
+fn explain_refusal(refused: &ApplyRefused) -> String {
     match refused {
-        ApplyRefused::Invalid { faults } => listed("the schema", faults),
+        ApplyRefused::Invalid { faults } => fault_list("the schema", faults),
         ApplyRefused::Conflict { standing, changes } => {
             let mut text = format!(
                 "conflict: revision {standing} was committed first; nothing of yours was. It has:"
@@ -66,16 +66,16 @@
         }
         ApplyRefused::Unconfirmed { change } => format!(
             "the commit was sent, but the platform does not tell whether it stands. Ask again: {}",
-            again(change)
+            retry_hint(change)
         ),
     }
 }
 
-fn again(change: &str) -> String {
+fn retry_hint(change: &str) -> String {
     format!("the same apply with --change {change}")
 }
 
-fn listed(what: &str, faults: &[Fault]) -> String {
+fn fault_list(what: &str, faults: &[Fault]) -> String {
     let mut text = format!("{what}: {} faults", faults.len());
     for fault in faults {
         text.push_str(&format!("\n  {fault}"));
