--- a/ctl/src/text.rs
+++ b/ctl/src/text.rs
@@ -1,7 +1,7 @@
 //! Formats the output of the commands as text.
 
+mod error;
 mod record;
-mod refused;
 mod relay;
 mod status;
 
@@ -14,8 +14,8 @@
 
 use crate::table::Table;
 
+pub use error::error;
 pub use record::record;
-pub use refused::error;
 pub use relay::relay;
 pub use status::status;
 
