--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,6 +1,6 @@
-//! The plug-ins of the entry instance, linked on purpose.
+//! Links the plug-ins of the entry instance.
 //!
-//! Plug-ins register themselves at link time; a crate that nothing names would not be linked.
+//! Plug-ins register themselves at link time; the linker would drop a crate that nothing refers to.
 
 use jacinthweir_callers as _;
 use jacinthweir_operators as _;
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -28,8 +28,8 @@
     version: bool,
 }
 
-/// Exit code for wrong use of the command line or settings.
-const WRONG_USE: u8 = 2;
+/// Exit code for invalid command-line arguments or settings.
+const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
@@ -48,11 +48,11 @@
         (None, Some(path)) => run_relay(path),
         (Some(_), Some(_)) => {
             eprintln!("jacinthweir: --settings and --relay-settings exclude each other");
-            ExitCode::from(WRONG_USE)
+            ExitCode::from(EXIT_USAGE)
         }
         (None, None) => {
             eprintln!("jacinthweir: --settings or --relay-settings FILE is required; see --help");
-            ExitCode::from(WRONG_USE)
+            ExitCode::from(EXIT_USAGE)
         }
     }
 }
@@ -75,7 +75,7 @@
         Ok(settings) => settings,
         Err(e) => {
             eprintln!("{e}");
-            return ExitCode::from(WRONG_USE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     match serve(settings) {
@@ -93,7 +93,7 @@
         Ok(settings) => settings,
         Err(e) => {
             eprintln!("{e}");
-            return ExitCode::from(WRONG_USE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     match relay(settings, path) {
@@ -106,21 +106,21 @@
     }
 }
 
-/// A relay has a quarter of a core: one thread costs no switches and needs no locks.
+/// Runs a relay on one thread: with a quarter of a core, that avoids context switches and locks.
 fn relay(settings: RelaySettings, path: PathBuf) -> eyre::Result<DrainOutcome> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     let tasks = tokio::task::LocalSet::new();
-    let ended: Result<DrainOutcome, RelayError> =
+    let outcome: Result<DrainOutcome, RelayError> =
         runtime.block_on(tasks.run_until(jacinthweir_relay::run(settings, path)));
-    Ok(ended?)
+    Ok(outcome?)
 }
 
 fn serve(settings: Settings) -> eyre::Result<life::DrainOutcome> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
-    let ended: Result<life::DrainOutcome, KernelError> = runtime.block_on(life::run(settings));
-    Ok(ended?)
+    let outcome: Result<life::DrainOutcome, KernelError> = runtime.block_on(life::run(settings));
+    Ok(outcome?)
 }
--- a/node/tests/listeners.rs
+++ b/node/tests/listeners.rs
@@ -1,7 +1,7 @@
-//! Bad input at each listener: a clear answer, "not run", and no effect on others.
+//! Malformed input to each listener is refused as "not run" and does not affect other requests.
 //!
-//! The cases stand in `cases/*.txt`. They run against the three listeners of one instance whose
-//! plug-ins' loops do not run; its configuration is put in place by the test.
+//! The cases are in `cases/*.txt`. They run against the three listeners of one instance, whose
+//! plug-in tasks are not started and whose configuration is set by the test.
 
 #[path = "support/instance.rs"]
 mod support;
@@ -23,10 +23,10 @@
     faults
 }
 
-// What a caller sees: hostile bytes get a 4xx or a closed connection, each within the instance's
-// own time-outs; afterwards the same listener still answers an ordinary request. Order: all cases
-// in turn on connections of their own. Why: a body or head that never ends must not hold memory
-// or a place for longer than its time-out.
+// Hostile input gets a 4xx or a closed connection within the instance's time-outs, and the same
+// listener still answers an ordinary request afterwards. The cases run in turn, each on its own
+// connection. Guards against a head or body that never ends and holds memory or a connection slot
+// for longer than its time-out.
 #[gtest]
 fn hostile_input_is_refused_on_each_listener() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
@@ -42,7 +42,7 @@
     });
 }
 
-// The linker drops a crate that nothing names: a plug-in would be missing without a word.
+// The linker drops a crate that nothing refers to, so a plug-in could be missing without an error.
 #[gtest]
 fn every_plugin_is_linked() {
     let names: Vec<&str> = jacinthweir_kernel::plugin::sorted()
--- a/node/tests/support/instance.rs
+++ b/node/tests/support/instance.rs
@@ -1,4 +1,4 @@
-//! An instance inside the test's process, and raw requests to it.
+//! An instance in the test process, and raw requests to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,10 +21,10 @@
     "organisations": [{ "name": "olinda", "priority": 1, "weight": 1, "key_sha256": ["KEY"] }],
 }"#;
 
-/// Longest wait for an answer: far above every time-out of the instance.
+/// Maximum wait for an answer, well above every time-out of the instance.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A running instance without its plug-ins' loops.
+/// A running instance whose plug-in tasks are not started.
 pub struct Instance {
     pub cx: Arc<Kernel>,
     pub callers: SocketAddr,
@@ -73,21 +73,21 @@
 }
 
 async fn free_addresses() -> [SocketAddr; 4] {
-    let mut held = Vec::new();
+    let mut listeners = Vec::new();
     for _ in 0..4 {
-        held.push(TcpListener::bind("127.0.0.1:0").await.expect("port"));
+        listeners.push(TcpListener::bind("127.0.0.1:0").await.expect("port"));
     }
-    std::array::from_fn(|i| held[i].local_addr().expect("address"))
+    std::array::from_fn(|i| listeners[i].local_addr().expect("address"))
 }
 
-/// One case of a file.
+/// A test case from a case file.
 pub struct Case {
     pub name: String,
     pub request: Vec<u8>,
     pub expected: String,
 }
 
-/// Reads a case file.
+/// Parses a case file.
 pub fn read_cases(text: &str) -> Vec<Case> {
     let mut cases = Vec::new();
     for block in text.split("\ncase: ").skip(1) {
@@ -126,7 +126,7 @@
     }
 }
 
-/// Sends raw bytes; returns the status and, where the error form came, its code and outcome.
+/// Sends raw bytes and returns the status and, for an error body, its code and outcome.
 pub async fn send(address: SocketAddr, request: &[u8]) -> String {
     let answer = async {
         let mut stream = TcpStream::connect(address).await.expect("connect");
@@ -141,7 +141,7 @@
 async fn read_answer(stream: &mut TcpStream) -> String {
     let mut buf = Vec::new();
     let mut chunk = [0; 4096];
-    while !is_whole(&buf) {
+    while !is_complete(&buf) {
         match stream.read(&mut chunk).await {
             Ok(0) | Err(_) => break,
             Ok(n) => buf.extend_from_slice(&chunk[..n]),
@@ -150,7 +150,7 @@
     describe(&String::from_utf8_lossy(&buf))
 }
 
-fn is_whole(buf: &[u8]) -> bool {
+fn is_complete(buf: &[u8]) -> bool {
     let text = String::from_utf8_lossy(buf);
     let Some((head, body)) = text.split_once("\r\n\r\n") else {
         return false;
