--- a/kernel/src/auth.rs
+++ b/kernel/src/auth.rs
@@ -1,7 +1,8 @@
-//! Who may call: operators and peers by a token each, callers by a key of their organisation.
+//! Authentication: operators and peers each share one bearer token; callers use a key of their
+//! organisation.
 //!
-//! Tokens and keys are compared by their SHA-256 in constant time: a comparison that ends at the
-//! first differing byte would let a caller guess a token byte by byte from the time it takes.
+//! Tokens are compared by their SHA-256 in constant time, since a comparison that stops at the
+//! first differing byte would let a caller guess a token byte by byte from the response time.
 
 use jacinthweir_wire::caller::ErrorCode;
 use salvo::prelude::*;
@@ -11,13 +12,13 @@
 use crate::Kernel;
 use crate::reply::Refusal;
 
-/// SHA-256 of a secret, as hexadecimal digits.
+/// Returns the SHA-256 of a secret as hexadecimal digits.
 #[must_use]
 pub fn fingerprint(secret: &str) -> String {
     hex::encode(Sha256::digest(secret.as_bytes()))
 }
 
-/// The bearer token of a request.
+/// Returns the bearer token of a request.
 #[must_use]
 pub fn bearer(req: &Request) -> Option<&str> {
     let value = req.headers().get("authorization")?.to_str().ok()?;
@@ -25,14 +26,14 @@
     Some(token.trim())
 }
 
-/// The refusal of a missing or wrong secret, counted by face.
+/// Returns the refusal for a missing or wrong secret and counts it by listener.
 #[must_use]
 pub fn unauthorized(face: &'static str) -> Refusal {
     metrics::counter!("jacinthweir_unauthorized_total", "face" => face).increment(1);
     Refusal::not_run(ErrorCode::Unauthorized, "missing or wrong bearer token")
 }
 
-/// Lets through only who shows the one token of a listener.
+/// Middleware that rejects requests without the listener's bearer token.
 pub struct BearerOnly {
     face: &'static str,
     /// SHA-256 of the token, as hexadecimal digits in lower case.
@@ -58,8 +59,8 @@
 #[handler]
 impl BearerOnly {
     async fn handle(&self, req: &mut Request, res: &mut Response, ctrl: &mut FlowCtrl) {
-        let shown = bearer(req).map(fingerprint);
-        let equal = shown.is_some_and(|s| s.as_bytes().ct_eq(self.expected.as_bytes()).into());
+        let presented = bearer(req).map(fingerprint);
+        let equal = presented.is_some_and(|s| s.as_bytes().ct_eq(self.expected.as_bytes()).into());
         if !equal {
             unauthorized(self.face).write(res, None);
             ctrl.skip_rest();
--- a/kernel/src/body.rs
+++ b/kernel/src/body.rs
@@ -1,4 +1,4 @@
-//! Reading of request bodies within a size and a time.
+//! Reads request bodies under a size limit and a time-out.
 
 use std::time::Duration;
 
@@ -13,9 +13,9 @@
 /// Reads a whole body.
 ///
 /// # Errors
-/// A refusal with `too_large`, `request_timeout` or `bad_request`.
+/// Returns a refusal with `too_large`, `request_timeout` or `bad_request`.
 pub async fn read(req: &mut Request, limit: usize, timeout_ms: u64) -> Result<Bytes, Refusal> {
-    if declared(req) > limit as u64 {
+    if content_length(req) > limit as u64 {
         return Err(too_large(limit));
     }
     let timeout = Duration::from_millis(timeout_ms);
@@ -37,7 +37,7 @@
 /// Reads a whole body as JSON.
 ///
 /// # Errors
-/// As [`read`], and `bad_request` with the field at fault.
+/// As [`read`], and `bad_request` naming the invalid field.
 pub async fn read_json<T: DeserializeOwned>(
     req: &mut Request,
     limit: usize,
@@ -60,7 +60,7 @@
     format!("{path}: {}", e.inner())
 }
 
-fn declared(req: &Request) -> u64 {
+fn content_length(req: &Request) -> u64 {
     req.header::<u64>("content-length").unwrap_or(0)
 }
 
--- a/kernel/src/clock.rs
+++ b/kernel/src/clock.rs
@@ -1,20 +1,20 @@
-//! The clocks of a process.
+//! Monotonic and wall-clock time of the process.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use jacinthweir_policy::prelude::*;
 
-/// Both clocks: the monotonic one decides, the Unix one is for records.
+/// Monotonic clock for decisions and Unix clock for records.
 ///
-/// The monotonic clock may stand still while an instance is suspended, the Unix clock may step;
-/// [`Clock::reading`] gives both so that a decision can look at the larger advance.
+/// The monotonic clock may stop while the machine is suspended and the Unix clock may step;
+/// [`Clock::reading`] returns both, so that a decision can use the larger advance.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     #[must_use]
     pub fn open() -> Clock {
         Clock {
@@ -22,13 +22,13 @@
         }
     }
 
-    /// Milliseconds since the process started.
+    /// Returns the milliseconds since the process started.
     #[must_use]
     pub fn now(&self) -> Millis {
         millis(self.start.elapsed())
     }
 
-    /// Milliseconds since the Unix epoch.
+    /// Returns the milliseconds since the Unix epoch.
     #[must_use]
     pub fn unix_ms(&self) -> Millis {
         SystemTime::now()
@@ -36,7 +36,7 @@
             .map_or(0, millis)
     }
 
-    /// Both clocks.
+    /// Reads both clocks.
     #[must_use]
     pub fn reading(&self) -> Now {
         Now {
--- a/kernel/src/config.rs
+++ b/kernel/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force on this instance.
+//! Configuration in force on this instance.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,19 +7,19 @@
 use jacinthweir_policy::schema::CompiledSchema;
 use tokio::sync::watch;
 
-/// A revision in force.
+/// A configuration revision in force.
 pub struct InForce {
     /// Revision.
     pub revision: u64,
-    /// Unix time since when it is in force here, in milliseconds.
+    /// Unix time at which it came into force on this instance, in milliseconds.
     pub since_unix_ms: Millis,
-    /// Its schema.
+    /// Compiled schema of the revision.
     pub schema: Arc<CompiledSchema>,
     serve_until: AtomicU64,
 }
 
 impl InForce {
-    /// A revision that may not be served by before [`InForce::set_serve_until`].
+    /// Creates a revision that may not be used before [`InForce::set_serve_until`] is called.
     #[must_use]
     pub fn new(revision: u64, since_unix_ms: Millis, schema: Arc<CompiledSchema>) -> InForce {
         InForce {
@@ -30,21 +30,24 @@
         }
     }
 
-    /// Sets the time until which it may be served by, as in [`crate::Kernel::elapsed_ms`].
+    /// Sets the time until which requests may be served with this revision, on the clock of
+    /// [`crate::Kernel::elapsed_ms`].
     pub fn set_serve_until(&self, ms: Millis) {
         self.serve_until.store(ms, Ordering::Relaxed);
     }
 
-    /// Whether it may be served by. Asked for each request, and not only when the state changes:
-    /// an instance that was frozen past the limit would otherwise answer the requests that
-    /// waited in its sockets by the old revision, before its tasks find out.
+    /// Returns whether requests may be served with this revision.
+    ///
+    /// Checked for each request, not only on state changes: an instance that was suspended past
+    /// the limit would otherwise serve the requests waiting in its sockets with the old revision
+    /// before its tasks update the state.
     #[must_use]
     pub fn may_serve(&self, elapsed_ms: Millis) -> bool {
         elapsed_ms < self.serve_until.load(Ordering::Relaxed)
     }
 }
 
-/// What an instance may serve by.
+/// Configuration state of an instance.
 #[derive(Clone, Default)]
 pub enum Config {
     /// None yet: the instance is joining.
@@ -52,13 +55,13 @@
     Absent,
     /// In force.
     InForce(Arc<InForce>),
-    /// A revision that neither the platform nor a majority of the instances has confirmed for
-    /// too long: a newer one may be in force elsewhere, so nothing is served by it.
+    /// Not confirmed for too long by either the platform or a majority of the instances. A newer
+    /// revision may be in force elsewhere, so no request is served with this one.
     Unconfirmed(Arc<InForce>),
 }
 
 impl Config {
-    /// The revision known, whether or not it may be served by.
+    /// Returns the known revision, whether or not requests may be served with it.
     #[must_use]
     pub fn known(&self) -> Option<&Arc<InForce>> {
         match self {
@@ -67,7 +70,7 @@
         }
     }
 
-    /// The revision to serve by.
+    /// Returns the revision to serve requests with.
     #[must_use]
     pub fn served(&self) -> Option<&Arc<InForce>> {
         match self {
@@ -77,7 +80,7 @@
     }
 }
 
-/// Holds the configuration; the schema plug-in alone sets it.
+/// Holds the configuration, which only the schema plug-in sets.
 pub struct ConfigCell {
     tx: watch::Sender<Config>,
 }
@@ -90,27 +93,27 @@
 }
 
 impl ConfigCell {
-    /// What stands now.
+    /// Returns the current configuration.
     #[must_use]
     pub fn get(&self) -> Config {
         self.tx.borrow().clone()
     }
 
-    /// Puts another in place. A lower revision than the known one is refused: whatever asks for
-    /// that has old news.
+    /// Replaces the configuration and returns whether it did. A lower revision than the known one
+    /// is rejected as stale.
     pub fn set(&self, config: Config) -> bool {
-        self.tx.send_if_modified(|standing| {
-            let known = standing.known().map_or(0, |c| c.revision);
+        self.tx.send_if_modified(|current| {
+            let known = current.known().map_or(0, |c| c.revision);
             let offered = config.known().map_or(0, |c| c.revision);
             if offered < known {
                 return false;
             }
-            *standing = config;
+            *current = config;
             true
         })
     }
 
-    /// Told of each change.
+    /// Returns a receiver that is notified of each change.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Config> {
         self.tx.subscribe()
--- a/kernel/src/error.rs
+++ b/kernel/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the kernel.
+//! Error type of the kernel.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use jacinthweir_clients::ClientError;
 use jacinthweir_document::Fault;
 
-/// The instance cannot start, or one of its parts ended.
+/// Error that prevents the instance from starting or ends it.
 #[derive(Debug, Display, Error, From)]
 pub enum KernelError {
     /// The settings file cannot be read.
@@ -24,7 +24,7 @@
     Settings {
         /// File.
         path: String,
-        /// Every fault found.
+        /// All faults found.
         faults: Vec<Fault>,
     },
     /// A listener cannot be bound.
@@ -36,11 +36,11 @@
         /// Cause.
         cause: String,
     },
-    /// Logs or metrics cannot be set up.
+    /// Logs, metrics or signal handlers cannot be set up.
     #[display("cannot set up {what}: {cause}")]
     #[from(ignore)]
     SetUp {
-        /// What.
+        /// Component that failed to start.
         what: &'static str,
         /// Cause.
         cause: String,
--- a/kernel/src/fault_point.rs
+++ b/kernel/src/fault_point.rs
@@ -1,59 +1,60 @@
-//! Points at which the fault matrix of the test kit brings a fault about in this process.
+//! Fault injection points for the fault matrix of the test kit.
 //!
-//! Without the feature `failpoints`, which the shipped build does not have, [`reach`] is an empty
-//! function and [`open`] does nothing. With it, actions come from two places, in the syntax of the
+//! Without the feature `failpoints`, which release builds leave out, [`reach`] and [`open`] do
+//! nothing. With it, actions are read from two places, in the syntax of the
 //! `fail` crate (`step=return(ACTION)`, with counts such as `1*return(abort)->off`):
 //!
-//! - the environment variable `FAILPOINTS` at the start, points separated by `;`;
-//! - the file that `FAILPOINTS_FILE` names, one point a line, read again each time a point is
-//!   reached, so that a test arms and disarms points of a process that runs.
+//! - the environment variable `FAILPOINTS` at start-up, points separated by `;`;
+//! - the file that `FAILPOINTS_FILE` names, one point per line, read again each time a point is
+//!   reached, so that a test can arm and disarm points of a running process.
 //!
 //! | `ACTION` | meaning |
 //! |---|---|
-//! | `abort` | the process ends at once |
-//! | `stop` | the process stops itself (`SIGSTOP`) until it gets `SIGCONT` |
-//! | `sleep:MS` | this task waits that many milliseconds; the others run on |
-//! | `hold:PATH` | this task waits until the file exists |
+//! | `abort` | the process aborts immediately |
+//! | `stop` | the process sends itself `SIGSTOP` and resumes on `SIGCONT` |
+//! | `sleep:MS` | this task sleeps for that many milliseconds; other tasks keep running |
+//! | `hold:PATH` | this task waits until the file at this path exists |
 //!
-//! Before it acts, a point logs `fault point STEP: ACTION`; after it, `fault point STEP passed`.
+//! A point logs `fault point STEP: ACTION` before its action and `fault point STEP passed` after
+//! it.
 
 use derive_more::Display;
 
-/// A step of a request, call, change or shutdown at which a fault may come.
+/// Step of a request, call, change or shutdown at which a fault can be injected.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display(rename_all = "snake_case")]
 pub enum Step {
-    /// A model request is accepted; its driver starts.
+    /// A model request was accepted; its driver starts.
     Received,
-    /// It is admitted.
+    /// The request was admitted.
     Admitted,
-    /// An attempt is in the journal as handed over; no byte of it was sent.
+    /// The journal records the attempt as sent; no byte of it has been sent yet.
     Handed,
-    /// A token came and is not yet passed on.
+    /// A token was received and has not been forwarded to the caller.
     Streaming,
-    /// The outcome is known; the caller was not told of the end.
+    /// The outcome is known; the final part of the answer has not been sent to the caller.
     Finished,
-    /// A claimed call's driver starts.
+    /// The driver of a call that needs a claim starts.
     CallReceived,
-    /// The claim's write is about to be sent.
+    /// The request that writes the claim is about to be sent.
     ClaimSending,
-    /// The claim is granted; nothing was dispatched.
+    /// The claim was granted; nothing has been dispatched.
     Claimed,
-    /// The dispatch is in the journal as handed over; no byte of it was sent.
+    /// The journal records the dispatch as sent; no byte of it has been sent yet.
     CallHanded,
-    /// The service answered; neither the caller nor the claim has it.
+    /// The service answered; the answer is neither stored with the claim nor sent to the caller.
     CallRan,
     /// The claim's outcome is about to be written.
     OutcomeSending,
-    /// A change was checked and is about to be written.
+    /// A change was validated and is about to be written.
     ChangeReceived,
-    /// The parts stand; the head was not sent.
+    /// The parts are stored; the write of the head has not been sent.
     PartsWritten,
     /// The head's compare-and-set is about to be sent.
     HeadSending,
-    /// The head stands; it is not in force here and the operator was not told.
+    /// The head is stored; it is not in force here and the operator has had no answer.
     Committed,
-    /// A shutdown is about to take this instance out of the answers to callers.
+    /// A shutdown is about to withdraw this instance from the entry answers to callers.
     Leaving,
     /// A shutdown is about to refuse new connections.
     Refusing,
@@ -85,12 +86,12 @@
 #[cfg(feature = "failpoints")]
 pub use armed::{open, reach};
 
-/// Reads the environment's actions; does nothing in this build.
+/// Reads the actions from the environment; does nothing in this build.
 #[cfg(not(feature = "failpoints"))]
 #[inline]
 pub fn open() {}
 
-/// Acts as the point is told; does nothing in this build.
+/// Runs the action armed for `step`; does nothing in this build.
 #[cfg(not(feature = "failpoints"))]
 #[inline]
 pub async fn reach(_step: Step) {}
@@ -106,23 +107,23 @@
 
     use super::Step;
 
-    /// Environment variable that names the file of actions.
-    const FILE: &str = "FAILPOINTS_FILE";
-    /// Time between two looks for the file that ends a hold.
-    const LOOK: Duration = Duration::from_millis(5);
-    /// Time in which a signal to the own process has stopped this thread too.
-    const STOPPED: Duration = Duration::from_millis(50);
+    /// Environment variable with the path of the action file.
+    const FILE_VARIABLE: &str = "FAILPOINTS_FILE";
+    /// Interval at which a hold checks for its file.
+    const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(5);
+    /// Time within which a stop signal to the process takes effect on this thread.
+    const STOP_DELAY: Duration = Duration::from_millis(50);
 
-    /// The actions of the file as they were last read.
-    static READ: Mutex<String> = Mutex::new(String::new());
+    /// Contents of the action file when it was last read.
+    static LAST_READ: Mutex<String> = Mutex::new(String::new());
 
-    /// Reads the environment's actions.
+    /// Reads the actions from the environment.
     pub fn open() {
-        // The scenario lasts as long as the process.
+        // Dropping the scenario would disarm its points; it lasts as long as the process.
         std::mem::forget(FailScenario::setup());
     }
 
-    /// Acts as the point is told.
+    /// Runs the action armed for `step`, if any.
     pub async fn reach(step: Step) {
         read_file();
         let Some(action) = action(&step.to_string()) else {
@@ -140,12 +141,12 @@
     }
 
     fn read_file() {
-        let Some(path) = std::env::var_os(FILE).map(PathBuf::from) else {
+        let Some(path) = std::env::var_os(FILE_VARIABLE).map(PathBuf::from) else {
             return;
         };
         let text = std::fs::read_to_string(path).unwrap_or_default();
-        let mut read = READ.lock().unwrap_or_else(PoisonError::into_inner);
-        if *read == text {
+        let mut last_read = LAST_READ.lock().unwrap_or_else(PoisonError::into_inner);
+        if *last_read == text {
             return;
         }
         for step in Step::ALL {
@@ -156,21 +157,21 @@
                 log::error!("fault point {step}: {e}");
             }
         }
-        *read = text;
+        *last_read = text;
     }
 
     async fn act(action: &str) {
-        let (verb, arg) = action.split_once(':').unwrap_or((action, ""));
-        match verb {
+        let (kind, arg) = action.split_once(':').unwrap_or((action, ""));
+        match kind {
             "abort" => std::process::abort(),
             "stop" => {
                 let _ = kill_process(getpid(), Signal::STOP);
-                std::thread::sleep(STOPPED);
+                std::thread::sleep(STOP_DELAY);
             }
             "sleep" => tokio::time::sleep(Duration::from_millis(arg.parse().unwrap_or(0))).await,
             "hold" => {
                 while !std::path::Path::new(arg).exists() {
-                    tokio::time::sleep(LOOK).await;
+                    tokio::time::sleep(HOLD_POLL_INTERVAL).await;
                 }
             }
             _ => log::error!("fault point: unknown action {action}"),
--- a/kernel/src/gate.rs
+++ b/kernel/src/gate.rs
@@ -1,8 +1,8 @@
-//! Admission as the plug-ins use it: a request enters the gate and holds a permit until it ends.
+//! Admission control: a request acquires a permit from the gate and holds it until it ends.
 //!
-//! The decisions are [`Admission`]'s. The gate adds what it leaves out: indices that stay the
-//! same over revisions of the schema, waking of the requests that wait, and release when a
-//! permit is dropped, for whatever cause the request ended.
+//! [`Admission`] makes the decisions. The gate adds indices that are stable across schema
+//! revisions, wakes queued requests, and releases the slot when the permit is dropped, however the
+//! request ended.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,41 +19,41 @@
 
 use crate::clock::Clock;
 
-/// A request that asks to enter.
+/// A request for admission.
 #[derive(Clone, Debug)]
 pub struct Ask {
     /// Organisation.
     pub organisation: Name,
-    /// Its weight.
+    /// Weight of the organisation.
     pub weight: u32,
     /// Pipeline.
     pub pipeline: Name,
-    /// Priority class, 0 first.
+    /// Priority class; 0 is the highest.
     pub priority: u8,
-    /// The most tokens it may cost.
+    /// Upper bound of its cost, in tokens.
     pub cost_tokens: u32,
-    /// Monotonic time of the deadline, in milliseconds.
+    /// Deadline on the monotonic clock, in milliseconds.
     pub deadline: Millis,
 }
 
-/// This instance's part of a pipeline's bound.
+/// This instance's share of a pipeline's capacity.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Capacity {
     /// Pipeline.
     pub pipeline: Name,
-    /// Tokens a second.
+    /// Tokens per second.
     pub tokens_per_s: f64,
-    /// Requests in flight; corrected by what is seen. 0: no capacity.
+    /// Initial limit on requests in flight, adjusted by measurements. 0 means no capacity.
     pub in_flight: u32,
 }
 
-/// What a request is told whose waking end is gone: the instance is ending.
-const GATE_GONE: Refusal = Refusal {
+/// Refusal of a queued request whose sender was dropped because the instance is exiting.
+const GATE_CLOSED: Refusal = Refusal {
     code: RefuseCode::Overloaded,
     retry_after_ms: 0,
 };
 
-/// Admission of an instance.
+/// Admission control of an instance.
 pub struct Gate {
     clock: Clock,
     inner: Mutex<Inner>,
@@ -68,29 +68,30 @@
     next_slot: u64,
 }
 
-/// Dense indices by name that are never given to another name.
+/// Dense indices by name; an index is never reused for another name.
 struct Indices<K> {
     names: IndexSet<Name>,
     index: fn(u32) -> K,
 }
 
 impl<K> Indices<K> {
-    fn of(&mut self, name: &Name) -> K {
-        let (at, _) = self.names.insert_full(name.clone());
-        (self.index)(u32::try_from(at).unwrap_or(u32::MAX))
+    fn get_or_insert(&mut self, name: &Name) -> K {
+        let (index, _) = self.names.insert_full(name.clone());
+        (self.index)(u32::try_from(index).unwrap_or(u32::MAX))
     }
 }
 
-/// Right to be in flight; ends when dropped.
+/// Permit of an admitted request; dropping it releases the slot.
 pub struct Permit {
     gate: Arc<Gate>,
     slot: Slot,
-    entered: Millis,
+    admitted_at: Millis,
     tokens: u32,
 }
 
 impl Permit {
-    /// Tells what the request cost, in tokens; counted when the permit is dropped.
+    /// Sets the actual cost of the request, in tokens, to be reported when the permit is
+    /// dropped.
     pub fn spent(&mut self, tokens: u32) {
         self.tokens = tokens;
     }
@@ -99,7 +100,7 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         let now = self.gate.clock.now();
-        let latency_ms = now.saturating_sub(self.entered);
+        let latency_ms = now.saturating_sub(self.admitted_at);
         let measurement = Measurement {
             latency_ms,
             tokens: self.tokens,
@@ -112,18 +113,18 @@
     }
 }
 
-/// Takes a waiting request out when its caller leaves.
+/// Guard that cancels a queued request when its caller disconnects.
 ///
-/// The caller may leave just after the request was admitted and before it learned of that; the
-/// slot would then stay in flight for ever. So the guard cancels the slot wherever it is, unless
-/// a permit has taken over.
-struct Waiting<'a> {
+/// The caller may disconnect after the request was admitted but before its task was woken; the
+/// slot would then stay in flight for ever. The guard therefore cancels the slot whether it is
+/// queued or in flight, unless a permit has taken it over.
+struct CancelOnDrop<'a> {
     gate: &'a Gate,
     slot: Slot,
     armed: bool,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         if !self.armed {
             return;
@@ -137,7 +138,7 @@
 }
 
 impl Gate {
-    /// A gate without capacity yet.
+    /// Creates a gate without capacity.
     #[must_use]
     pub fn open(clock: Clock) -> Arc<Gate> {
         let inner = Inner {
@@ -160,10 +161,11 @@
         })
     }
 
-    /// Enters, at once or after waiting. `queued` is called when the request has to wait.
+    /// Waits until the request is admitted and returns its permit. Calls `queued` if the request
+    /// is not admitted at once.
     ///
     /// # Errors
-    /// The refusal: nothing ran.
+    /// Returns the refusal; nothing ran.
     pub async fn enter(
         self: &Arc<Self>,
         ask: &Ask,
@@ -176,20 +178,20 @@
             Decision::Refuse(refusal) => return Err(refusal),
             Decision::Queue => {
                 queued();
-                let mut guard = Waiting {
+                let mut guard = CancelOnDrop {
                     gate: self,
                     slot,
                     armed: true,
                 };
-                rx.await.unwrap_or(Err(GATE_GONE))?;
+                rx.await.unwrap_or(Err(GATE_CLOSED))?;
                 guard.armed = false;
             }
         }
-        let entered = self.clock.now();
+        let admitted_at = self.clock.now();
         Ok(Permit {
             gate: Arc::clone(self),
             slot,
-            entered,
+            admitted_at,
             tokens: 0,
         })
     }
@@ -206,9 +208,9 @@
         inner.next_slot += 1;
         let ticket = Ticket {
             slot,
-            org: inner.orgs.of(&ask.organisation),
+            org: inner.orgs.get_or_insert(&ask.organisation),
             weight: ask.weight,
-            pipeline: inner.pipelines.of(&ask.pipeline),
+            pipeline: inner.pipelines.get_or_insert(&ask.pipeline),
             priority: ask.priority,
             cost_tokens: ask.cost_tokens,
             deadline: ask.deadline,
@@ -222,12 +224,12 @@
         (slot, decision, rx)
     }
 
-    /// Sets this instance's part of the bounds.
+    /// Sets this instance's share of the capacity of each pipeline.
     pub fn set_capacities(&self, capacities: &[Capacity]) {
         let now = self.clock.now();
         let mut inner = self.lock();
         for c in capacities {
-            let pipeline = inner.pipelines.of(&c.pipeline);
+            let pipeline = inner.pipelines.get_or_insert(&c.pipeline);
             inner
                 .admission
                 .set_capacity(now, pipeline, c.tokens_per_s, c.in_flight);
@@ -236,34 +238,35 @@
         self.changed.notify_one();
     }
 
-    /// Sets the most requests of an organisation in this instance; `None`: no limit.
-    pub fn set_share(&self, organisation: &Name, most: Option<u32>) {
+    /// Sets the maximum number of requests of an organisation on this instance; `None` means no
+    /// limit.
+    pub fn set_share(&self, organisation: &Name, limit: Option<u32>) {
         let mut inner = self.lock();
-        let org = inner.orgs.of(organisation);
-        inner.admission.set_share(org, most);
+        let org = inner.orgs.get_or_insert(organisation);
+        inner.admission.set_share(org, limit);
     }
 
-    /// Number of requests of an organisation here, queued or in flight.
+    /// Returns the number of requests of an organisation on this instance, queued or in flight.
     #[must_use]
     pub fn demand(&self, organisation: &Name) -> u32 {
         let mut inner = self.lock();
-        let org = inner.orgs.of(organisation);
+        let org = inner.orgs.get_or_insert(organisation);
         inner.admission.in_system(org)
     }
 
-    /// Number of requests in flight.
+    /// Returns the number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.lock().admission.in_flight()
     }
 
-    /// State for operators.
+    /// Returns the admission state, for operators.
     #[must_use]
     pub fn dump(&self) -> AdmissionDump {
         self.lock().admission.dump()
     }
 
-    /// Wakes waiting requests as they fall due, until `stop`.
+    /// Admits or refuses queued requests as they become due, until `stop` is cancelled.
     pub async fn run_until(self: Arc<Self>, stop: CancellationToken) {
         let _ = stop.run_until_cancelled(self.run()).await;
     }
@@ -284,14 +287,14 @@
         let mut inner = self.lock();
         let actions = inner.admission.poll(now, &mut rand::rng());
         for action in actions {
-            let (slot, told) = match action {
+            let (slot, result) = match action {
                 Action::Admit(slot) => (slot, Ok(())),
                 Action::Refuse { slot, refusal } => (slot, Err(refusal)),
             };
             let Some(tx) = inner.waiting.remove(&slot) else {
                 continue;
             };
-            if tx.send(told).is_err() {
+            if tx.send(result).is_err() {
                 inner.admission.cancel(now, slot);
                 self.changed.notify_one();
             }
@@ -299,15 +302,15 @@
     }
 
     fn next_wait(&self) -> Duration {
-        /// Longest time between polls: bounds how late a missed wake-up is made good.
-        const LONGEST_MS: Millis = 100;
+        /// Longest interval between polls, which bounds the delay after a missed wake-up.
+        const MAX_POLL_INTERVAL_MS: Millis = 100;
         let now = self.clock.now();
         let due = self
             .lock()
             .admission
             .next_poll()
-            .unwrap_or(now + LONGEST_MS);
-        Duration::from_millis(due.saturating_sub(now).clamp(1, LONGEST_MS))
+            .unwrap_or(now + MAX_POLL_INTERVAL_MS);
+        Duration::from_millis(due.saturating_sub(now).clamp(1, MAX_POLL_INTERVAL_MS))
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
--- a/kernel/src/identity.rs
+++ b/kernel/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who calls and what they say of their request in headers.
+//! Identifies callers by their key and reads their request headers.
 
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::schema::OrgDecl;
@@ -12,7 +12,7 @@
 use crate::config::InForce;
 use crate::reply::Refusal;
 
-/// The longest deadline a caller may state, in milliseconds: a day.
+/// Longest deadline that a caller may set, in milliseconds: one day.
 const MAX_DEADLINE_MS: u64 = 24 * 3600 * 1000;
 
 /// A caller with a valid key.
@@ -22,42 +22,45 @@
     pub org: OrgId,
     /// Organisation's name.
     pub organisation: Name,
-    /// Priority class: the organisation's, or a lower one that the caller asked for.
+    /// Priority class: the organisation's, or a lower one that the caller requested.
     pub priority: u8,
-    /// Deadline, in milliseconds from the arrival, where the caller stated one.
+    /// Deadline in milliseconds after arrival, if the caller set one.
     pub deadline_ms: Option<u64>,
 }
 
 impl Caller {
-    /// Finds the organisation that the bearer key belongs to, and reads the request's headers.
+    /// Looks up the organisation of the bearer key and reads the request headers.
     ///
-    /// Keys are looked up by their SHA-256: the time it takes tells nothing of a key.
+    /// Keys are looked up by their SHA-256, so that the response time reveals nothing about a key.
     ///
     /// # Errors
-    /// `unauthorized`, or `bad_request` for a header that cannot be read.
+    /// Returns `unauthorized`, or `bad_request` for an invalid header.
     pub fn identify(config: &InForce, req: &Request) -> Result<Caller, Refusal> {
         let key = bearer(req).ok_or_else(|| unauthorized("callers"))?;
         let hash: KeyHash = Sha256::digest(key.as_bytes()).into();
         let org = config.schema.org_by_key(&hash);
         let org = org.ok_or_else(|| unauthorized("callers"))?;
         let decl = &config.schema.orgs()[org];
-        let asked = number(req, header::PRIORITY, u64::from(OrgDecl::LOWEST_PRIORITY))?;
-        let asked = asked.map_or(0, |p| p as u8);
-        let deadline_ms = number(req, header::DEADLINE_MS, MAX_DEADLINE_MS)?;
+        let requested = parse_number(req, header::PRIORITY, u64::from(OrgDecl::LOWEST_PRIORITY))?;
+        let requested = requested.map_or(0, |p| p as u8);
+        let deadline_ms = parse_number(req, header::DEADLINE_MS, MAX_DEADLINE_MS)?;
         if deadline_ms == Some(0) {
-            return Err(bad(header::DEADLINE_MS, "must be greater than 0"));
+            return Err(invalid_header(
+                header::DEADLINE_MS,
+                "must be greater than 0",
+            ));
         }
         Ok(Caller {
             org,
             organisation: decl.name.clone(),
-            priority: decl.priority.max(asked),
+            priority: decl.priority.max(requested),
             deadline_ms,
         })
     }
 }
 
-/// A header's whole number up to `max`.
-fn number(req: &Request, name: &'static str, max: u64) -> Result<Option<u64>, Refusal> {
+/// Parses a header as an integer of at most `max`.
+fn parse_number(req: &Request, name: &'static str, max: u64) -> Result<Option<u64>, Refusal> {
     let Some(value) = req.headers().get(name) else {
         return Ok(None);
     };
@@ -67,13 +70,13 @@
         .and_then(|s| s.trim().parse::<u64>().ok());
     match parsed {
         Some(n) if n <= max => Ok(Some(n)),
-        _ => Err(bad(
+        _ => Err(invalid_header(
             name,
             &format!("must be a whole number from 0 to {max}"),
         )),
     }
 }
 
-fn bad(name: &str, msg: &str) -> Refusal {
+fn invalid_header(name: &str, msg: &str) -> Refusal {
     Refusal::not_run(ErrorCode::BadRequest, format!("header {name}: {msg}"))
 }
--- a/kernel/src/kernel.rs
+++ b/kernel/src/kernel.rs
@@ -1,4 +1,4 @@
-//! The shared state of an instance, and its life from start to exit.
+//! Shared state of an instance.
 
 use std::any::{Any, TypeId};
 use std::collections::BTreeMap;
@@ -31,18 +31,19 @@
 use crate::stats::Stats;
 use crate::{KernelError, Settings};
 
-/// Rounds of exchanges that a joining instance waits to hear from its peers, before it goes by
-/// the platform alone.
+/// Gossip rounds that a joining instance waits for its peers before it relies on the platform
+/// alone.
 const JOIN_GRACE_ROUNDS: u64 = 4;
 
-/// How long the platform must show an older head than the accepted one before that is written
-/// back, in milliseconds: a read that was merely stale is over by then.
+/// How long the platform must return an older head than the accepted one before the accepted one
+/// is written back, in milliseconds. Stale reads resolve within this time.
 const ROLLBACK_CONFIRM_MS: Millis = 2_000;
 
-/// When to come back to an instance that cannot serve now; another may at once.
+/// Retry delay for callers of an instance that cannot serve now, in milliseconds. Another instance
+/// may be tried at once.
 const RETRY_ELSEWHERE_MS: u64 = 1_000;
 
-/// The shared state of an instance.
+/// Shared state of an instance.
 ///
 /// Locks are held for one decision at a time and never across an await point.
 pub struct Kernel {
@@ -50,29 +51,29 @@
     pub settings: Settings,
     /// Clocks.
     pub clock: Clock,
-    /// Unix time of the start, in milliseconds: tells two lives of the same name apart.
+    /// Unix time of the start, in milliseconds; distinguishes restarts of an instance.
     pub incarnation: u64,
     /// Metrics.
     pub stats: Stats,
-    /// Cancelled when the instance ends: tasks return.
+    /// Cancelled when the instance exits, upon which all tasks return.
     pub stop: CancellationToken,
     /// Tasks of the plug-ins.
     pub tasks: TaskTracker,
-    /// The platform's service.
+    /// Client for the platform.
     pub platform: Arc<dyn Platform>,
-    /// Client towards peers.
+    /// Client for peers.
     pub peers: PeerClient,
-    /// Client towards model runners.
+    /// Client for model runners.
     pub runners: RunnerClient,
-    /// Client towards plain services.
+    /// Client for plain services.
     pub services: ServiceClient,
     /// Records of requests.
     pub records: Arc<Records>,
     /// The configuration in force.
     pub config: ConfigCell,
-    /// Parts of the configuration, for peers.
+    /// Configuration parts served to peers.
     pub parts: Parts,
-    /// Admission.
+    /// Admission control.
     pub gate: Arc<Gate>,
     upstreams: Mutex<Upstreams>,
     ready: AtomicBool,
@@ -84,10 +85,10 @@
 }
 
 impl Kernel {
-    /// Opens the shared state of an instance with `settings`.
+    /// Creates the shared state of an instance with `settings`.
     ///
     /// # Errors
-    /// When a client or the metrics cannot be set up.
+    /// Returns an error if a client or the metrics cannot be set up.
     pub fn open(settings: Settings) -> Result<Arc<Kernel>, KernelError> {
         let clock = Clock::open();
         let timing = &settings.timing;
@@ -122,7 +123,7 @@
         Ok(Arc::new(kernel))
     }
 
-    /// State that one plug-in alone uses, by its type; opened at first use.
+    /// Returns the private state of a plug-in, keyed by type and created on first use.
     pub fn plugin_state<T: Any + Send + Sync>(&self, open: impl FnOnce() -> T) -> Arc<T> {
         let mut states = self
             .plugin_state
@@ -135,47 +136,47 @@
         state.expect("states are kept by their own type")
     }
 
-    /// The route plan.
+    /// Locks and returns the router, which holds the route plan.
     pub fn router(&self) -> MutexGuard<'_, Router> {
         self.router.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is known of the instances.
+    /// Locks and returns the membership state of the instances.
     pub fn membership(&self) -> MutexGuard<'_, Membership> {
         self.membership
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The way to the newest configuration; the schema plug-in alone feeds it. Lock it before
-    /// [`Kernel::membership`] where both are needed.
+    /// Locks and returns the convergence state of the configuration, which only the schema plug-in
+    /// updates. Where both are needed, lock it before [`Kernel::membership`].
     pub fn convergence(&self) -> MutexGuard<'_, Convergence> {
         self.convergence
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Milliseconds since the start, the time that this machine was suspended included: the
-    /// clock of the convergence.
+    /// Returns the milliseconds since the start, including time for which the machine was
+    /// suspended. The convergence uses this clock.
     #[must_use]
     pub fn elapsed_ms(&self) -> Millis {
         let mut elapsed = self.elapsed.lock().unwrap_or_else(PoisonError::into_inner);
         elapsed.advance(self.clock.reading())
     }
 
-    /// What is known of the upstreams.
+    /// Locks and returns the state of the upstreams.
     pub fn upstreams(&self) -> MutexGuard<'_, Upstreams> {
         self.upstreams
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Says of this instance what phase it is in; a phase never goes back.
+    /// Sets the phase of this instance; a phase never goes back.
     pub fn set_phase(&self, phase: Phase) {
         self.membership().set_phase(phase);
     }
 
-    /// Peers' address of another instance.
+    /// Returns the peer listener's address of another instance.
     #[must_use]
     pub fn peer_address(&self, name: &str) -> Option<SocketAddr> {
         let membership = self.membership();
@@ -183,16 +184,16 @@
         Some(peer.peers)
     }
 
-    /// Number of instances that serve, this one counted.
+    /// Returns the number of live instances, including this one.
     #[must_use]
     pub fn live_instances(&self) -> usize {
         self.membership().live().count()
     }
 
-    /// The configuration to serve a request by.
+    /// Returns the configuration to serve a request with.
     ///
     /// # Errors
-    /// `no_configuration`: nothing ran.
+    /// Returns `no_configuration`; nothing ran.
     pub fn serving_config(&self) -> Result<Arc<InForce>, Refusal> {
         let config = self.config.get();
         if let Some(config) = config.served()
@@ -205,10 +206,11 @@
         Err(refusal.retry_after(RETRY_ELSEWHERE_MS))
     }
 
-    /// Whether one more request may come in: bounds the memory that requests in progress take.
+    /// Checks that the limit on requests in progress allows another one. The limit bounds the
+    /// memory that requests take.
     ///
     /// # Errors
-    /// `overloaded`: nothing ran.
+    /// Returns `overloaded`; nothing ran.
     pub fn room_for_one(&self) -> Result<(), Refusal> {
         if self.records.counts().running < self.settings.limits.requests {
             return Ok(());
@@ -217,25 +219,25 @@
         Err(refusal.retry_after(RETRY_ELSEWHERE_MS))
     }
 
-    /// Says that this instance knows the upstreams: it may be named to callers, who would else
-    /// be refused for want of a plan that is a second away.
+    /// Marks this instance as knowing the upstreams, so that it may be listed to callers. Listed
+    /// earlier, it would refuse requests for lack of a route plan that is about a second away.
     pub fn set_ready(&self) {
         self.ready.store(true, Ordering::Relaxed);
     }
 
-    /// Whether this instance knows the upstreams.
+    /// Returns whether this instance knows the upstreams.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// Whether this instance is shutting down.
+    /// Returns whether this instance is shutting down.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.membership().own().state.phase >= Phase::Draining
     }
 
-    /// A new request id: the instance's name, a dot, and a number that is never used again.
+    /// Returns a new request id: the instance's name, a dot and a unique number.
     #[must_use]
     pub fn new_request_id(&self) -> Name {
         let number = uuid::Uuid::now_v7().simple();
--- a/kernel/src/lib.rs
+++ b/kernel/src/lib.rs
@@ -1,9 +1,9 @@
-//! Settings, logs, metrics, cancellation, listeners, the dump and the list of plug-ins.
+//! Core of an instance: settings, logs, metrics, listeners, shared state and plug-in registry.
 //!
 //! A plug-in is a plain struct of function pointers that registers itself in [`PLUGINS`] at link
-//! time. The kernel opens the shared state, calls each plug-in's `spawn`, mounts its routes on
-//! the three listeners and asks it for its part of the dump. Plug-ins do not call one another:
-//! they meet in [`Kernel`]'s shared state.
+//! time. The kernel creates the shared state, calls each plug-in's `spawn`, mounts its routes on
+//! the three listeners and collects its section of the dump. Plug-ins do not call one another;
+//! they communicate through the shared state in [`Kernel`].
 
 pub mod auth;
 pub mod body;
--- a/kernel/src/life.rs
+++ b/kernel/src/life.rs
@@ -1,7 +1,6 @@
-//! The life of an instance: start, service, graceful shutdown.
+//! Lifecycle of an instance: start-up, serving, graceful shutdown.
 //!
-//! What a shutdown does and when is decided by [`jacinthweir_policy::drain`]; this module carries
-//! it out.
+//! [`jacinthweir_policy::drain`] decides the steps of a shutdown; this module executes them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,18 +18,18 @@
 
 pub use jacinthweir_policy::drain::DrainOutcome;
 
-/// Time that tasks get to return once the instance stops.
+/// How long tasks may take to return after cancellation.
 const TASKS_TIMEOUT: Duration = Duration::from_secs(2);
-/// Rounds of exchanges that the word of a shutdown takes to reach every instance: until then one
-/// of them may still name this instance in an answer, which callers keep for its time to live.
-const SPREAD_ROUNDS: u64 = 2;
-/// Period of looking whether the next step of a shutdown is due.
-const TICK: Duration = Duration::from_millis(20);
+/// Gossip rounds until every instance knows of a shutdown. Until then another instance may still
+/// list this one in an entry answer, which callers cache for its time to live.
+const DISSEMINATION_ROUNDS: u64 = 2;
+/// Interval at which a shutdown checks whether its next step is due.
+const DRAIN_TICK: Duration = Duration::from_millis(20);
 
-/// Runs an instance until it is told to end.
+/// Runs an instance until a signal shuts it down.
 ///
 /// # Errors
-/// When it cannot start.
+/// Returns an error if the instance cannot start.
 pub async fn run(settings: Settings) -> Result<DrainOutcome, KernelError> {
     logs::open(&settings.log, &settings.name)?;
     fault_point::open();
@@ -51,30 +50,30 @@
     );
 
     let mut shutdown = Shutdown::new(Arc::clone(&cx), callers);
-    let ended = shutdown.run(&mut signals).await;
+    let outcome = shutdown.run(&mut signals).await;
     cx.set_phase(Phase::Gone);
-    farewell(&cx).await;
+    wait_one_gossip_round(&cx).await;
     cx.stop.cancel();
     peers.abort();
     operators.abort();
     cx.tasks.close();
     let _ = timeout(TASKS_TIMEOUT, cx.tasks.wait()).await;
-    log::info!("instance {} ended: {ended}", cx.settings.name);
-    Ok(ended)
+    log::info!("instance {} ended: {outcome}", cx.settings.name);
+    Ok(outcome)
 }
 
-/// Carries out a shutdown.
+/// Executes a shutdown.
 struct Shutdown {
     cx: Arc<Kernel>,
     drain: Drain,
-    callers: Callers,
+    callers: CallerListener,
 }
 
-/// The callers' listener during a shutdown.
-enum Callers {
-    /// Accepts.
+/// State of the callers' listener during a shutdown.
+enum CallerListener {
+    /// Accepts connections.
     Open(Option<Listening>),
-    /// Refuses new connections; the task ends with the last open one.
+    /// Accepts no new connections; the task ends when the last open connection closes.
     Closing(JoinHandle<()>),
 }
 
@@ -82,13 +81,13 @@
     fn new(cx: Arc<Kernel>, callers: Listening) -> Shutdown {
         let timing = &cx.settings.timing;
         let cfg = DrainConfig {
-            ttl_ms: timing.entry_ttl_ms + SPREAD_ROUNDS * timing.gossip_ms,
+            ttl_ms: timing.entry_ttl_ms + DISSEMINATION_ROUNDS * timing.gossip_ms,
             deadline_ms: timing.drain_deadline_ms,
         };
         Shutdown {
             cx,
             drain: Drain::new(cfg),
-            callers: Callers::Open(Some(callers)),
+            callers: CallerListener::Open(Some(callers)),
         }
     }
 
@@ -98,56 +97,56 @@
         loop {
             let now = self.cx.clock.now();
             for action in self.drain.on(now, event, self.in_flight()) {
-                reach(&action).await;
-                if let Some(ended) = self.carry_out(action) {
-                    return ended;
+                reach_fault_point(&action).await;
+                if let Some(outcome) = self.execute(action) {
+                    return outcome;
                 }
             }
             event = tokio::select! {
                 () = signals.next() => DrainEvent::Signal,
-                () = sleep(TICK) => DrainEvent::Tick,
+                () = sleep(DRAIN_TICK) => DrainEvent::Tick,
             };
         }
     }
 
-    /// Requests in progress. A connection that is still open counts as one, since the last bytes
-    /// of its answer may not have been taken yet.
+    /// Returns the number of requests in progress. While any connection is open it is at least
+    /// one, since the client may not have read the last bytes of an answer.
     fn in_flight(&self) -> usize {
         let open = match &self.callers {
-            Callers::Open(_) => false,
-            Callers::Closing(task) => !task.is_finished(),
+            CallerListener::Open(_) => false,
+            CallerListener::Closing(task) => !task.is_finished(),
         };
         self.cx.records.running().len().max(usize::from(open))
     }
 
-    fn carry_out(&mut self, action: DrainAction) -> Option<DrainOutcome> {
+    fn execute(&mut self, action: DrainAction) -> Option<DrainOutcome> {
         log::info!("shutdown: {action}");
         match action {
             DrainAction::WithdrawFromEntry => self.cx.set_phase(Phase::Draining),
             DrainAction::RefuseConnections => self.refuse_connections(),
-            DrainAction::Cut { .. } => self.say_cut(),
-            DrainAction::Exit(ended) => return Some(ended),
+            DrainAction::Cut { .. } => self.log_aborted_requests(),
+            DrainAction::Exit(outcome) => return Some(outcome),
         }
         None
     }
 
     fn refuse_connections(&mut self) {
-        if let Callers::Open(listening) = &mut self.callers
+        if let CallerListener::Open(listening) = &mut self.callers
             && let Some(listening) = listening.take()
         {
-            self.callers = Callers::Closing(tokio::spawn(listening.stop()));
+            self.callers = CallerListener::Closing(tokio::spawn(listening.stop()));
         }
     }
 
-    fn say_cut(&self) {
+    fn log_aborted_requests(&self) {
         for id in self.cx.records.running() {
-            log::warn!(request = id.as_ref(); "cut by the shutdown");
+            log::warn!(request = id.as_ref(); "request aborted by the shutdown");
         }
     }
 }
 
-/// The fault point before an action.
-async fn reach(action: &DrainAction) {
+/// Triggers the fault point that precedes an action.
+async fn reach_fault_point(action: &DrainAction) {
     match action {
         DrainAction::WithdrawFromEntry => fault_point::reach(Step::Leaving).await,
         DrainAction::RefuseConnections => fault_point::reach(Step::Refusing).await,
@@ -155,8 +154,8 @@
     }
 }
 
-/// Leaves one round for peers to hear that this incarnation is gone.
-async fn farewell(cx: &Kernel) {
+/// Waits one gossip round, so that peers learn that this incarnation is gone.
+async fn wait_one_gossip_round(cx: &Kernel) {
     sleep(Duration::from_millis(cx.settings.timing.gossip_ms)).await;
 }
 
--- a/kernel/src/listener.rs
+++ b/kernel/src/listener.rs
@@ -1,4 +1,4 @@
-//! The three listeners.
+//! HTTP listeners for callers, peers and operators.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,27 +15,27 @@
 use crate::plugin::{Face, sorted};
 use crate::{Kernel, KernelError, auth, reply};
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: u32 = 1024;
 
 /// A running listener.
 pub struct Listening {
-    /// Whom it is for.
+    /// Which clients it serves.
     pub face: Face,
-    /// Where it listens.
+    /// Address that it is bound to.
     pub address: SocketAddr,
     handle: ServerHandle,
     task: JoinHandle<()>,
 }
 
 impl Listening {
-    /// Binds a listener for `face` with the routes of every plug-in.
+    /// Binds the listener `face` and mounts the routes of every plug-in on it.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// Returns an error if the address cannot be bound.
     pub async fn bind(cx: &Arc<Kernel>, face: Face) -> Result<Listening, KernelError> {
         let address = address(cx, face);
-        let acceptor = accept_on(address).map_err(|e| KernelError::Listen {
+        let acceptor = bind_acceptor(address).map_err(|e| KernelError::Listen {
             address,
             cause: e.to_string(),
         })?;
@@ -56,23 +56,23 @@
         })
     }
 
-    /// Refuses new connections and returns once the last request of the open ones has ended.
+    /// Stops accepting connections and waits for the requests on open connections to finish.
     pub async fn stop(self) {
         self.handle.stop_graceful(None);
         let _ = self.task.await;
     }
 
-    /// Cuts whatever is still open.
+    /// Closes all open connections without waiting for their requests.
     pub fn abort(&self) {
         self.handle.stop_forceful();
     }
 }
 
-/// A listening socket whose connections send small writes at once.
+/// Opens a listening socket with `TCP_NODELAY` set.
 ///
-/// With Nagle's algorithm on, the second token of a stream waits for the peer's delayed
+/// With Nagle's algorithm enabled, the second token of a stream waits for the peer's delayed
 /// acknowledgement of the first, 40 ms on Linux. Accepted sockets inherit the option.
-fn accept_on(address: SocketAddr) -> std::io::Result<TcpAcceptor> {
+fn bind_acceptor(address: SocketAddr) -> std::io::Result<TcpAcceptor> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
@@ -92,9 +92,10 @@
     }
 }
 
-/// Slow senders are cut off by the header time-out here and by the body time-out where a body is
-/// read, so that an idle or dribbling connection holds a bounded amount of memory for a bounded
-/// time.
+/// Builds the server with its header time-out and connection limit.
+///
+/// Together with the time-out on reading bodies, the header time-out bounds how long an idle or
+/// slow connection can hold memory.
 fn server(cx: &Kernel, acceptor: TcpAcceptor) -> Server<TcpAcceptor> {
     let timeout = Duration::from_millis(cx.settings.timing.header_timeout_ms);
     let fuse = FuseConfig::default().with_http1_header_timeout(timeout);
@@ -118,8 +119,10 @@
     Service::new(root).catcher(Catcher::default().hoop(reply::NoRoute))
 }
 
-/// Asks callers to give up their kept connections once the instance drains: else their next
-/// request could be written just as the connection is closed, and its fate be unknown to them.
+/// Sends `connection: close` on responses while the instance drains.
+///
+/// Otherwise a caller could send its next request on a keep-alive connection just as it is closed,
+/// and could not tell whether that request ran.
 struct CloseWhenDraining(Arc<Kernel>);
 
 #[handler]
--- a/kernel/src/logs.rs
+++ b/kernel/src/logs.rs
@@ -1,7 +1,7 @@
-//! Structured logs by `log` and `fern`: to standard error, or to standard output by way of a
-//! bounded queue.
+//! Structured logging with `log` and `fern`, to standard error or, through a bounded queue, to
+//! standard output.
 //!
-//! A line that concerns a request carries its id as the key-value `request`.
+//! A line about a request carries the request id under the key `request`.
 
 use std::fmt::Write;
 use std::io::Write as _;
@@ -16,43 +16,44 @@
 use crate::KernelError;
 use crate::settings::{LogFormat, LogLevel, LogSettings};
 
-/// Sets up the process's logger.
+/// Installs the process-wide logger, which writes to standard error.
 ///
 /// # Errors
-/// When a logger is set up already.
+/// Returns an error if a logger is already installed.
 pub fn open(cfg: &LogSettings, instance: &str) -> Result<(), KernelError> {
     apply(cfg, instance, fern::Output::stderr("\n"))
 }
 
-/// Lines that wait to be written, at the most. Standard output that nobody reads blocks its
-/// writer; without a bound lines would then take all memory, and without the queue the requests
-/// would stand still.
+/// Maximum number of lines waiting to be written.
+///
+/// Writing to standard output blocks if nobody reads it. Without a bound, queued lines would then
+/// exhaust memory; without the queue, requests would block.
 const QUEUED_LINES: usize = 2_048;
 
-/// Time that [`flush`] waits for the queue to empty.
-const FLUSH: Duration = Duration::from_millis(200);
+/// How long [`flush`] waits for the queue to drain.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 static QUEUE: OnceLock<SyncSender<Line>> = OnceLock::new();
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
 enum Line {
     Text(String),
-    /// Everything before it is written: answer.
+    /// Requests a reply once all preceding lines are written.
     Flush(SyncSender<()>),
 }
 
-/// Sets up the process's logger, which writes to standard output and never blocks: lines that the
-/// queue has no room for are dropped, and their number is logged.
+/// Installs the process-wide logger, which writes to standard output and never blocks. Lines that
+/// do not fit into the queue are dropped, and their number is logged.
 ///
 /// # Errors
-/// When a logger is set up already.
+/// Returns an error if a logger is already installed or the writer thread cannot be started.
 pub fn open_stdout(cfg: &LogSettings, instance: &str) -> Result<(), KernelError> {
     let (tx, rx) = sync_channel(QUEUED_LINES);
-    let written = std::thread::Builder::new()
+    let spawned = std::thread::Builder::new()
         .name("logs".to_owned())
         .stack_size(128 << 10)
         .spawn(move || write_lines(&rx));
-    written.map_err(|e| KernelError::SetUp {
+    spawned.map_err(|e| KernelError::SetUp {
         what: "logs",
         cause: e.to_string(),
     })?;
@@ -61,15 +62,15 @@
     apply(cfg, instance, output)
 }
 
-/// Waits a short while for queued lines to be written.
+/// Waits for queued lines to be written, for a bounded time.
 pub fn flush() {
     let Some(queue) = QUEUE.get() else {
         return;
     };
     let (tx, rx) = sync_channel(1);
     if queue.try_send(Line::Flush(tx)).is_ok() {
-        // What is not written by then is lost: the exit does not wait for a reader.
-        let _ = rx.recv_timeout(FLUSH);
+        // Lines not written by then are lost: the exit must not wait for a reader.
+        let _ = rx.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
@@ -84,7 +85,7 @@
 fn write_lines(rx: &Receiver<Line>) {
     let mut out = std::io::stdout();
     while let Ok(line) = rx.recv() {
-        // Standard output may be closed; there is nowhere left to say so.
+        // Standard output may be closed; there is nowhere left to report a write error.
         match line {
             Line::Text(text) => {
                 let _ = writeln!(out, "{text}");
--- a/kernel/src/parts.rs
+++ b/kernel/src/parts.rs
@@ -1,34 +1,34 @@
-//! Parts of the configuration by their hashes, to be read by peers.
+//! Store of configuration parts keyed by content hash, from which peers fetch them.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
 
 use jacinthweir_policy::prelude::*;
 
-/// Parts that this instance holds.
+/// Configuration parts that this instance holds.
 #[derive(Default)]
 pub struct Parts {
     by_hash: Mutex<BTreeMap<Name, Arc<str>>>,
 }
 
 impl Parts {
-    /// The text of a part.
+    /// Returns the text of a part.
     #[must_use]
     pub fn get(&self, hash: &str) -> Option<Arc<str>> {
         self.lock().get(hash).cloned()
     }
 
-    /// Adds a part, whose hash the caller has checked.
+    /// Adds a part; the caller has verified its hash.
     pub fn insert(&self, hash: Name, text: Arc<str>) {
         self.lock().insert(hash, text);
     }
 
-    /// Drops every part that `keep` does not name.
+    /// Removes every part for whose hash `keep` returns `false`.
     pub fn retain(&self, keep: impl Fn(&str) -> bool) {
         self.lock().retain(|hash, _| keep(hash));
     }
 
-    /// Number of parts and their size in bytes.
+    /// Returns the number of parts and their total size.
     #[must_use]
     pub fn size(&self) -> PartsSize {
         let parts = self.lock();
@@ -44,11 +44,11 @@
     }
 }
 
-/// Size of the parts held.
+/// Number and total size of the stored parts.
 #[derive(Clone, Copy, Debug, serde::Serialize)]
 pub struct PartsSize {
     /// Number of parts.
     pub parts: usize,
-    /// Their size, in bytes.
+    /// Total size, in bytes.
     pub bytes: usize,
 }
--- a/kernel/src/plugin.rs
+++ b/kernel/src/plugin.rs
@@ -1,4 +1,4 @@
-//! The list of plug-ins.
+//! Registry of plug-ins.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::{Kernel, KernelError};
 
-/// A listener, by whom it is for.
+/// Kind of listener, by the clients that it serves.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Face {
     /// For callers.
@@ -21,27 +21,28 @@
     Operators,
 }
 
-/// One concern of the instance.
+/// A plug-in: its tasks, routes and section of the dump.
 pub struct Plugin {
-    /// Name, as in the dump.
+    /// Name, as shown in the dump.
     pub name: &'static str,
-    /// Starts its tasks on [`Kernel::tasks`]; they end when [`Kernel::stop`] is cancelled.
+    /// Starts the plug-in's tasks on [`Kernel::tasks`]; they end when [`Kernel::stop`] is
+    /// cancelled.
     pub spawn: fn(&Arc<Kernel>) -> Result<(), KernelError>,
-    /// Its routes on a listener.
+    /// Returns the plug-in's routes on a listener.
     pub routes: fn(&Arc<Kernel>, Face) -> Vec<Router>,
-    /// Its part of the dump.
+    /// Returns the plug-in's section of the dump.
     pub dump: fn(&Kernel) -> serde_json::Value,
 }
 
-/// For plug-ins without tasks.
+/// Implements [`Plugin::spawn`] for plug-ins without tasks.
 ///
 /// # Errors
-/// None.
+/// Never fails.
 pub fn no_tasks(_cx: &Arc<Kernel>) -> Result<(), KernelError> {
     Ok(())
 }
 
-/// For plug-ins without routes.
+/// Implements [`Plugin::routes`] for plug-ins without routes.
 #[must_use]
 pub fn no_routes(_cx: &Arc<Kernel>, _face: Face) -> Vec<Router> {
     Vec::new()
@@ -51,7 +52,7 @@
 #[distributed_slice]
 pub static PLUGINS: [Plugin];
 
-/// The plug-ins in the order of their names: link order is not deterministic.
+/// Returns the plug-ins sorted by name, since link order is not deterministic.
 #[must_use]
 pub fn sorted() -> Vec<&'static Plugin> {
     let mut plugins: Vec<&Plugin> = PLUGINS.iter().collect();
--- a/kernel/src/prelude.rs
+++ b/kernel/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types that nearly every plug-in uses.
+//! Types that nearly every plug-in uses.
 
 pub use std::sync::Arc;
 
--- a/kernel/src/records.rs
+++ b/kernel/src/records.rs
@@ -1,7 +1,7 @@
-//! Records of requests: what happened to each, for operators.
+//! Records of requests, for operators.
 //!
-//! Records live in memory of the instance that served the request, whose name the request id
-//! begins with. Finished records are kept up to a number; running ones always.
+//! Records are held in memory by the instance that served the request; the request id starts with
+//! that instance's name. A limited number of finished records is kept, and every running one.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,9 +12,9 @@
 
 use crate::clock::Clock;
 
-/// Records of one instance's requests.
+/// Records of the requests of one instance.
 pub struct Records {
-    keep: usize,
+    max_finished: usize,
     inner: Mutex<Inner>,
 }
 
@@ -24,7 +24,7 @@
     finished: VecDeque<Name>,
 }
 
-/// One request: what is fixed at its arrival, and its journal.
+/// Record of one request: its metadata, fixed at arrival, and its journal.
 pub struct Entry {
     /// Request id.
     pub request: Name,
@@ -34,14 +34,14 @@
     pub organisation: Name,
     /// Pipeline or `service/call`.
     pub target: Name,
-    /// Revision in force at its arrival.
+    /// Revision in force at arrival.
     pub revision: u64,
     clock: Clock,
     journal: Mutex<Journal>,
 }
 
 impl Entry {
-    /// An entry for a request that has just been received.
+    /// Creates an entry for a request that has just been received.
     #[must_use]
     pub fn new(journal: Journal, clock: Clock, meta: EntryMeta) -> Entry {
         Entry {
@@ -55,16 +55,16 @@
         }
     }
 
-    /// Records an event now.
+    /// Records an event with the current time.
     ///
     /// # Errors
-    /// The violated invariant; see [`Journal::record`].
+    /// Returns the violated invariant; see [`Journal::record`].
     pub fn record(&self, event: Event) -> Result<(), Fault> {
         self.journal().record(self.clock.unix_ms(), event)
     }
 
-    /// Records an event that follows from one already recorded; a fault is logged, since it
-    /// would be one of this program.
+    /// Records an event that follows from one already recorded. An invariant violation is logged
+    /// and counted rather than returned, since it would be a bug in this program.
     pub fn note(&self, event: Event) {
         if let Err(fault) = self.record(event) {
             log::error!(request = self.request.as_ref(); "journal: {fault}");
@@ -72,17 +72,17 @@
         }
     }
 
-    /// Decides the outcome and closes the journal.
+    /// Closes the journal and returns the outcome.
     pub fn close(&self, end: End) -> Outcome {
         self.journal().close(self.clock.unix_ms(), end)
     }
 
-    /// The journal.
+    /// Locks and returns the journal.
     pub fn journal(&self) -> MutexGuard<'_, Journal> {
         self.journal.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The record as operators see it.
+    /// Returns the current record in the form sent to operators.
     #[must_use]
     pub fn record_now(&self) -> RequestRecord {
         let journal = self.journal();
@@ -102,7 +102,7 @@
     }
 }
 
-/// What is fixed at a request's arrival.
+/// Metadata of a request, fixed at arrival.
 pub struct EntryMeta {
     /// Instance that serves it.
     pub instance: Name,
@@ -114,26 +114,26 @@
     pub revision: u64,
 }
 
-/// Numbers of records, for the dump.
+/// Record counts, for the dump.
 #[derive(Clone, Copy, Debug, serde::Serialize)]
 pub struct RecordCounts {
     /// Requests in progress.
     pub running: usize,
-    /// Finished requests kept.
+    /// Finished requests whose records are kept.
     pub finished: usize,
 }
 
 impl Records {
-    /// Keeps `keep` finished records.
+    /// Creates an empty store that keeps at most `max_finished` finished records.
     #[must_use]
-    pub fn open(keep: usize) -> Records {
+    pub fn open(max_finished: usize) -> Records {
         Records {
-            keep,
+            max_finished,
             inner: Mutex::default(),
         }
     }
 
-    /// Begins a record; it ends when the handle is dropped.
+    /// Starts a record; dropping the handle finishes it.
     pub fn begin(self: &Arc<Self>, entry: Entry) -> Running {
         let entry = Arc::new(entry);
         self.lock()
@@ -148,7 +148,7 @@
     fn finish(&self, id: &Name) {
         let mut inner = self.lock();
         inner.finished.push_back(id.clone());
-        while inner.finished.len() > self.keep {
+        while inner.finished.len() > self.max_finished {
             let Some(oldest) = inner.finished.pop_front() else {
                 break;
             };
@@ -156,14 +156,14 @@
         }
     }
 
-    /// The record of a request.
+    /// Returns the record of a request.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<RequestRecord> {
         let entry = self.lock().by_id.get(id).cloned()?;
         Some(entry.record_now())
     }
 
-    /// Ids of the requests in progress.
+    /// Returns the ids of the requests in progress.
     #[must_use]
     pub fn running(&self) -> Vec<Name> {
         let inner = self.lock();
@@ -174,7 +174,7 @@
         running.map(|e| e.request.clone()).collect()
     }
 
-    /// Numbers of records.
+    /// Returns the record counts.
     #[must_use]
     pub fn counts(&self) -> RecordCounts {
         let inner = self.lock();
@@ -190,7 +190,7 @@
     }
 }
 
-/// A request in progress.
+/// Handle to the record of a request in progress.
 pub struct Running {
     records: Arc<Records>,
     entry: Arc<Entry>,
@@ -205,8 +205,8 @@
 }
 
 impl Drop for Running {
-    /// A driver that ends without an outcome (a panic) must not leave its request "in progress"
-    /// for ever: the journal still says what is true of it.
+    /// Closes the journal, so that a driver that ends without an outcome (for instance by a panic)
+    /// does not leave its request in progress for ever. The journal determines the outcome.
     fn drop(&mut self) {
         self.entry.close(End::GivenUp);
         self.records.finish(&self.entry.request);
--- a/kernel/src/reply.rs
+++ b/kernel/src/reply.rs
@@ -1,4 +1,4 @@
-//! Final answers: the one error form, the outcome header, and what is said where no route is.
+//! Final responses: the common error body, the outcome header and the answer to unknown routes.
 
 use jacinthweir_policy::prelude::*;
 use jacinthweir_wire::caller::{ErrorBody, ErrorCode, ErrorDetail};
@@ -6,21 +6,21 @@
 use salvo::http::{HeaderValue, StatusCode};
 use salvo::prelude::*;
 
-/// A final answer other than "answered".
+/// A final answer with an outcome other than "answered".
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Stable code.
     pub code: ErrorCode,
-    /// One sentence for people.
+    /// Human-readable message of one sentence.
     pub message: String,
     /// Final outcome.
     pub outcome: Outcome,
-    /// When to come back, in milliseconds.
+    /// Time after which the caller may retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// A refusal of which nothing ran.
+    /// Creates a refusal of a request of which nothing ran.
     #[must_use]
     pub fn not_run(code: ErrorCode, message: impl Into<String>) -> Refusal {
         Refusal {
@@ -31,7 +31,8 @@
         }
     }
 
-    /// A driver ended without a word: a fault of this instance. Part of the request may have run.
+    /// Creates the refusal for a driver that ended without a result, which is a bug in this
+    /// instance. Part of the request may have run.
     #[must_use]
     pub fn internal() -> Refusal {
         Refusal {
@@ -42,14 +43,14 @@
         }
     }
 
-    /// The same refusal with a time to come back, in milliseconds.
+    /// Sets the time after which the caller may retry, in milliseconds.
     #[must_use]
     pub fn retry_after(mut self, ms: u64) -> Refusal {
         self.retry_after_ms = Some(ms);
         self
     }
 
-    /// The error form.
+    /// Returns the error body.
     #[must_use]
     pub fn body(&self, request: Option<&Name>) -> ErrorBody {
         let error = ErrorDetail {
@@ -82,14 +83,14 @@
     }
 }
 
-/// Sets a header; a value that HTTP does not allow is left out.
+/// Sets a header; a value that is invalid in HTTP is ignored.
 pub fn set_header(res: &mut Response, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         res.headers_mut().insert(name, value);
     }
 }
 
-/// HTTP status of a code.
+/// Returns the HTTP status of an error code.
 #[must_use]
 pub fn status(code: ErrorCode) -> StatusCode {
     match code {
@@ -112,7 +113,7 @@
     }
 }
 
-/// Answers a request that no route took, in the one error form.
+/// Catcher that answers a request without a matching route with the common error body.
 pub struct NoRoute;
 
 #[handler]
--- a/kernel/src/settings.rs
+++ b/kernel/src/settings.rs
@@ -1,6 +1,6 @@
-//! Settings of an instance: JSON with comments, checked whole before anything starts.
+//! Settings of an instance: JSON with comments, fully validated before anything starts.
 //!
-//! Every field has its unit in its name. Unknown fields are errors. docs/SETTINGS.md describes
+//! Field names include their unit. Unknown fields are errors. docs/SETTINGS.md describes
 //! each field.
 
 use std::collections::BTreeSet;
@@ -17,31 +17,31 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the instance, kept over restarts.
+    /// Name of the instance, the same after a restart.
     pub name: Name,
     /// Failure domain it runs in.
     pub failure_domain: Name,
     /// Addresses it listens on.
     pub listen: Listen,
-    /// Peers' addresses of some other instances, to start from.
+    /// Peer listeners' addresses of some other instances, used as seeds.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// The platform's service.
+    /// Connection to the platform.
     pub platform: PlatformSettings,
     /// Secrets of operators and peers.
     pub tokens: Tokens,
-    /// Limits on what comes in.
+    /// Limits on requests and connections.
     #[serde(default)]
     pub limits: Limits,
-    /// Periods and time-outs.
+    /// Intervals and time-outs.
     #[serde(default)]
     pub timing: Timing,
-    /// Logs.
+    /// Log settings.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Addresses to listen on: three faces that are kept apart.
+/// Addresses of the three separate listeners.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
@@ -53,13 +53,13 @@
     pub operators: SocketAddr,
 }
 
-/// The platform's service.
+/// Connection to the platform.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
     /// Address.
     pub address: SocketAddr,
-    /// The longest a call may take, in milliseconds.
+    /// Time-out of a call, in milliseconds.
     #[serde(default = "default_platform_timeout")]
     pub timeout_ms: u64,
 }
@@ -70,24 +70,24 @@
 pub struct Tokens {
     /// SHA-256 of the operators' token, as 64 hexadecimal digits.
     pub operators_sha256: Name,
-    /// Token that instances show one another.
+    /// Bearer token of calls between instances.
     #[debug(skip)]
     pub peers: Name,
 }
 
-/// Limits on what comes in.
+/// Limits on requests and connections.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// The largest request body of callers, in bytes.
+    /// Maximum size of a caller's request body, in bytes.
     pub body_bytes: usize,
-    /// The largest schema of operators, in bytes.
+    /// Maximum size of a schema sent by an operator, in bytes.
     pub schema_bytes: usize,
-    /// The most connections on each listener.
+    /// Maximum number of connections on each listener.
     pub connections: usize,
-    /// The most requests in progress, queued ones counted.
+    /// Maximum number of requests in progress, including queued ones.
     pub requests: usize,
-    /// Finished requests whose records are kept.
+    /// Maximum number of finished requests whose records are kept.
     pub records: usize,
 }
 
@@ -103,32 +103,32 @@
     }
 }
 
-/// Periods and time-outs.
+/// Intervals and time-outs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timing {
-    /// Time a request's headers may take, in milliseconds.
+    /// Time-out for receiving a request's headers, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Time a request's body may take, in milliseconds.
+    /// Time-out for receiving a request's body, in milliseconds.
     pub body_timeout_ms: u64,
-    /// How long callers may keep an entry answer, in milliseconds.
+    /// How long callers may cache an entry answer, in milliseconds.
     pub entry_ttl_ms: u64,
-    /// The longest a graceful shutdown may take, in milliseconds.
+    /// Maximum duration of a graceful shutdown, in milliseconds.
     pub drain_deadline_ms: u64,
-    /// Period of exchanges with peers, in milliseconds.
+    /// Gossip interval, in milliseconds.
     pub gossip_ms: u64,
     /// Time-out of a call to a peer, in milliseconds.
     pub peer_timeout_ms: u64,
-    /// Period of load reports from runners, in milliseconds.
+    /// Interval of load polls to runners, in milliseconds.
     pub load_poll_ms: u64,
     /// Time-out of a runner's answer to a load poll or cancel, in milliseconds.
     pub upstream_timeout_ms: u64,
-    /// Period of reading the platform's list of instances, in milliseconds.
+    /// Interval of reading the platform's list of instances, in milliseconds.
     pub list_poll_ms: u64,
-    /// Period of reading the configuration's head on instances that do not watch it, and longest
-    /// wait of a watch on those that do, in milliseconds.
+    /// Interval of reading the configuration's head on instances that do not watch it, and
+    /// long-poll time-out of a watch on those that do, in milliseconds.
     pub head_poll_ms: u64,
-    /// Period of deleting parts of the configuration that no head names any more, in milliseconds.
+    /// Interval of deleting configuration parts that no head refers to any more, in milliseconds.
     pub part_clean_ms: u64,
     /// How long an instance serves a revision that neither the platform nor a majority of the
     /// instances confirms, in milliseconds.
@@ -157,13 +157,13 @@
     }
 }
 
-/// Logs.
+/// Log settings.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Least severe level written.
+    /// Least severe level that is logged.
     pub level: LogLevel,
-    /// Form of a line.
+    /// Format of a log line.
     pub format: LogFormat,
 }
 
@@ -176,25 +176,25 @@
     }
 }
 
-/// Least severe level written.
+/// Least severe level that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Faults of this instance.
+    /// Failures of this instance.
     Error,
-    /// What an operator should look at.
+    /// Conditions that need an operator's attention.
     Warn,
-    /// One line a request and a state change.
+    /// One line for each request and state change.
     Info,
-    /// For developers.
+    /// Details for developers.
     Debug,
 }
 
-/// Form of a log line.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
     /// Plain text.
     Text,
@@ -204,26 +204,26 @@
     1_000
 }
 
-/// The longest name of an instance or failure domain, in bytes.
+/// Maximum length of the name of an instance or failure domain, in bytes.
 const MAX_NAME_BYTES: usize = 64;
-/// Digits of a SHA-256.
+/// Number of hexadecimal digits of a SHA-256.
 const HASH_DIGITS: usize = 64;
-/// The shortest token between instances, in bytes.
+/// Minimum length of the token between instances, in bytes.
 const MIN_TOKEN_BYTES: usize = 16;
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// When the file cannot be read, or with every fault found in it.
+    /// Returns an error if the file cannot be read, or all faults found in it.
     pub fn open(path: &Path) -> Result<Settings, KernelError> {
         open_with(path, Settings::parse)
     }
 
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
-    /// Every fault found.
+    /// Returns all faults found.
     pub fn parse(text: &str) -> Result<Settings, Vec<Fault>> {
         let doc = Document::parse(text)?;
         let settings: Settings = doc.read()?;
@@ -248,7 +248,7 @@
         }
         self.check_addresses(doc, &mut faults);
         self.check_tokens(doc, &mut faults);
-        for (field, value) in self.positive() {
+        for (field, value) in self.positive_fields() {
             if value == 0 {
                 faults.push(doc.fault_at(field, "must be greater than 0"));
             }
@@ -258,13 +258,13 @@
 
     fn check_addresses(&self, doc: &Document, faults: &mut Vec<Fault>) {
         let listen = &self.listen;
-        let faces = [
+        let listeners = [
             ("listen.callers", listen.callers),
             ("listen.peers", listen.peers),
             ("listen.operators", listen.operators),
         ];
         let mut seen = BTreeSet::new();
-        for (field, address) in faces {
+        for (field, address) in listeners {
             if address.ip().is_unspecified() {
                 let msg = "must be an address that others can reach, not the unspecified one";
                 faults.push(doc.fault_at(field, msg));
@@ -286,7 +286,7 @@
         }
     }
 
-    fn positive(&self) -> [(&'static str, u64); 19] {
+    fn positive_fields(&self) -> [(&'static str, u64); 19] {
         let l = &self.limits;
         let t = &self.timing;
         [
@@ -313,21 +313,21 @@
     }
 }
 
-/// Reads a settings file and hands its text to `parse`.
+/// Reads a settings file and parses its text with `parse`.
 ///
 /// # Errors
-/// When the file cannot be read, or with every fault that `parse` finds.
+/// Returns an error if the file cannot be read, or all faults that `parse` finds.
 pub fn open_with<T>(
     path: &Path,
     parse: impl FnOnce(&str) -> Result<T, Vec<Fault>>,
 ) -> Result<T, KernelError> {
-    let shown = path.display().to_string();
+    let path_text = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|cause| KernelError::Unreadable {
-        path: shown.clone(),
+        path: path_text.clone(),
         cause,
     })?;
     parse(&text).map_err(|faults| KernelError::Settings {
-        path: shown,
+        path: path_text,
         faults,
     })
 }
--- a/kernel/src/stats.rs
+++ b/kernel/src/stats.rs
@@ -1,4 +1,4 @@
-//! Metrics through the `metrics` crate, rendered as Prometheus text.
+//! Metrics of the `metrics` crate, rendered in the Prometheus text format.
 
 use std::sync::OnceLock;
 
@@ -13,11 +13,11 @@
 }
 
 impl Stats {
-    /// Sets up the process's recorder, or shares the one that stands: a test may open several
-    /// instances in one process.
+    /// Installs the process-wide recorder, or shares the installed one, since a test may run
+    /// several instances in one process.
     ///
     /// # Errors
-    /// When a recorder is set up already.
+    /// Returns an error if another recorder is already installed.
     pub fn open() -> Result<Stats, KernelError> {
         static RECORDER: OnceLock<Result<PrometheusHandle, String>> = OnceLock::new();
         let install = || {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// All metrics as Prometheus text.
+    /// Renders all metrics in the Prometheus text format.
     #[must_use]
     pub fn render(&self) -> String {
         self.handle.run_upkeep();
