--- a/ctl/tests/jwctl.rs
+++ b/ctl/tests/jwctl.rs
@@ -8,8 +8,8 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 
 use googletest::prelude::*;
-use jacinthweir_kernel::listener::Listening;
-use jacinthweir_kernel::plugin::{Face, sorted};
+use jacinthweir_kernel::listener::RunningListener;
+use jacinthweir_kernel::plugin::{ListenerKind, sorted};
 use jacinthweir_kernel::{Kernel, Settings};
 use jacinthweir_operators as _;
 use jacinthweir_peers as _;
@@ -26,7 +26,7 @@
     operators: SocketAddr,
     folder: PathBuf,
     _kernel: Arc<Kernel>,
-    _listening: Vec<Listening>,
+    _listening: Vec<RunningListener>,
 }
 
 /// What the program did.
@@ -67,8 +67,8 @@
         (plugin.spawn)(&kernel).unwrap();
     }
     let mut listening = Vec::new();
-    for face in [Face::Callers, Face::Operators] {
-        listening.push(Listening::bind(&kernel, face).await.unwrap());
+    for kind in [ListenerKind::Callers, ListenerKind::Operators] {
+        listening.push(RunningListener::bind(&kernel, kind).await.unwrap());
     }
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&folder).unwrap();
--- a/kernel/src/gate.rs
+++ b/kernel/src/gate.rs
@@ -21,7 +21,7 @@
 
 /// A request for admission.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct AdmissionRequest {
     /// Organisation.
     pub organisation: Name,
     /// Weight of the organisation.
@@ -92,7 +92,7 @@
 impl Permit {
     /// Sets the actual cost of the request, in tokens, to be reported when the permit is
     /// dropped.
-    pub fn spent(&mut self, tokens: u32) {
+    pub fn set_tokens_used(&mut self, tokens: u32) {
         self.tokens = tokens;
     }
 }
@@ -166,13 +166,13 @@
     ///
     /// # Errors
     /// Returns the refusal; nothing ran.
-    pub async fn enter(
+    pub async fn acquire(
         self: &Arc<Self>,
-        ask: &Ask,
+        request: &AdmissionRequest,
         work: Work,
         queued: impl FnOnce(),
     ) -> Result<Permit, Refusal> {
-        let (slot, decision, rx) = self.offer(ask, work);
+        let (slot, decision, rx) = self.offer(request, work);
         match decision {
             Decision::Admit => {}
             Decision::Refuse(refusal) => return Err(refusal),
@@ -198,7 +198,7 @@
 
     fn offer(
         &self,
-        ask: &Ask,
+        request: &AdmissionRequest,
         work: Work,
     ) -> (Slot, Decision, oneshot::Receiver<Result<(), Refusal>>) {
         let now = self.clock.now();
@@ -208,12 +208,12 @@
         inner.next_slot += 1;
         let ticket = Ticket {
             slot,
-            org: inner.orgs.get_or_insert(&ask.organisation),
-            weight: ask.weight,
-            pipeline: inner.pipelines.get_or_insert(&ask.pipeline),
-            priority: ask.priority,
-            cost_tokens: ask.cost_tokens,
-            deadline: ask.deadline,
+            org: inner.orgs.get_or_insert(&request.organisation),
+            weight: request.weight,
+            pipeline: inner.pipelines.get_or_insert(&request.pipeline),
+            priority: request.priority,
+            cost_tokens: request.cost_tokens,
+            deadline: request.deadline,
             work,
         };
         let decision = inner.admission.offer(now, ticket, &mut rand::rng());
--- a/kernel/src/kernel.rs
+++ b/kernel/src/kernel.rs
@@ -211,7 +211,7 @@
     ///
     /// # Errors
     /// Returns `overloaded`; nothing ran.
-    pub fn room_for_one(&self) -> Result<(), Refusal> {
+    pub fn check_request_limit(&self) -> Result<(), Refusal> {
         if self.records.counts().running < self.settings.limits.requests {
             return Ok(());
         }
--- a/kernel/src/lib.rs
+++ b/kernel/src/lib.rs
@@ -27,5 +27,5 @@
 
 pub use error::KernelError;
 pub use kernel::Kernel;
-pub use plugin::{Face, PLUGINS, Plugin};
+pub use plugin::{ListenerKind, PLUGINS, Plugin};
 pub use settings::Settings;
--- a/kernel/src/life.rs
+++ b/kernel/src/life.rs
@@ -12,8 +12,8 @@
 use tokio::time::{sleep, timeout};
 
 use crate::fault_point::{self, Step};
-use crate::listener::Listening;
-use crate::plugin::{Face, sorted};
+use crate::listener::RunningListener;
+use crate::plugin::{ListenerKind, sorted};
 use crate::{Kernel, KernelError, Settings, logs};
 
 pub use jacinthweir_policy::drain::DrainOutcome;
@@ -40,9 +40,9 @@
     for plugin in sorted() {
         (plugin.spawn)(&cx)?;
     }
-    let peers = Listening::bind(&cx, Face::Peers).await?;
-    let operators = Listening::bind(&cx, Face::Operators).await?;
-    let callers = Listening::bind(&cx, Face::Callers).await?;
+    let peers = RunningListener::bind(&cx, ListenerKind::Peers).await?;
+    let operators = RunningListener::bind(&cx, ListenerKind::Operators).await?;
+    let callers = RunningListener::bind(&cx, ListenerKind::Callers).await?;
     log::info!(
         "instance {} started, incarnation {}",
         cx.settings.name,
@@ -72,13 +72,13 @@
 /// State of the callers' listener during a shutdown.
 enum CallerListener {
     /// Accepts connections.
-    Open(Option<Listening>),
+    Open(Option<RunningListener>),
     /// Accepts no new connections; the task ends when the last open connection closes.
     Closing(JoinHandle<()>),
 }
 
 impl Shutdown {
-    fn new(cx: Arc<Kernel>, callers: Listening) -> Shutdown {
+    fn new(cx: Arc<Kernel>, callers: RunningListener) -> Shutdown {
         let timing = &cx.settings.timing;
         let cfg = DrainConfig {
             ttl_ms: timing.entry_ttl_ms + DISSEMINATION_ROUNDS * timing.gossip_ms,
--- a/kernel/src/listener.rs
+++ b/kernel/src/listener.rs
@@ -12,44 +12,47 @@
 use tokio::net::TcpSocket;
 use tokio::task::JoinHandle;
 
-use crate::plugin::{Face, sorted};
+use crate::plugin::{ListenerKind, sorted};
 use crate::{Kernel, KernelError, auth, reply};
 
 /// Maximum number of connections waiting to be accepted.
 const BACKLOG: u32 = 1024;
 
 /// A running listener.
-pub struct Listening {
+pub struct RunningListener {
     /// Which clients it serves.
-    pub face: Face,
+    pub kind: ListenerKind,
     /// Address that it is bound to.
     pub address: SocketAddr,
     handle: ServerHandle,
     task: JoinHandle<()>,
 }
 
-impl Listening {
-    /// Binds the listener `face` and mounts the routes of every plug-in on it.
+impl RunningListener {
+    /// Binds the listener of `kind` and mounts the routes of every plug-in on it.
     ///
     /// # Errors
     /// Returns an error if the address cannot be bound.
-    pub async fn bind(cx: &Arc<Kernel>, face: Face) -> Result<Listening, KernelError> {
-        let address = address(cx, face);
+    pub async fn bind(
+        cx: &Arc<Kernel>,
+        kind: ListenerKind,
+    ) -> Result<RunningListener, KernelError> {
+        let address = address(cx, kind);
         let acceptor = bind_acceptor(address).map_err(|e| KernelError::Listen {
             address,
             cause: e.to_string(),
         })?;
         let server = server(cx, acceptor);
         let handle = server.handle();
-        let service = service(cx, face);
+        let service = service(cx, kind);
         let task = tokio::spawn(async move {
             if let Err(e) = server.try_serve(service).await {
-                log::error!("listener for {face} ended: {e}");
+                log::error!("listener for {kind} ended: {e}");
             }
         });
-        log::info!("listening for {face} on {address}");
-        Ok(Listening {
-            face,
+        log::info!("listening for {kind} on {address}");
+        Ok(RunningListener {
+            kind,
             address,
             handle,
             task,
@@ -83,12 +86,12 @@
     TcpAcceptor::try_from(socket.listen(BACKLOG)?)
 }
 
-fn address(cx: &Kernel, face: Face) -> SocketAddr {
+fn address(cx: &Kernel, kind: ListenerKind) -> SocketAddr {
     let listen = &cx.settings.listen;
-    match face {
-        Face::Callers => listen.callers,
-        Face::Peers => listen.peers,
-        Face::Operators => listen.operators,
+    match kind {
+        ListenerKind::Callers => listen.callers,
+        ListenerKind::Peers => listen.peers,
+        ListenerKind::Operators => listen.operators,
     }
 }
 
@@ -104,17 +107,17 @@
         .max_connections(cx.settings.limits.connections)
 }
 
-fn service(cx: &Arc<Kernel>, face: Face) -> Service {
+fn service(cx: &Arc<Kernel>, kind: ListenerKind) -> Service {
     let mut root = Router::new();
     for plugin in sorted() {
-        for route in (plugin.routes)(cx, face) {
+        for route in (plugin.routes)(cx, kind) {
             root = root.push(route);
         }
     }
-    let root = match face {
-        Face::Callers => root.hoop(CloseWhenDraining(Arc::clone(cx))),
-        Face::Peers => root.hoop(auth::BearerOnly::peers(cx)),
-        Face::Operators => root.hoop(auth::BearerOnly::operators(cx)),
+    let root = match kind {
+        ListenerKind::Callers => root.hoop(CloseWhenDraining(Arc::clone(cx))),
+        ListenerKind::Peers => root.hoop(auth::BearerOnly::peers(cx)),
+        ListenerKind::Operators => root.hoop(auth::BearerOnly::operators(cx)),
     };
     Service::new(root).catcher(Catcher::default().hoop(reply::NoRoute))
 }
--- a/kernel/src/plugin.rs
+++ b/kernel/src/plugin.rs
@@ -9,7 +9,7 @@
 
 /// Kind of listener, by the clients that it serves.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Face {
+pub enum ListenerKind {
     /// For callers.
     #[display("callers")]
     Callers,
@@ -29,7 +29,7 @@
     /// cancelled.
     pub spawn: fn(&Arc<Kernel>) -> Result<(), KernelError>,
     /// Returns the plug-in's routes on a listener.
-    pub routes: fn(&Arc<Kernel>, Face) -> Vec<Router>,
+    pub routes: fn(&Arc<Kernel>, ListenerKind) -> Vec<Router>,
     /// Returns the plug-in's section of the dump.
     pub dump: fn(&Kernel) -> serde_json::Value,
 }
@@ -44,7 +44,7 @@
 
 /// Implements [`Plugin::routes`] for plug-ins without routes.
 #[must_use]
-pub fn no_routes(_cx: &Arc<Kernel>, _face: Face) -> Vec<Router> {
+pub fn no_routes(_cx: &Arc<Kernel>, _kind: ListenerKind) -> Vec<Router> {
     Vec::new()
 }
 
--- a/kernel/src/prelude.rs
+++ b/kernel/src/prelude.rs
@@ -9,4 +9,4 @@
 pub use crate::error::KernelError;
 pub use crate::fault_point;
 pub use crate::kernel::Kernel;
-pub use crate::plugin::{Face, PLUGINS, Plugin};
+pub use crate::plugin::{ListenerKind, PLUGINS, Plugin};
--- a/kernel/src/records.rs
+++ b/kernel/src/records.rs
@@ -65,7 +65,7 @@
 
     /// Records an event that follows from one already recorded. An invariant violation is logged
     /// and counted rather than returned, since it would be a bug in this program.
-    pub fn note(&self, event: Event) {
+    pub fn record_or_log(&self, event: Event) {
         if let Err(fault) = self.record(event) {
             log::error!(request = self.request.as_ref(); "journal: {fault}");
             metrics::counter!("jacinthweir_journal_faults_total").increment(1);
@@ -84,7 +84,7 @@
 
     /// Returns the current record in the form sent to operators.
     #[must_use]
-    pub fn record_now(&self) -> RequestRecord {
+    pub fn to_record(&self) -> RequestRecord {
         let journal = self.journal();
         let steps = journal.steps().iter().map(|s| RecordedStep {
             at_ms: s.at_ms,
@@ -160,7 +160,7 @@
     #[must_use]
     pub fn get(&self, id: &str) -> Option<RequestRecord> {
         let entry = self.lock().by_id.get(id).cloned()?;
-        Some(entry.record_now())
+        Some(entry.to_record())
     }
 
     /// Returns the ids of the requests in progress.
--- a/kernel/src/reply.rs
+++ b/kernel/src/reply.rs
@@ -66,7 +66,7 @@
     /// Writes the refusal as the whole response.
     pub fn write(&self, res: &mut Response, request: Option<&Name>) {
         res.status_code(status(self.code));
-        mark(res, self.outcome, request);
+        set_outcome_headers(res, self.outcome, request);
         if let Some(ms) = self.retry_after_ms {
             let seconds = ms.div_ceil(1000).max(1);
             set_header(res, "retry-after", &seconds.to_string());
@@ -76,7 +76,7 @@
 }
 
 /// Sets the outcome and request headers.
-pub fn mark(res: &mut Response, outcome: Outcome, request: Option<&Name>) {
+pub fn set_outcome_headers(res: &mut Response, outcome: Outcome, request: Option<&Name>) {
     set_header(res, header::OUTCOME, &outcome.to_string());
     if let Some(id) = request {
         set_header(res, header::REQUEST, id);
--- a/node/tests/support/instance.rs
+++ b/node/tests/support/instance.rs
@@ -6,8 +6,8 @@
 
 use jacinthweir as _;
 use jacinthweir_kernel::config::{Config, InForce};
-use jacinthweir_kernel::listener::Listening;
-use jacinthweir_kernel::{Face, Kernel, Settings, auth};
+use jacinthweir_kernel::listener::RunningListener;
+use jacinthweir_kernel::{Kernel, ListenerKind, Settings, auth};
 use jacinthweir_policy::schema::{CompiledSchema, parse_schema};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -30,7 +30,7 @@
     pub callers: SocketAddr,
     pub operators: SocketAddr,
     pub peers: SocketAddr,
-    _listening: Vec<Listening>,
+    _listening: Vec<RunningListener>,
 }
 
 impl Instance {
@@ -50,8 +50,12 @@
         let cx = Kernel::open(settings).expect("kernel");
         cx.config.set(Config::InForce(in_force()));
         let mut listening = Vec::new();
-        for face in [Face::Callers, Face::Peers, Face::Operators] {
-            listening.push(Listening::bind(&cx, face).await.expect("listener"));
+        for kind in [
+            ListenerKind::Callers,
+            ListenerKind::Peers,
+            ListenerKind::Operators,
+        ] {
+            listening.push(RunningListener::bind(&cx, kind).await.expect("listener"));
         }
         Instance {
             cx,
--- a/plugins/callers/src/accept.rs
+++ b/plugins/callers/src/accept.rs
@@ -32,7 +32,7 @@
 ) -> Result<Accepted, Refusal> {
     let arrived = cx.clock.now();
     let config = cx.serving_config()?;
-    cx.room_for_one()?;
+    cx.check_request_limit()?;
     let caller = Caller::identify(&config, req)?;
     let prompt = read_prompt(cx, endpoint, req).await?;
     let pipeline = find_pipeline(&config, &prompt)?;
--- a/plugins/callers/src/attempt.rs
+++ b/plugins/callers/src/attempt.rs
@@ -213,7 +213,7 @@
             attempt: token.attempt,
             index: token.index,
         };
-        self.running.note(event);
+        self.running.record_or_log(event);
         self.on_token_received();
         self.retry_states.record_token(route);
         self.cx.router().record_token(self.cx.clock.now(), route);
@@ -260,7 +260,7 @@
                 cause: "caller left".into(),
             },
         };
-        self.running.note(event);
+        self.running.record_or_log(event);
     }
 
     /// Asks the runner of the first stage, which drives the others, to cancel the attempt.
--- a/plugins/callers/src/driver.rs
+++ b/plugins/callers/src/driver.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use jacinthweir_kernel::fault_point::Step;
-use jacinthweir_kernel::gate::{Ask, Permit};
+use jacinthweir_kernel::gate::{AdmissionRequest, Permit};
 use jacinthweir_kernel::prelude::*;
 use jacinthweir_kernel::records::{Entry, EntryMeta, Running};
 use jacinthweir_kernel::reply::Refusal;
@@ -129,11 +129,11 @@
 
     async fn serve(&mut self) -> Result<EndFrame, StopReason> {
         let mut permit = self.admit().await?;
-        self.running.note(Event::Admitted);
+        self.running.record_or_log(Event::Admitted);
         fault_point::reach(Step::Admitted).await;
         let result = self.run_attempts().await;
         if let Ok(end) = &result {
-            permit.spent(end.prompt_tokens.saturating_add(end.tokens));
+            permit.set_tokens_used(end.prompt_tokens.saturating_add(end.tokens));
         }
         result
     }
@@ -141,7 +141,7 @@
     async fn admit(&mut self) -> Result<Permit, StopReason> {
         let gate = Arc::clone(&self.cx.gate);
         let org = &self.accepted.config.schema.orgs()[self.accepted.caller.org];
-        let ask = Ask {
+        let request = AdmissionRequest {
             organisation: org.name.clone(),
             weight: org.weight,
             pipeline: self.accepted.prompt.pipeline.clone(),
@@ -151,10 +151,10 @@
                 .saturating_add(self.accepted.max_tokens),
             deadline: self.accepted.deadline,
         };
-        let queued = || self.running.note(Event::Queued);
+        let queued = || self.running.record_or_log(Event::Queued);
         tokio::select! {
-            entered = gate.enter(&ask, Work::New, queued) => {
-                entered.map_err(|r| StopReason::Refused(admission_refusal(r)))
+            permit = gate.acquire(&request, Work::New, queued) => {
+                permit.map_err(|r| StopReason::Refused(admission_refusal(r)))
             }
             () = self.tx.closed() => Err(StopReason::CallerLeft),
         }
@@ -355,10 +355,10 @@
         match stop {
             StopReason::Refused(refusal) => {
                 let code = Name::from(refusal.code.to_string());
-                self.running.note(Event::Refused { code });
+                self.running.record_or_log(Event::Refused { code });
             }
-            StopReason::DeadlinePassed => self.running.note(Event::DeadlinePassed),
-            StopReason::CallerLeft => self.running.note(Event::CallerLeft),
+            StopReason::DeadlinePassed => self.running.record_or_log(Event::DeadlinePassed),
+            StopReason::CallerLeft => self.running.record_or_log(Event::CallerLeft),
             StopReason::NoRoute(_) | StopReason::RunnersRefused(_) | StopReason::GaveUp(_) => {}
         }
     }
--- a/plugins/callers/src/handler.rs
+++ b/plugins/callers/src/handler.rs
@@ -67,7 +67,7 @@
 ) {
     match collect(first, &mut rx).await {
         Ok((text, end)) => {
-            reply::mark(res, Outcome::Answered, Some(&head.id));
+            reply::set_outcome_headers(res, Outcome::Answered, Some(&head.id));
             res.render(Json(head.complete(text, &end)));
         }
         Err(refusal) => refusal.write(res, Some(&head.id)),
--- a/plugins/operators/src/lib.rs
+++ b/plugins/operators/src/lib.rs
@@ -18,17 +18,17 @@
     dump,
 };
 
-fn routes(cx: &Arc<Kernel>, face: Face) -> Vec<Router> {
-    match face {
-        Face::Operators => vec![
+fn routes(cx: &Arc<Kernel>, kind: ListenerKind) -> Vec<Router> {
+    match kind {
+        ListenerKind::Operators => vec![
             Router::with_path("metrics").get(MetricsHandler(Arc::clone(cx))),
             Router::with_path("operator/dump").get(DumpHandler(Arc::clone(cx))),
             Router::with_path("operator/requests/{id}").get(RequestHandler(Arc::clone(cx))),
         ],
-        Face::Peers => {
+        ListenerKind::Peers => {
             vec![Router::with_path("peer/requests/{id}").get(OwnRequestHandler(Arc::clone(cx)))]
         }
-        Face::Callers => Vec::new(),
+        ListenerKind::Callers => Vec::new(),
     }
 }
 
--- a/plugins/peers/src/routes.rs
+++ b/plugins/peers/src/routes.rs
@@ -13,17 +13,17 @@
 /// Maximum size of a peer's message, in bytes. Exchanges are bounded well below it.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-pub(crate) fn routes(cx: &Arc<Kernel>, face: Face) -> Vec<Router> {
+pub(crate) fn routes(cx: &Arc<Kernel>, kind: ListenerKind) -> Vec<Router> {
     let cx = || Arc::clone(cx);
-    match face {
-        Face::Callers => vec![Router::with_path("v1/entry").get(EntryHandler(cx()))],
-        Face::Peers => vec![
+    match kind {
+        ListenerKind::Callers => vec![Router::with_path("v1/entry").get(EntryHandler(cx()))],
+        ListenerKind::Peers => vec![
             Router::with_path("peer/exchange").post(ExchangeHandler(cx())),
             Router::with_path("peer/push").post(PushHandler(cx())),
             Router::with_path("peer/probe").post(ProbeHandler(cx())),
             Router::with_path("peer/self").get(OwnRecordHandler(cx())),
         ],
-        Face::Operators => Vec::new(),
+        ListenerKind::Operators => Vec::new(),
     }
 }
 
--- a/plugins/schema/src/lib.rs
+++ b/plugins/schema/src/lib.rs
@@ -36,11 +36,11 @@
     Ok(())
 }
 
-fn routes(cx: &Arc<Kernel>, face: Face) -> Vec<Router> {
-    match face {
-        Face::Operators => operators::routes(cx),
-        Face::Peers => peers::routes(cx),
-        Face::Callers => Vec::new(),
+fn routes(cx: &Arc<Kernel>, kind: ListenerKind) -> Vec<Router> {
+    match kind {
+        ListenerKind::Operators => operators::routes(cx),
+        ListenerKind::Peers => peers::routes(cx),
+        ListenerKind::Callers => Vec::new(),
     }
 }
 
--- a/plugins/schema/tests/schema/cluster.rs
+++ b/plugins/schema/tests/schema/cluster.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use jacinthweir_clients::platform::{HttpPlatform, Platform as _};
-use jacinthweir_kernel::listener::Listening;
-use jacinthweir_kernel::plugin::{Face, sorted};
+use jacinthweir_kernel::listener::RunningListener;
+use jacinthweir_kernel::plugin::{ListenerKind, sorted};
 use jacinthweir_kernel::{Kernel, Settings};
 use jacinthweir_peers as _;
 use jacinthweir_policy::config::parts::{PartText, split};
@@ -30,7 +30,7 @@
     pub kernel: Arc<Kernel>,
     pub operators: SocketAddr,
     peers: SocketAddr,
-    listening: Vec<Listening>,
+    listening: Vec<RunningListener>,
 }
 
 pub struct Cluster {
@@ -70,8 +70,8 @@
         (plugin.spawn)(&kernel).unwrap();
     }
     let mut listening = Vec::new();
-    for face in [Face::Operators, Face::Peers] {
-        listening.push(Listening::bind(&kernel, face).await.unwrap());
+    for kind in [ListenerKind::Operators, ListenerKind::Peers] {
+        listening.push(RunningListener::bind(&kernel, kind).await.unwrap());
     }
     Instance {
         kernel,
--- a/plugins/services/src/accept.rs
+++ b/plugins/services/src/accept.rs
@@ -41,7 +41,7 @@
 pub(crate) async fn accept(cx: &Arc<Kernel>, req: &mut Request) -> Result<Accepted, Refusal> {
     let arrived = cx.clock.reading();
     let config = cx.serving_config()?;
-    cx.room_for_one()?;
+    cx.check_request_limit()?;
     let caller = Caller::identify(&config, req)?;
     let service_name: Name = path_param(req, "service");
     let call: Name = path_param(req, "call");
--- a/plugins/services/src/answer.rs
+++ b/plugins/services/src/answer.rs
@@ -22,7 +22,7 @@
     pub(crate) fn write(self, res: &mut Response, request: &Name) {
         let status = StatusCode::from_u16(self.status).unwrap_or(StatusCode::BAD_GATEWAY);
         res.status_code(status);
-        reply::mark(res, Outcome::Answered, Some(request));
+        reply::set_outcome_headers(res, Outcome::Answered, Some(request));
         if let Some(content_type) = &self.content_type {
             reply::set_header(res, "content-type", content_type);
         }
--- a/plugins/services/src/claimed.rs
+++ b/plugins/services/src/claimed.rs
@@ -183,7 +183,7 @@
         if let Err(actions) = claim.begin_dispatch(self.cx.clock.reading()) {
             return actions;
         }
-        self.running.note(JournalEvent::Claimed);
+        self.running.record_or_log(JournalEvent::Claimed);
         fault_point::reach(FaultStep::Claimed).await;
         let dispatched = self.dispatch().await;
         fault_point::reach(FaultStep::CallRan).await;
@@ -200,7 +200,8 @@
             Answer::NotRun(cause) => Err(CallFailure::not_run(cause)),
             Answer::Recorded(it) => {
                 let outcome = it.finished.outcome;
-                self.running.note(JournalEvent::Recorded { outcome });
+                self.running
+                    .record_or_log(JournalEvent::Recorded { outcome });
                 recorded_result(&it)
             }
             Answer::KeyConflict => Err(CallFailure::new(
@@ -227,7 +228,7 @@
     /// Records an unknown outcome: an earlier submission may have run, and "not run" would mislead
     /// a caller into sending the call again.
     fn record_unknown_outcome(&self) {
-        self.running.note(JournalEvent::Recorded {
+        self.running.record_or_log(JournalEvent::Recorded {
             outcome: Outcome::Unknown,
         });
     }
--- a/plugins/services/src/dispatch.rs
+++ b/plugins/services/src/dispatch.rs
@@ -117,7 +117,7 @@
         // instance that was suspended past the deadline sends nothing.
         let call = self.service_call(attempt, upstream);
         if call.timeout.is_zero() {
-            self.running.note(Event::NeverSent { attempt });
+            self.running.record_or_log(Event::NeverSent { attempt });
             return AttemptEnd::Failed(AttemptFailure::NeverSent, "deadline passed".to_owned());
         }
         let result = self.cx.services.call(&call).await;
@@ -175,7 +175,7 @@
                 (lost, AttemptEnd::Failed(AttemptFailure::BrokenOff, cause))
             }
         };
-        self.running.note(event);
+        self.running.record_or_log(event);
         end
     }
 
--- a/plugins/services/src/driver.rs
+++ b/plugins/services/src/driver.rs
@@ -96,7 +96,7 @@
         };
         if let Err(failure) = &result {
             let code = Name::from(failure.code.to_string());
-            self.running.note(Event::Refused { code });
+            self.running.record_or_log(Event::Refused { code });
         }
         let end = match result {
             Ok(_) => End::Complete,
--- a/plugins/services/src/lib.rs
+++ b/plugins/services/src/lib.rs
@@ -35,10 +35,10 @@
     Ok(())
 }
 
-fn routes(cx: &Arc<Kernel>, face: Face) -> Vec<Router> {
-    match face {
-        Face::Callers => handler::routes(cx),
-        Face::Peers | Face::Operators => Vec::new(),
+fn routes(cx: &Arc<Kernel>, kind: ListenerKind) -> Vec<Router> {
+    match kind {
+        ListenerKind::Callers => handler::routes(cx),
+        ListenerKind::Peers | ListenerKind::Operators => Vec::new(),
     }
 }
 
