--- a/kernel/src/auth.rs
+++ b/kernel/src/auth.rs
@@ -28,14 +28,14 @@
 
 /// Returns the refusal for a missing or wrong secret and counts it by listener.
 #[must_use]
-pub fn unauthorized(face: &'static str) -> Refusal {
-    metrics::counter!("jacinthweir_unauthorized_total", "face" => face).increment(1);
+pub fn unauthorized(listener: &'static str) -> Refusal {
+    metrics::counter!("jacinthweir_unauthorized_total", "face" => listener).increment(1);
     Refusal::not_run(ErrorCode::Unauthorized, "missing or wrong bearer token")
 }
 
 /// Middleware that rejects requests without the listener's bearer token.
 pub struct BearerOnly {
-    face: &'static str,
+    listener: &'static str,
     /// SHA-256 of the token, as hexadecimal digits in lower case.
     expected: String,
 }
@@ -43,14 +43,14 @@
 impl BearerOnly {
     pub(crate) fn peers(cx: &Kernel) -> BearerOnly {
         BearerOnly {
-            face: "peers",
+            listener: "peers",
             expected: fingerprint(&cx.settings.tokens.peers),
         }
     }
 
     pub(crate) fn operators(cx: &Kernel) -> BearerOnly {
         BearerOnly {
-            face: "operators",
+            listener: "operators",
             expected: cx.settings.tokens.operators_sha256.to_lowercase(),
         }
     }
@@ -62,7 +62,7 @@
         let presented = bearer(req).map(fingerprint);
         let equal = presented.is_some_and(|s| s.as_bytes().ct_eq(self.expected.as_bytes()).into());
         if !equal {
-            unauthorized(self.face).write(res, None);
+            unauthorized(self.listener).write(res, None);
             ctrl.skip_rest();
         }
     }
--- a/kernel/src/fault_point.rs
+++ b/kernel/src/fault_point.rs
@@ -1,8 +1,8 @@
 //! Fault injection points for the fault matrix of the test kit.
 //!
 //! Without the feature `failpoints`, which release builds leave out, [`reach`] and [`open`] do
-//! nothing. With it, actions are read from two places, in the syntax of the
-//! `fail` crate (`step=return(ACTION)`, with counts such as `1*return(abort)->off`):
+//! nothing. With it, actions are read from two places, in the syntax of the `fail` crate
+//! (`step=return(ACTION)`, with counts such as `1*return(abort)->off`):
 //!
 //! - the environment variable `FAILPOINTS` at start-up, points separated by `;`;
 //! - the file that `FAILPOINTS_FILE` names, one point per line, read again each time a point is
