--- a/kernel/src/lib.rs
+++ b/kernel/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod gate;
 pub mod identity;
 pub mod kernel;
-pub mod life;
+pub mod lifecycle;
 pub mod listener;
 pub mod logs;
 pub mod parts;
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -5,7 +5,7 @@
 
 use argh::FromArgs;
 use jacinthweir as _;
-use jacinthweir_kernel::{KernelError, Settings, life};
+use jacinthweir_kernel::{KernelError, Settings, lifecycle};
 use jacinthweir_relay::{DrainOutcome, RelayError, RelaySettings};
 
 /// Routes inference pipelines over mixed accelerators: the entry instance.
@@ -79,8 +79,8 @@
         }
     };
     match serve(settings) {
-        Ok(life::DrainOutcome::Clean) => ExitCode::SUCCESS,
-        Ok(life::DrainOutcome::Cut) => ExitCode::FAILURE,
+        Ok(lifecycle::DrainOutcome::Clean) => ExitCode::SUCCESS,
+        Ok(lifecycle::DrainOutcome::Cut) => ExitCode::FAILURE,
         Err(e) => {
             eprintln!("jacinthweir: {e:#}");
             ExitCode::FAILURE
@@ -117,10 +117,11 @@
     Ok(outcome?)
 }
 
-fn serve(settings: Settings) -> eyre::Result<life::DrainOutcome> {
+fn serve(settings: Settings) -> eyre::Result<lifecycle::DrainOutcome> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
-    let outcome: Result<life::DrainOutcome, KernelError> = runtime.block_on(life::run(settings));
+    let outcome: Result<lifecycle::DrainOutcome, KernelError> =
+        runtime.block_on(lifecycle::run(settings));
     Ok(outcome?)
 }
