--- a/kernel/src/fault_point.rs
+++ b/kernel/src/fault_point.rs
@@ -28,7 +28,7 @@
     Received,
     /// The request was admitted.
     Admitted,
-    /// The journal records the attempt as sent; no byte of it has been sent yet.
+    /// The journal records the attempt as dispatched; no byte of it has been sent yet.
     Handed,
     /// A token was received and has not been forwarded to the caller.
     Streaming,
@@ -40,7 +40,7 @@
     ClaimSending,
     /// The claim was granted; nothing has been dispatched.
     Claimed,
-    /// The journal records the dispatch as sent; no byte of it has been sent yet.
+    /// The journal records the call as dispatched; no byte of it has been sent yet.
     CallHanded,
     /// The service answered; the answer is neither stored with the claim nor sent to the caller.
     CallRan,
--- a/kernel/src/gate.rs
+++ b/kernel/src/gate.rs
@@ -30,7 +30,7 @@
     pub pipeline: Name,
     /// Priority class; 0 is the highest.
     pub priority: u8,
-    /// Upper bound of its cost, in tokens.
+    /// Upper bound on its cost, in tokens.
     pub cost_tokens: u32,
     /// Deadline on the monotonic clock, in milliseconds.
     pub deadline: Millis,
@@ -41,9 +41,9 @@
 pub struct Capacity {
     /// Pipeline.
     pub pipeline: Name,
-    /// Tokens per second.
+    /// Token rate in tokens per second, adapted to measurements.
     pub tokens_per_s: f64,
-    /// Initial limit on requests in flight, adjusted by measurements. 0 means no capacity.
+    /// Limit on requests in flight, adapted to measurements. 0 means no capacity.
     pub in_flight: u32,
 }
 
--- a/kernel/src/kernel.rs
+++ b/kernel/src/kernel.rs
@@ -184,7 +184,7 @@
         Some(peer.peers)
     }
 
-    /// Returns the number of live instances, including this one.
+    /// Returns the number of serving instances, including this one if it serves.
     #[must_use]
     pub fn live_instances(&self) -> usize {
         self.membership().live().count()
