--- a/ctl/tests/jwctl.rs
+++ b/ctl/tests/jwctl.rs
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 
 use googletest::prelude::*;
-use jacinthweir_kernel::listener::Listening;
-use jacinthweir_kernel::plugin::{Face, sorted};
+use jacinthweir_kernel::listener::RunningListener;
+use jacinthweir_kernel::plugin::{ListenerKind, sorted};
 use jacinthweir_kernel::{Kernel, Settings};
 use jacinthweir_operators as _;
 use jacinthweir_peers as _;
@@ -25,7 +25,7 @@
     operators: SocketAddr,
     directory: PathBuf,
     _kernel: Arc<Kernel>,
-    _listening: Vec<Listening>,
+    _listening: Vec<RunningListener>,
 }
 
 /// Exit code and output of a run of `jwctl`.
@@ -68,8 +68,8 @@
         (plugin.spawn)(&kernel).unwrap();
     }
     let mut listening = Vec::new();
-    for face in [Face::Callers, Face::Operators] {
-        listening.push(Listening::bind(&kernel, face).await.unwrap());
+    for kind in [ListenerKind::Callers, ListenerKind::Operators] {
+        listening.push(RunningListener::bind(&kernel, kind).await.unwrap());
     }
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&directory).unwrap();
--- a/kernel/src/lib.rs
+++ b/kernel/src/lib.rs
@@ -1,9 +1,9 @@
-//! Settings, logs, metrics, cancellation, listeners, the dump and the list of plug-ins.
+//! Core of an instance: settings, logs, metrics, listeners, shared state and plug-in registry.
 //!
 //! A plug-in is a plain struct of function pointers that registers itself in [`PLUGINS`] at link
-//! time. The kernel opens the shared state, calls each plug-in's `spawn`, mounts its routes on
-//! the three listeners and asks it for its part of the dump. Plug-ins do not call one another:
-//! they meet in [`Kernel`]'s shared state.
+//! time. The kernel creates the shared state, calls each plug-in's `spawn`, mounts its routes on
+//! the three listeners and collects its section of the dump. Plug-ins do not call one another;
+//! they communicate through the shared state in [`Kernel`].
 
 pub mod auth;
 pub mod body;
@@ -14,7 +14,7 @@
 pub mod gate;
 pub mod identity;
 pub mod kernel;
-pub mod life;
+pub mod lifecycle;
 pub mod listener;
 pub mod logs;
 pub mod parts;
@@ -27,5 +27,5 @@
 
 pub use error::KernelError;
 pub use kernel::Kernel;
-pub use plugin::{Face, PLUGINS, Plugin};
+pub use plugin::{ListenerKind, PLUGINS, Plugin};
 pub use settings::Settings;
--- a/kernel/src/listener.rs
+++ b/kernel/src/listener.rs
@@ -1,4 +1,4 @@
-//! The three listeners.
+//! HTTP listeners for callers, peers and operators.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,67 +12,70 @@
 use tokio::net::TcpSocket;
 use tokio::task::JoinHandle;
 
-use crate::plugin::{Face, sorted};
+use crate::plugin::{ListenerKind, sorted};
 use crate::{Kernel, KernelError, auth, reply};
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: u32 = 1024;
 
 /// A running listener.
-pub struct Listening {
-    /// Whom it is for.
-    pub face: Face,
-    /// Where it listens.
+pub struct RunningListener {
+    /// Which clients it serves.
+    pub kind: ListenerKind,
+    /// Address that it is bound to.
     pub address: SocketAddr,
     handle: ServerHandle,
     task: JoinHandle<()>,
 }
 
-impl Listening {
-    /// Binds a listener for `face` with the routes of every plug-in.
+impl RunningListener {
+    /// Binds the listener of `kind` and mounts the routes of every plug-in on it.
     ///
     /// # Errors
-    /// When the address cannot be bound.
-    pub async fn bind(cx: &Arc<Kernel>, face: Face) -> Result<Listening, KernelError> {
-        let address = address(cx, face);
-        let acceptor = accept_on(address).map_err(|e| KernelError::Listen {
+    /// Returns an error if the address cannot be bound.
+    pub async fn bind(
+        cx: &Arc<Kernel>,
+        kind: ListenerKind,
+    ) -> Result<RunningListener, KernelError> {
+        let address = address(cx, kind);
+        let acceptor = bind_acceptor(address).map_err(|e| KernelError::Listen {
             address,
             cause: e.to_string(),
         })?;
         let server = server(cx, acceptor);
         let handle = server.handle();
-        let service = service(cx, face);
+        let service = service(cx, kind);
         let task = tokio::spawn(async move {
             if let Err(e) = server.try_serve(service).await {
-                log::error!("listener for {face} ended: {e}");
+                log::error!("listener for {kind} ended: {e}");
             }
         });
-        log::info!("listening for {face} on {address}");
-        Ok(Listening {
-            face,
+        log::info!("listening for {kind} on {address}");
+        Ok(RunningListener {
+            kind,
             address,
             handle,
             task,
         })
     }
 
-    /// Refuses new connections and returns once the last request of the open ones has ended.
+    /// Stops accepting connections and waits for the requests on open connections to finish.
     pub async fn stop(self) {
         self.handle.stop_graceful(None);
         let _ = self.task.await;
     }
 
-    /// Cuts whatever is still open.
+    /// Closes all open connections without waiting for their requests.
     pub fn abort(&self) {
         self.handle.stop_forceful();
     }
 }
 
-/// A listening socket whose connections send small writes at once.
+/// Opens a listening socket with `TCP_NODELAY` set.
 ///
-/// With Nagle's algorithm on, the second token of a stream waits for the peer's delayed
+/// With Nagle's algorithm enabled, the second token of a stream waits for the peer's delayed
 /// acknowledgement of the first, 40 ms on Linux. Accepted sockets inherit the option.
-fn accept_on(address: SocketAddr) -> std::io::Result<TcpAcceptor> {
+fn bind_acceptor(address: SocketAddr) -> std::io::Result<TcpAcceptor> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
@@ -83,18 +86,19 @@
     TcpAcceptor::try_from(socket.listen(BACKLOG)?)
 }
 
-fn address(cx: &Kernel, face: Face) -> SocketAddr {
+fn address(cx: &Kernel, kind: ListenerKind) -> SocketAddr {
     let listen = &cx.settings.listen;
-    match face {
-        Face::Callers => listen.callers,
-        Face::Peers => listen.peers,
-        Face::Operators => listen.operators,
+    match kind {
+        ListenerKind::Callers => listen.callers,
+        ListenerKind::Peers => listen.peers,
+        ListenerKind::Operators => listen.operators,
     }
 }
 
-/// Slow senders are cut off by the header time-out here and by the body time-out where a body is
-/// read, so that an idle or dribbling connection holds a bounded amount of memory for a bounded
-/// time.
+/// Builds the server with its header time-out and connection limit.
+///
+/// Together with the time-out on reading bodies, the header time-out bounds how long an idle or
+/// slow connection can hold memory.
 fn server(cx: &Kernel, acceptor: TcpAcceptor) -> Server<TcpAcceptor> {
     let timeout = Duration::from_millis(cx.settings.timing.header_timeout_ms);
     let fuse = FuseConfig::default().with_http1_header_timeout(timeout);
@@ -103,23 +107,25 @@
         .max_connections(cx.settings.limits.connections)
 }
 
-fn service(cx: &Arc<Kernel>, face: Face) -> Service {
+fn service(cx: &Arc<Kernel>, kind: ListenerKind) -> Service {
     let mut root = Router::new();
     for plugin in sorted() {
-        for route in (plugin.routes)(cx, face) {
+        for route in (plugin.routes)(cx, kind) {
             root = root.push(route);
         }
     }
-    let root = match face {
-        Face::Callers => root.hoop(CloseWhenDraining(Arc::clone(cx))),
-        Face::Peers => root.hoop(auth::BearerOnly::peers(cx)),
-        Face::Operators => root.hoop(auth::BearerOnly::operators(cx)),
+    let root = match kind {
+        ListenerKind::Callers => root.hoop(CloseWhenDraining(Arc::clone(cx))),
+        ListenerKind::Peers => root.hoop(auth::BearerOnly::peers(cx)),
+        ListenerKind::Operators => root.hoop(auth::BearerOnly::operators(cx)),
     };
     Service::new(root).catcher(Catcher::default().hoop(reply::NoRoute))
 }
 
-/// Asks callers to give up their kept connections once the instance drains: else their next
-/// request could be written just as the connection is closed, and its fate be unknown to them.
+/// Sends `connection: close` on responses while the instance drains.
+///
+/// Otherwise a caller could send its next request on a keep-alive connection just as it is closed,
+/// and could not tell whether that request ran.
 struct CloseWhenDraining(Arc<Kernel>);
 
 #[handler]
