--- a/testkit/src/admin.rs
+++ b/testkit/src/admin.rs
@@ -1,4 +1,4 @@
-//! Client of the stand-ins' admin interfaces.
+//! Clients of the stand-ins' admin interfaces.
 
 use std::net::SocketAddr;
 
@@ -52,7 +52,7 @@
 }
 
 impl PlatformAdmin {
-    /// A client of the platform at `address`.
+    /// Returns a client of the platform at `address`.
     #[must_use]
     pub fn new(client: reqwest::Client, address: SocketAddr) -> Self {
         Self(Admin { client, address })
@@ -62,122 +62,122 @@
     ///
     /// # Errors
     ///
-    /// Where the call fails.
+    /// Fails if the call fails.
     pub async fn instances(&self, change: &InstancesChange) -> Result<()> {
         self.0.post("instances", change).await
     }
 
-    /// Sets how calls fail from now on.
+    /// Sets the fault injected into subsequent calls.
     ///
     /// # Errors
     ///
-    /// Where the call fails.
+    /// Fails if the call fails.
     pub async fn fault(&self, fault: &Fault) -> Result<()> {
         self.0.post("fault", fault).await
     }
 
-    /// Sets what it takes a second.
+    /// Sets the rate limits.
     ///
     /// # Errors
     ///
-    /// Where the call fails.
+    /// Fails if the call fails.
     pub async fn rates(&self, rates: &Rates) -> Result<()> {
         self.0.post("rates", rates).await
     }
 
-    /// Keeps a copy of all objects.
+    /// Takes a snapshot of all objects.
     ///
     /// # Errors
     ///
-    /// Where the call fails.
+    /// Fails if the call fails.
     pub async fn snapshot(&self) -> Result<()> {
         self.0.post("snapshot", &()).await
     }
 
-    /// Goes back to the copy.
+    /// Restores the snapshot.
     ///
     /// # Errors
     ///
-    /// Where there is none, or the call fails.
+    /// Fails if no snapshot was taken or the call fails.
     pub async fn restore(&self) -> Result<()> {
         self.0.post("restore", &()).await
     }
 
-    /// What was called so far.
+    /// Returns the call counters.
     ///
     /// # Errors
     ///
-    /// Where the call fails.
+    /// Fails if the call fails.
     pub async fn counts(&self) -> Result<Counts> {
         self.0.get("counts").await
     }
 
-    /// All objects.
+    /// Returns all objects.
     ///
     /// # Errors
     ///
-    /// Where the call fails.
+    /// Fails if the call fails.
     pub async fn objects(&self) -> Result<Vec<Object>> {
         self.0.get("objects").await
     }
 }
 
 impl RunnerAdmin {
-    /// A client of the runner at `address`.
+    /// Returns a client of the runner at `address`.
     #[must_use]
     pub fn new(client: reqwest::Client, address: SocketAddr) -> Self {
         Self(Admin { client, address })
     }
 
-    /// Changes how it behaves.
+    /// Sets its behaviour.
     ///
     /// # Errors
     ///
-    /// Where the call fails.
+    /// Fails if the call fails.
     pub async fn set(&self, knobs: &RunnerKnobs) -> Result<()> {
         self.0.post("set", knobs).await
     }
 
-    /// What was received and what ran.
+    /// Returns the record of attempts that were received and run.
     ///
     /// # Errors
     ///
-    /// Where the call fails.
+    /// Fails if the call fails.
     pub async fn witness(&self) -> Result<Witness> {
         self.0.get("ran").await
     }
 
-    /// The same, and has the runner forget it.
+    /// Returns that record and clears it.
     ///
     /// # Errors
     ///
-    /// Where the call fails.
+    /// Fails if the call fails.
     pub async fn take_witness(&self) -> Result<Witness> {
         self.0.get("ran?take=true").await
     }
 }
 
 impl ServiceAdmin {
-    /// A client of the service at `address`.
+    /// Returns a client of the service at `address`.
     #[must_use]
     pub fn new(client: reqwest::Client, address: SocketAddr) -> Self {
         Self(Admin { client, address })
     }
 
-    /// Changes how it behaves.
+    /// Sets its behaviour.
     ///
     /// # Errors
     ///
-    /// Where the call fails.
+    /// Fails if the call fails.
     pub async fn set(&self, knobs: &ServiceKnobs) -> Result<()> {
         self.0.post("set", knobs).await
     }
 
-    /// What ran so far, oldest first.
+    /// Returns the calls that ran, oldest first.
     ///
     /// # Errors
     ///
-    /// Where the call fails.
+    /// Fails if the call fails.
     pub async fn ran(&self) -> Result<Vec<RanCall>> {
         self.0.get("ran").await
     }
--- a/testkit/src/caller.rs
+++ b/testkit/src/caller.rs
@@ -1,7 +1,6 @@
-//! A caller as the users have them: asks which address to use, connects there, reads a stream.
+//! Caller client: asks for the entry addresses, submits requests and reads streamed answers.
 //!
-//! It repeats nothing by itself and follows no redirect, so a checker knows that one call here is
-//! one submission.
+//! It never retries and follows no redirect, so for a checker each call is exactly one submission.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,40 +14,40 @@
 
 use crate::{Error, Result};
 
-/// Longest wait for a connection.
-const CONNECT_WAIT: Duration = Duration::from_secs(1);
-/// The line that ends a stream whose answer is whole.
-const DONE: &str = "[DONE]";
+/// Time-out for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Data line that terminates a stream after a complete answer.
+const STREAM_END: &str = "[DONE]";
 
-/// A caller of one organisation.
+/// Client that authenticates as one organisation.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: reqwest::Client,
     key: String,
 }
 
-/// What a caller saw of one submission.
+/// What a caller observed of one submission.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Seen {
-    /// HTTP status; `None`: no answer came, or not a whole one.
+    /// HTTP status; `None` if no response head was received.
     pub status: Option<u16>,
-    /// Request id, as the header said.
+    /// Request id from the response header.
     pub request: Option<Name>,
-    /// Final outcome as the system told it; `None`: it told none.
+    /// Final outcome reported by the system; `None` if none was reported.
     pub outcome: Option<Outcome>,
-    /// Error code, where there is one.
+    /// Error code, if the answer is an error.
     pub code: Option<ErrorCode>,
-    /// When to come back, in milliseconds.
+    /// Delay before a retry that the error asks for, in milliseconds.
     pub retry_after_ms: Option<u64>,
-    /// Text of the answer, or body of a service's answer.
+    /// Text of a model's answer, or body of a service's answer.
     pub text: String,
-    /// Times of the tokens after the submission, in microseconds.
+    /// Arrival time of each token since the submission, in microseconds.
     pub token_us: Vec<u64>,
-    /// Time of the end after the submission, in microseconds.
+    /// Time from the submission to the end of the answer, in microseconds.
     pub end_us: u64,
-    /// Error of the connection, in one sentence.
+    /// Error that interrupted the submission, as a one-sentence message.
     pub broken: Option<String>,
-    /// Whether no connection came about: nothing was sent.
+    /// Whether the connection failed to establish, so that nothing was sent.
     pub not_connected: bool,
 }
 
@@ -59,9 +58,9 @@
     pub pipeline: Name,
     /// Prompt.
     pub prompt: String,
-    /// The most tokens.
+    /// Maximum number of tokens.
     pub max_tokens: u32,
-    /// Deadline, in milliseconds; `None`: the pipeline's own.
+    /// Deadline, in milliseconds; `None` for the pipeline's default.
     pub deadline_ms: Option<u64>,
 }
 
@@ -76,24 +75,24 @@
     pub key: Option<String>,
     /// Body.
     pub body: String,
-    /// Deadline, in milliseconds; `None`: the call's own.
+    /// Deadline, in milliseconds; `None` for the call's default.
     pub deadline_ms: Option<u64>,
 }
 
 impl Caller {
-    /// A caller with an organisation's key.
+    /// Returns a client that authenticates with an organisation's key.
     ///
     /// # Errors
     ///
-    /// Where no HTTP client can be made.
+    /// Fails if the HTTP client can't be built.
     pub fn open(key: &str) -> Result<Self> {
         let client = reqwest::Client::builder()
             .no_proxy()
             .redirect(reqwest::redirect::Policy::none())
             .retry(reqwest::retry::never())
-            .connect_timeout(CONNECT_WAIT)
-            // A fresh connection for each call: whether a call on a kept one was lost before or
-            // after it was read can't be told.
+            .connect_timeout(CONNECT_TIMEOUT)
+            // One connection per call: on a reused one, a lost call can't be classified as lost
+            // before or after the server read it.
             .pool_max_idle_per_host(0)
             .tcp_nodelay(true)
             .build()?;
@@ -103,23 +102,23 @@
         })
     }
 
-    /// Asks which addresses to use.
+    /// Returns the entry addresses that the instance advertises.
     ///
     /// # Errors
     ///
-    /// Where the instance doesn't answer.
+    /// Fails if the instance doesn't answer.
     pub async fn entry(&self, at: SocketAddr) -> Result<EntryAnswer> {
         let call = self.client.get(format!("http://{at}/v1/entry"));
         let answer = call.bearer_auth(&self.key).send().await?;
         Ok(answer.error_for_status()?.json().await?)
     }
 
-    /// Asks a model and reads the stream to its end.
+    /// Submits a model request and reads the stream to its end.
     pub async fn complete(&self, at: SocketAddr, call: &ModelCall) -> Seen {
         self.complete_with(at, call, &mut |_| {}).await
     }
 
-    /// The same, showing each piece of the answer as it comes.
+    /// Like [`Self::complete`], and passes each piece of the answer to `show` as it arrives.
     pub async fn complete_with(
         &self,
         at: SocketAddr,
@@ -134,7 +133,7 @@
         };
         let req = self.client.post(format!("http://{at}/v1/completions"));
         let req = with_deadline(req.json(&body), call.deadline_ms);
-        self.submit(req, Form::Stream, show).await
+        self.submit(req, BodyKind::Stream, show).await
     }
 
     /// Calls a plain service.
@@ -145,16 +144,21 @@
             req = req.header(header::IDEMPOTENCY_KEY, key);
         }
         let req = with_deadline(req, call.deadline_ms);
-        self.submit(req, Form::Body, &mut |_| {}).await
+        self.submit(req, BodyKind::Body, &mut |_| {}).await
     }
 
-    async fn submit(&self, req: RequestBuilder, form: Form, show: &mut impl FnMut(&str)) -> Seen {
+    async fn submit(
+        &self,
+        req: RequestBuilder,
+        kind: BodyKind,
+        show: &mut impl FnMut(&str),
+    ) -> Seen {
         let started = Instant::now();
         let mut seen = Seen::default();
         let read = async {
             let answer = req.bearer_auth(&self.key).send().await?;
-            seen.read_head(&answer);
-            if form == Form::Stream && answer.status().is_success() {
+            seen.read_headers(&answer);
+            if kind == BodyKind::Stream && answer.status().is_success() {
                 seen.read_stream(answer, started, show).await
             } else {
                 seen.read_body(answer).await
@@ -164,13 +168,13 @@
             seen.not_connected = matches!(&err, Error::Http(err) if err.is_connect());
             seen.broken = Some(format!("{:#}", eyre::Report::new(err)));
         }
-        seen.end_us = micros(started);
+        seen.end_us = elapsed_us(started);
         seen
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Form {
+enum BodyKind {
     Stream,
     Body,
 }
@@ -182,35 +186,37 @@
     }
 }
 
-fn micros(since: Instant) -> u64 {
+fn elapsed_us(since: Instant) -> u64 {
     u64::try_from(since.elapsed().as_micros()).unwrap_or(u64::MAX)
 }
 
 impl Seen {
-    /// Whether the system said that the whole answer was given.
+    /// Returns whether the system reported a complete answer.
     #[must_use]
     pub fn answered(&self) -> bool {
         self.outcome == Some(Outcome::Answered)
     }
 
-    fn read_head(&mut self, answer: &Response) {
+    fn read_headers(&mut self, answer: &Response) {
         let text = |name| answer.headers().get(name).and_then(|v| v.to_str().ok());
         self.status = Some(answer.status().as_u16());
         self.request = text(header::REQUEST).map(Name::from);
-        self.outcome = text(header::OUTCOME).and_then(outcome);
+        self.outcome = text(header::OUTCOME).and_then(parse_outcome);
     }
 
     async fn read_body(&mut self, answer: Response) -> Result<()> {
         let failed = !answer.status().is_success();
         self.text = answer.text().await?;
         if failed && let Ok(body) = serde_json::from_str(&self.text) {
-            self.take_error(&body);
+            self.record_error(&body);
         }
         Ok(())
     }
 
-    /// Reads server-sent events to the end. Only an end event tells of a whole answer: a stream
-    /// that closes without one leaves the outcome open.
+    /// Reads server-sent events to the end of the stream.
+    ///
+    /// Only an end event confirms a complete answer; a stream that closes without one leaves the
+    /// outcome unset.
     async fn read_stream(
         &mut self,
         answer: Response,
@@ -225,23 +231,23 @@
             while let Some(end) = buf.iter().position(|b| *b == b'\n') {
                 let line: Vec<u8> = buf.drain(..=end).collect();
                 let line = String::from_utf8_lossy(&line);
-                self.take_line(line.trim_end(), started, show)?;
+                self.parse_line(line.trim_end(), started, show)?;
             }
         }
         Ok(())
     }
 
-    fn take_line(
+    fn parse_line(
         &mut self,
         line: &str,
         started: Instant,
         show: &mut impl FnMut(&str),
     ) -> Result<()> {
-        let Some(data) = line.strip_prefix("data: ").filter(|d| *d != DONE) else {
+        let Some(data) = line.strip_prefix("data: ").filter(|d| *d != STREAM_END) else {
             return Ok(());
         };
         if let Ok(error) = serde_json::from_str::<ErrorBody>(data) {
-            self.take_error(&error);
+            self.record_error(&error);
             return Ok(());
         }
         let event: Completion = serde_json::from_str(data)?;
@@ -250,7 +256,7 @@
             if let Some(piece) = piece.filter(|p| !p.is_empty()) {
                 show(&piece);
                 self.text.push_str(&piece);
-                self.token_us.push(micros(started));
+                self.token_us.push(elapsed_us(started));
             }
         }
         if event.outcome.is_some() {
@@ -259,22 +265,22 @@
         Ok(())
     }
 
-    fn take_error(&mut self, body: &ErrorBody) {
+    fn record_error(&mut self, body: &ErrorBody) {
         self.outcome = Some(body.error.outcome);
         self.code = Some(body.error.code);
         self.retry_after_ms = body.error.retry_after_ms;
     }
 }
 
-fn outcome(text: &str) -> Option<Outcome> {
+fn parse_outcome(text: &str) -> Option<Outcome> {
     serde_json::from_value(serde_json::Value::String(text.to_owned())).ok()
 }
 
-/// Turns a reading that broke off into an error.
+/// Turns an interrupted submission into an error.
 ///
 /// # Errors
 ///
-/// Where the submission broke off.
+/// Fails if the submission was interrupted.
 pub fn unbroken(seen: Seen) -> Result<Seen> {
     match &seen.broken {
         Some(broken) => Err(Error::Other(broken.clone())),
--- a/testkit/src/error.rs
+++ b/testkit/src/error.rs
@@ -1,24 +1,24 @@
-//! The one error type of the test kit.
+//! Error type of the test kit.
 
 use derive_more::{Display, Error, From};
 
-/// What can go wrong in the test kit.
+/// Errors of the test kit.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
-    /// A socket or a file failed.
+    /// Socket or file I/O error.
     #[display("input or output: {_0}")]
     Io(std::io::Error),
-    /// A call over HTTP failed.
+    /// HTTP client error.
     #[display("call: {_0}")]
     Http(reqwest::Error),
-    /// A JSON text does not fit.
+    /// JSON parsing or serialisation error.
     #[display("JSON: {_0}")]
     Json(serde_json::Error),
-    /// Anything else, in one sentence.
+    /// Any other error, as a one-sentence message.
     #[display("{_0}")]
     #[from(skip)]
     Other(#[error(not(source))] String),
 }
 
-/// The test kit's result.
+/// Result type of the test kit.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/testkit/src/http.rs
+++ b/testkit/src/http.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins' HTTP servers have in common.
+//! HTTP server helpers shared by the stand-ins.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,14 +13,13 @@
 
 use crate::Result;
 
-/// The largest body that a stand-in reads, in bytes: above a platform value of a megabyte with
-/// each byte escaped.
+/// Maximum request body, in bytes; larger than a 1 MB platform value with every byte escaped.
 const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1_024;
+/// Length of the accept queue, in connections.
+const ACCEPT_BACKLOG: u32 = 1_024;
 
-/// Puts shared state into each request's depot.
+/// Middleware that puts shared state into each request's depot.
 pub(crate) struct Inject<T>(pub(crate) Arc<T>);
 
 #[handler]
@@ -30,7 +29,7 @@
     }
 }
 
-/// The state that [`Inject`] put into the depot.
+/// Returns the state that [`Inject`] put into the depot.
 pub(crate) fn state<T: Send + Sync + 'static>(depot: &Depot) -> Arc<T> {
     depot
         .get_typed::<Arc<T>>()
@@ -51,17 +50,16 @@
     tokio::spawn(async move {
         tokio::select! {
             () = token.cancelled() => {}
-            ended = server.try_serve(router) => log::error!("server ended: {ended:?}"),
+            ended = server.try_serve(router) => log::error!("stand-in HTTP server stopped unexpectedly: {ended:?}"),
         }
     });
     Ok(bound)
 }
 
-/// Binds a listener whose connections send small pieces at once.
+/// Binds a listener with `TCP_NODELAY`, which accepted connections inherit.
 ///
 /// salvo leaves Nagle's algorithm on: the second frame of a stream then waits for the
-/// acknowledgement of the first, 40 ms with a delayed one, and tokens arrive in bursts. Accepted
-/// connections inherit the option from the listener.
+/// acknowledgement of the first, 40 ms with delayed acknowledgements, and tokens arrive in bursts.
 fn listen(address: SocketAddr) -> Result<TcpListener> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()?
@@ -71,10 +69,10 @@
     socket.set_reuseaddr(true)?;
     socket.set_nodelay(true)?;
     socket.bind(address)?;
-    Ok(socket.listen(BACKLOG)?)
+    Ok(socket.listen(ACCEPT_BACKLOG)?)
 }
 
-/// Reads the body as JSON, or answers 400 (413 where too large) and returns `None`.
+/// Parses the body as JSON; on failure responds with 400, or 413 if too large, and returns `None`.
 pub(crate) async fn body<T: DeserializeOwned>(req: &mut Request, res: &mut Response) -> Option<T> {
     let payload = match req.payload_with_max_size(MAX_BODY_BYTES).await {
         Ok(payload) => payload,
@@ -96,13 +94,13 @@
     None
 }
 
-/// Answers with JSON.
+/// Responds with `status` and a JSON body.
 pub(crate) fn json<T: Serialize + Sync>(res: &mut Response, status: StatusCode, value: &T) {
     res.status_code(status);
     res.render(Json(value));
 }
 
-/// Unix time in milliseconds.
+/// Returns the Unix time in milliseconds.
 #[must_use]
 pub fn unix_ms() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -1,8 +1,9 @@
-//! Stand-ins for the platform, model runners and plain services, and the tools of the tests.
+//! Stand-ins for the platform, model runners and plain services, and shared test tooling.
 //!
-//! Nothing here ships. Each stand-in can be spawned inside a test's own process
-//! ([`Platform::bind`], [`Runner::bind`], [`Service::bind`]) or as a process of its own by the
-//! `jw-standin` binary. With the same seed and the same calls a stand-in behaves the same.
+//! Nothing in this crate ships. A stand-in runs either inside the test's process
+//! ([`Platform::bind`], [`Runner::bind`], [`Service::bind`]) or as a separate process of the
+//! `jw-standin` binary. Stand-ins are deterministic: the same seed and the same calls give the
+//! same behaviour.
 
 pub mod admin;
 pub mod bench;
--- a/testkit/src/operator.rs
+++ b/testkit/src/operator.rs
@@ -1,4 +1,4 @@
-//! An operator's client, for tests that need more than `jwctl` prints.
+//! Client of the operators' interface, for tests that need more than `jwctl` prints.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 
 use crate::{Error, Result};
 
-/// Client of one instance's operators' listener. It repeats nothing by itself.
+/// Client of one instance's operators' listener; never retries.
 #[derive(Clone, Debug)]
 pub struct Operator {
     client: reqwest::Client,
@@ -20,23 +20,23 @@
     token: String,
 }
 
-/// Answer to an apply.
+/// Result of an apply.
 #[derive(Clone, Debug)]
 pub enum Applied {
-    /// The commit is confirmed.
+    /// The commit was confirmed.
     Committed(ApplyReply),
-    /// It was refused, or is not known.
+    /// The apply was refused or its result is unknown to the instance.
     Refused(ApplyRefused),
-    /// No answer came: it may have been committed.
+    /// No valid answer was received; the change may have been committed.
     Lost(String),
 }
 
 impl Operator {
-    /// A client with the operators' token.
+    /// Returns a client that authenticates with the operators' token.
     ///
     /// # Errors
     ///
-    /// Where no HTTP client can be made.
+    /// Fails if the HTTP client can't be built.
     pub fn open(at: SocketAddr, token: &str) -> Result<Self> {
         let client = reqwest::Client::builder()
             .no_proxy()
@@ -51,11 +51,11 @@
         })
     }
 
-    /// Difference of a schema text against what is in force.
+    /// Returns the difference between a schema text and the schema in force.
     ///
     /// # Errors
     ///
-    /// Where it is refused or no answer comes.
+    /// Fails if the plan is refused or no answer is received.
     pub async fn plan(&self, text: &str) -> Result<PlanReply> {
         let body = PlanRequest {
             text: text.to_owned(),
@@ -63,7 +63,7 @@
         read(self.post("plan").json(&body)).await
     }
 
-    /// Commits a schema text over revision `base`.
+    /// Commits a schema text on top of revision `base`.
     pub async fn apply(&self, text: &str, base: u64, change: &str) -> Applied {
         let body = ApplyRequest {
             text: text.to_owned(),
@@ -77,66 +77,66 @@
         }
     }
 
-    /// What is in force where.
+    /// Returns the status: which revision is in force on which instance.
     ///
     /// # Errors
     ///
-    /// Where no answer comes.
+    /// Fails if no answer is received.
     pub async fn status(&self) -> Result<StatusReply> {
         read(self.get("status")).await
     }
 
-    /// Latest commits.
+    /// Returns the latest commits.
     ///
     /// # Errors
     ///
-    /// Where no answer comes.
+    /// Fails if no answer is received.
     pub async fn history(&self) -> Result<HistoryReply> {
         read(self.get("history")).await
     }
 
-    /// The schema in force.
+    /// Returns the schema in force.
     ///
     /// # Errors
     ///
-    /// Where there is none or no answer comes.
+    /// Fails if no schema is in force or no answer is received.
     pub async fn schema(&self) -> Result<SchemaReply> {
         read(self.get("schema")).await
     }
 
-    /// What happened to a request.
+    /// Returns the record of a request.
     ///
     /// # Errors
     ///
-    /// Where it isn't known or no answer comes.
+    /// Fails if the request is unknown or no answer is received.
     pub async fn request(&self, id: &Name) -> Result<RequestRecord> {
         read(self.get(&format!("requests/{id}"))).await
     }
 
-    /// State of the instance, a field a plug-in.
+    /// Returns the state of the instance, with one field per plug-in.
     ///
     /// # Errors
     ///
-    /// Where no answer comes.
+    /// Fails if no answer is received.
     pub async fn dump(&self) -> Result<serde_json::Value> {
         read(self.get("dump")).await
     }
 
-    /// Metrics, as the instance's `/metrics` gives them.
+    /// Returns the text of the instance's `/metrics`.
     ///
     /// # Errors
     ///
-    /// Where no answer comes.
+    /// Fails if no answer is received.
     pub async fn metrics(&self) -> Result<String> {
         let url = format!("http://{}/metrics", self.at);
         let answer = self.client.get(url).bearer_auth(&self.token).send().await?;
         Ok(answer.error_for_status()?.text().await?)
     }
 
-    /// Whether the instance answers its operators.
+    /// Returns whether the instance answers its operators.
     pub async fn answers(&self) -> bool {
-        let asked = self.get("dump").send().await;
-        asked.is_ok_and(|answer| answer.status().is_success())
+        let result = self.get("dump").send().await;
+        result.is_ok_and(|answer| answer.status().is_success())
     }
 
     fn get(&self, path: &str) -> RequestBuilder {
--- a/testkit/src/relay.rs
+++ b/testkit/src/relay.rs
@@ -1,8 +1,8 @@
-//! A TCP relay that tests can cut, hang and slow: a network link between two processes.
+//! TCP relay that injects network faults on the link between two processes.
 //!
-//! Bytes pass unchanged in both directions while the link passes. A cut closes the connections
-//! that stand and every new one at once; a hang leaves them open and moves nothing, as a network
-//! that drops packets does. Bytes that wait while the link hangs go on when it passes again.
+//! Bytes are forwarded unchanged in both directions. A cut closes established connections and
+//! every new one at once. A hang keeps connections open and forwards nothing, like a network that
+//! drops packets; bytes held back during a hang are forwarded once it ends.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,27 +15,27 @@
 
 use crate::Result;
 
-/// Bytes that a relay moves at a time.
-const BUF_BYTES: usize = 16 * 1024;
+/// Size of the copy buffer per direction, in bytes.
+const COPY_BUF_BYTES: usize = 16 * 1024;
 
-/// How a link is.
+/// State of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Link {
-    /// It passes.
+    /// Forwards bytes.
     #[default]
     Pass,
-    /// Connections are closed.
+    /// Closes established and new connections.
     Cut,
-    /// Connections stand, and nothing moves.
+    /// Keeps connections open and forwards nothing.
     Hang,
-    /// Each piece of bytes takes longer, in milliseconds.
+    /// Delays each chunk, in milliseconds.
     Slow(u64),
 }
 
-/// A running relay; ends with its cancellation token.
+/// A running relay; stops when its cancellation token is cancelled.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    /// Address to connect to in place of the target.
+    /// Address that clients connect to instead of the target.
     pub address: SocketAddr,
     link: watch::Sender<Link>,
 }
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     ///
-    /// Where the address can't be bound.
+    /// Fails if the address can't be bound.
     pub async fn bind(
         listen: SocketAddr,
         target: SocketAddr,
@@ -62,7 +62,7 @@
         Ok(Self { address, link })
     }
 
-    /// Changes the link, for the connections that stand too.
+    /// Sets the link state, also for established connections.
     pub fn set(&self, link: Link) {
         self.link.send_replace(link);
     }
@@ -74,39 +74,39 @@
     link: watch::Receiver<Link>,
     token: CancellationToken,
 ) {
-    while let Ok((inward, _)) = listener.accept().await {
+    while let Ok((downstream, _)) = listener.accept().await {
         if *link.borrow() == Link::Cut {
             continue;
         }
-        let connection = relay(inward, target, link.clone());
+        let connection = relay(downstream, target, link.clone());
         let token = token.clone();
         tokio::spawn(async move { token.run_until_cancelled(connection).await });
     }
 }
 
-/// Relays one connection until either side ends or the link is cut.
-async fn relay(inward: TcpStream, target: SocketAddr, link: watch::Receiver<Link>) {
+/// Relays one connection until both directions have ended or the link is cut.
+async fn relay(downstream: TcpStream, target: SocketAddr, link: watch::Receiver<Link>) {
     let mut cuts = link.clone();
-    let Ok(outward) = TcpStream::connect(target).await else {
+    let Ok(upstream) = TcpStream::connect(target).await else {
         return;
     };
-    let _ = inward.set_nodelay(true);
-    let _ = outward.set_nodelay(true);
-    let (in_rx, in_tx) = inward.into_split();
-    let (out_rx, out_tx) = outward.into_split();
-    let there = copy(in_rx, out_tx, link.clone());
-    let back = copy(out_rx, in_tx, link);
+    let _ = downstream.set_nodelay(true);
+    let _ = upstream.set_nodelay(true);
+    let (downstream_rx, downstream_tx) = downstream.into_split();
+    let (upstream_rx, upstream_tx) = upstream.into_split();
+    let forward = copy(downstream_rx, upstream_tx, link.clone());
+    let backward = copy(upstream_rx, downstream_tx, link);
     tokio::select! {
-        _ = async { tokio::join!(there, back) } => {}
+        _ = async { tokio::join!(forward, backward) } => {}
         _ = cuts.wait_for(|l| *l == Link::Cut) => {}
     }
 }
 
-/// Moves bytes one way; the end of one side's bytes is passed on as such.
+/// Copies bytes in one direction and forwards end of stream as a half-close.
 async fn copy(mut rx: OwnedReadHalf, mut tx: OwnedWriteHalf, mut link: watch::Receiver<Link>) {
-    let mut buf = vec![0; BUF_BYTES];
+    let mut buf = vec![0; COPY_BUF_BYTES];
     while let Ok(n) = rx.read(&mut buf).await {
-        if wait(&mut link).await.is_err() || n == 0 {
+        if wait_for_link(&mut link).await.is_err() || n == 0 {
             break;
         }
         if tx.write_all(&buf[..n]).await.is_err() {
@@ -116,12 +116,12 @@
     let _ = tx.shutdown().await;
 }
 
-/// Waits as the link says.
-async fn wait(
+/// Waits while the link hangs, then for the delay of a slow link.
+async fn wait_for_link(
     link: &mut watch::Receiver<Link>,
 ) -> std::result::Result<(), watch::error::RecvError> {
-    let now = *link.wait_for(|l| *l != Link::Hang).await?;
-    if let Link::Slow(ms) = now {
+    let state = *link.wait_for(|l| *l != Link::Hang).await?;
+    if let Link::Slow(ms) = state {
         tokio::time::sleep(Duration::from_millis(ms)).await;
     }
     Ok(())
