--- a/testkit/src/fleet.rs
+++ b/testkit/src/fleet.rs
@@ -1,11 +1,11 @@
-//! A whole deployment as separate processes on loopback: stand-ins, six instances, and `jwctl`.
+//! A complete deployment as separate processes on loopback: stand-ins, entry instances, `jwctl`.
 //!
 //! [`Fleet::start`] starts the platform, the runners and services, lists them, writes a settings
-//! file for each instance into a temporary folder, starts the instances, and waits by asking
-//! until each one answers its operators. [`Fleet::apply`] applies the deployment's sample schema
-//! through `jwctl` and waits until callers are served. Each instance reaches the platform over a
-//! link of its own, a [`Relay`] in the driver's process, which a test can cut. Every process is killed when its handle is
-//! dropped; [`Fleet::stop`] shuts all down gracefully first.
+//! file for each instance into a temporary folder, starts the instances, and polls until each one
+//! answers its operators. [`Fleet::apply`] applies the deployment's sample schema through `jwctl`
+//! and waits until callers are served. Each instance reaches the platform over its own link, a
+//! [`Relay`] in the test's process, which a test can cut. Every process is killed when its handle
+//! is dropped; [`Fleet::stop`] shuts all of them down gracefully first.
 
 pub mod deployment;
 pub mod fault_points;
@@ -34,18 +34,18 @@
 use process::program;
 use standin::{PlatformProcess, RunnerProcess, ServiceProcess};
 
-/// Longest wait for a fleet to serve, in seconds.
-const READY_S: u64 = 60;
-/// Time between two asks, in milliseconds.
-const ASK_MS: u64 = 20;
-/// Longest graceful shutdown of one process, in seconds.
-const STOP_S: u64 = 20;
-/// Who applies a fleet's schema, as the history shows.
+/// Time-out for an instance to become ready, in seconds.
+const READY_TIMEOUT_S: u64 = 60;
+/// Interval between readiness polls, in milliseconds.
+const POLL_MS: u64 = 20;
+/// Time-out for the graceful shutdown of a group of processes, in seconds.
+const STOP_TIMEOUT_S: u64 = 20;
+/// Operator name recorded in the history for schema changes of a fleet.
 const OPERATOR: &str = "testkit";
-/// The operators' token of every fleet.
+/// Operators' token of every fleet.
 const OPERATORS_TOKEN: &str = "operators-token-of-the-test-kit";
 
-/// What to start.
+/// Configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetCfg {
     /// Deployment.
@@ -56,21 +56,20 @@
     pub runners: usize,
     /// Service instances.
     pub services: usize,
-    /// The platform; its address is chosen by the fleet.
+    /// Platform settings; the fleet overrides the address.
     pub platform: PlatformCfg,
     /// Periods and time-outs of the instances.
     pub timing: Timing,
-    /// Speed of the runners against the samples' declarations.
+    /// Speed of the runners relative to the samples' declarations.
     pub speed: f64,
-    /// The instance's program built with fault points, where they are to be armed; see
-    /// [`fault_points`].
+    /// Instance program built with fault points, if they are to be armed; see [`fault_points`].
     pub fault_points: Option<PathBuf>,
-    /// How old the runners' load reports are, in milliseconds; `None`: the stand-in's own lag.
+    /// Staleness of the runners' load reports, in milliseconds; `None` for the stand-in's default.
     pub load_lag_ms: Option<u64>,
 }
 
 impl FleetCfg {
-    /// Six instances, few runners, and three service instances: enough for a whole path.
+    /// Six instances, eight runners and three service instances: enough for an end-to-end path.
     #[must_use]
     pub fn small(deployment: Deployment) -> Self {
         Self {
@@ -86,8 +85,8 @@
         }
     }
 
-    /// Today's size: forty runners, slowed down so that one machine carries them and a step takes
-    /// much longer than the granularity of timers.
+    /// Production size: forty runners, slowed down so that they fit one machine and a step takes
+    /// much longer than the timer granularity.
     #[must_use]
     pub fn today(deployment: Deployment) -> Self {
         Self {
@@ -98,7 +97,7 @@
     }
 }
 
-/// What `jwctl` printed.
+/// Exit code and output of a `jwctl` run.
 #[derive(Clone, Debug)]
 pub struct CtlOutput {
     /// Exit code.
@@ -122,24 +121,24 @@
     pub services: Vec<ServiceProcess>,
     /// Entry instances.
     pub instances: Vec<Instance>,
-    /// Each instance's link to the platform, in the order of the instances.
+    /// Link of each instance to the platform, in the order of `instances`.
     pub platform_links: Vec<Relay>,
-    /// Ends the links, also where a test fails.
-    links_end: DropGuard,
+    /// Stops the links on drop, also when a test fails.
+    links_guard: DropGuard,
     client: reqwest::Client,
     ip: IpAddr,
     timing: Timing,
     fault_points: Option<PathBuf>,
-    /// Dropped last: the processes write their logs here.
+    /// Declared last so that it is dropped after the processes, which write their logs here.
     dir: TempDir,
 }
 
 impl Fleet {
-    /// Starts everything and waits until each instance answers its operators.
+    /// Starts all processes and waits until each instance answers its operators.
     ///
     /// # Errors
     ///
-    /// Where a program isn't built, a process ends early or is silent for long.
+    /// Fails if a program isn't built, a process exits early or a time-out expires.
     pub async fn start(cfg: FleetCfg) -> Result<Self> {
         let dir = tempfile::Builder::new().prefix("jacinthweir-").tempdir()?;
         let ip = ports::own_ip();
@@ -156,7 +155,7 @@
             services: Vec::new(),
             instances: Vec::new(),
             platform_links: Vec::new(),
-            links_end: CancellationToken::new().drop_guard(),
+            links_guard: CancellationToken::new().drop_guard(),
             client,
             ip,
             timing: cfg.timing.clone(),
@@ -176,11 +175,11 @@
         Ok(fleet)
     }
 
-    /// Starts one more runner and lists it.
+    /// Starts an additional runner and lists it.
     ///
     /// # Errors
     ///
-    /// Where it can't be started.
+    /// Fails if the process can't be started.
     pub async fn add_runner(&mut self, slot: deployment::RunnerSlot) -> Result<()> {
         let runner = RunnerProcess::spawn(slot, self.ip, self.dir.path()).await?;
         self.list(vec![runner.listing.clone()], true).await?;
@@ -198,12 +197,12 @@
     async fn start_instances(&mut self, count: usize) -> Result<()> {
         for _ in 0..count {
             let listen = SocketAddr::new(self.ip, 0);
-            let token = self.links_end.token().clone();
+            let token = self.links_guard.token().clone();
             let link = Relay::bind(listen, self.platform.address, token).await?;
             self.platform_links.push(link);
         }
-        // An address that nothing else binds on: a stand-in or a link that takes any free port
-        // could else take that of an instance which has yet to start, or starts again.
+        // A separate loopback address for the instances: a stand-in or link that binds port 0
+        // could otherwise take the port of an instance that has yet to start or restart.
         let addresses = ports::free(ports::own_ip(), 3 * count)?;
         let peers: Vec<SocketAddr> = (0..count).map(|i| addresses[3 * i + 1]).collect();
         for i in 0..count {
@@ -228,7 +227,7 @@
             self.instances.push(instance);
         }
         for instance in &mut self.instances {
-            let deadline = Instant::now() + Duration::from_secs(READY_S);
+            let deadline = Instant::now() + Duration::from_secs(READY_TIMEOUT_S);
             instance.wait_operators(deadline).await?;
         }
         Ok(())
@@ -238,20 +237,20 @@
     ///
     /// # Errors
     ///
-    /// Where `jwctl` refuses, or the instances don't serve for long.
+    /// Fails if `jwctl` fails or the instances don't serve within the time-out.
     pub async fn apply(&self) -> Result<CtlOutput> {
         let schema = self.deployment.schema();
         let out = self.apply_file(&schema).await?;
         self.wait_serving().await?;
-        self.forget_probes().await?;
+        self.clear_probe_records().await?;
         Ok(out)
     }
 
-    /// Applies a schema file through `jwctl`, waiting until it is in force.
+    /// Applies a schema file through `jwctl` and waits until it is in force.
     ///
     /// # Errors
     ///
-    /// Where `jwctl` refuses.
+    /// Fails if `jwctl` fails.
     pub async fn apply_file(&self, schema: &std::path::Path) -> Result<CtlOutput> {
         let path = schema.display().to_string();
         let out = self.jwctl(0, &["apply", &path, "--wait"]).await?;
@@ -264,15 +263,17 @@
         Ok(out)
     }
 
-    /// Waits until every instance that runs names all of them to callers, knows what each runner
-    /// holds, and answers a request for one token.
+    /// Waits until every running instance is ready to serve.
+    ///
+    /// An instance is ready when it advertises all running instances to callers, knows the layers
+    /// that each running runner holds, and answers a request for one token.
     ///
     /// # Errors
     ///
-    /// Where one doesn't for long.
+    /// Fails if an instance isn't ready within the time-out.
     pub async fn wait_serving(&self) -> Result<()> {
         let caller = self.caller(self.deployment.organisations()[0])?;
-        let deadline = Instant::now() + Duration::from_secs(READY_S);
+        let deadline = Instant::now() + Duration::from_secs(READY_TIMEOUT_S);
         for instance in self.instances.iter().filter(|i| i.process.id().is_some()) {
             while !self.serves(instance, &caller).await? {
                 if Instant::now() > deadline {
@@ -280,7 +281,7 @@
                     let name = &instance.name;
                     return Err(Error::Other(format!("{name} does not serve:\n{log}")));
                 }
-                tokio::time::sleep(Duration::from_millis(ASK_MS)).await;
+                tokio::time::sleep(Duration::from_millis(POLL_MS)).await;
             }
         }
         Ok(())
@@ -303,7 +304,8 @@
         Ok(!self.covers_model() || self.probe(instance, caller).await)
     }
 
-    /// Whether the runners hold every layer of the model: else no request can be answered.
+    /// Returns whether the running runners together hold every layer of the model; without full
+    /// coverage no request can be answered.
     fn covers_model(&self) -> bool {
         let running = self.runners.iter().filter(|r| r.process.id().is_some());
         let held = running.flat_map(|r| &r.cfg.holds).map(|h| h.layers);
@@ -311,8 +313,10 @@
         (0..deployment::LAYERS).all(|l| held.iter().any(|h| (h.start..h.end).contains(&l)))
     }
 
-    /// Asks for one token. An instance may know the runners and not have planned over them yet:
-    /// it then refuses truthfully, and a test that begins there would see that refusal.
+    /// Requests one token and returns whether it was answered.
+    ///
+    /// An instance may know the runners before it has computed a placement over them. It
+    /// correctly refuses requests until then, and a test that started would see that refusal.
     async fn probe(&self, instance: &Instance, caller: &Caller) -> bool {
         let ask = ModelCall {
             pipeline: self.deployment.pipeline().into(),
@@ -326,8 +330,8 @@
             .answered()
     }
 
-    /// Has the runners forget what they ran for probes.
-    async fn forget_probes(&self) -> Result<()> {
+    /// Clears what the runners recorded for probes.
+    async fn clear_probe_records(&self) -> Result<()> {
         for (i, runner) in self.runners.iter().enumerate() {
             if runner.process.id().is_some() {
                 self.runner_admin(i).take_witness().await?;
@@ -336,7 +340,7 @@
         Ok(())
     }
 
-    /// Callers' addresses of all instances.
+    /// Returns the callers' addresses of all instances.
     #[must_use]
     pub fn entries(&self) -> Vec<SocketAddr> {
         self.instances.iter().map(|i| i.faces.callers).collect()
@@ -346,7 +350,7 @@
     ///
     /// # Errors
     ///
-    /// Where it can't be started.
+    /// Fails if the process can't be started.
     pub async fn jwctl(&self, i: usize, args: &[&str]) -> Result<CtlOutput> {
         let at = self.instances[i].faces.operators.to_string();
         let output = Command::new(program("jwctl")?)
@@ -364,71 +368,72 @@
         })
     }
 
-    /// A caller of an organisation of the sample schema.
+    /// Returns a client for an organisation of the sample schema.
     ///
     /// # Errors
     ///
-    /// Where no HTTP client can be made.
+    /// Fails if the HTTP client can't be built.
     pub fn caller(&self, organisation: &str) -> Result<Caller> {
         Caller::open(&Deployment::key(organisation))
     }
 
-    /// Admin client of the platform.
+    /// Returns an admin client of the platform.
     #[must_use]
     pub fn platform_admin(&self) -> PlatformAdmin {
         PlatformAdmin::new(self.client.clone(), self.platform.address)
     }
 
-    /// Admin client of the `i`-th runner.
+    /// Returns an admin client of the `i`-th runner.
     #[must_use]
     pub fn runner_admin(&self, i: usize) -> crate::admin::RunnerAdmin {
         crate::admin::RunnerAdmin::new(self.client.clone(), self.runners[i].listing.address)
     }
 
-    /// Admin client of the `i`-th service instance.
+    /// Returns an admin client of the `i`-th service instance.
     #[must_use]
     pub fn service_admin(&self, i: usize) -> crate::admin::ServiceAdmin {
         crate::admin::ServiceAdmin::new(self.client.clone(), self.services[i].listing.address)
     }
 
-    /// Kills the `i`-th instance where it still runs, starts it again with the same settings, and
-    /// lists it with its new incarnation.
+    /// Restarts the `i`-th instance with the same settings, killing it if it still runs, and lists
+    /// it with a new incarnation.
     ///
     /// # Errors
     ///
-    /// Where it can't be started.
+    /// Fails if the process can't be started.
     pub async fn restart_instance(&mut self, i: usize) -> Result<()> {
         self.instances[i].process.restart().await?;
         self.list(vec![self.instances[i].listing()], false).await
     }
 
-    /// The same for the `i`-th runner.
+    /// Restarts the `i`-th runner, killing it if it still runs, and lists it again.
     ///
     /// # Errors
     ///
-    /// Where it can't be started.
+    /// Fails if the process can't be started.
     pub async fn restart_runner(&mut self, i: usize) -> Result<()> {
         self.runners[i].restart().await?;
         self.list(vec![self.runners[i].listing.clone()], false)
             .await
     }
 
-    /// The same for the `i`-th service instance.
+    /// Restarts the `i`-th service instance, killing it if it still runs, and lists it again.
     ///
     /// # Errors
     ///
-    /// Where it can't be started.
+    /// Fails if the process can't be started.
     pub async fn restart_service(&mut self, i: usize) -> Result<()> {
         self.services[i].restart().await?;
         self.list(vec![self.services[i].listing.clone()], false)
             .await
     }
 
-    /// Puts instances into the platform's list, with its lag or without.
+    /// Adds or updates instances in the platform's list, immediately if `at_once`, else after its
+    /// lag.
     ///
     /// # Errors
     ///
-    /// Where the platform doesn't answer.
+    /// Fails if the platform doesn't answer.
     pub async fn list(&self, set: Vec<ListedInstance>, at_once: bool) -> Result<()> {
         let change = InstancesChange {
             set,
@@ -442,23 +447,24 @@
     ///
     /// # Errors
     ///
-    /// Where the platform doesn't answer.
+    /// Fails if the platform doesn't answer.
     pub async fn list_leaving(&self, mut listing: ListedInstance) -> Result<()> {
         listing.state = ListedState::Leaving;
         self.list(vec![listing], false).await
     }
 
-    /// Folder of settings and logs.
+    /// Returns the folder of settings and logs.
     #[must_use]
     pub fn folder(&self) -> PathBuf {
         self.dir.path().to_owned()
     }
 
-    /// Shuts everything down gracefully, instances first; kills what doesn't end.
+    /// Shuts all processes down gracefully, instances first, and kills those that don't exit in
+    /// time.
     ///
     /// # Errors
     ///
-    /// Where a process can't be waited for.
+    /// Fails if waiting for a process fails.
     pub async fn stop(mut self) -> Result<()> {
         let instances = self.instances.iter_mut().map(|i| &mut i.process);
         stop_all(instances.collect()).await?;
@@ -477,17 +483,17 @@
             let _ = process.terminate();
         }
     }
-    let deadline = Instant::now() + Duration::from_secs(STOP_S);
+    let deadline = Instant::now() + Duration::from_secs(STOP_TIMEOUT_S);
     for process in &mut processes {
-        let left = deadline.saturating_duration_since(Instant::now());
-        if process.ended(left).await?.is_none() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if process.ended(remaining).await?.is_none() {
             process.kill().await?;
         }
     }
     Ok(())
 }
 
-/// Group under which entry instances are listed.
+/// Returns the group under which entry instances are listed.
 pub(crate) fn entry_group() -> jacinthweir_policy::prelude::Name {
     ENTRY_GROUP.into()
 }
--- a/testkit/src/fleet/deployment.rs
+++ b/testkit/src/fleet/deployment.rs
@@ -1,4 +1,4 @@
-//! The two deployments: their names, samples, and what runs in them.
+//! The two sample deployments: names, schemas and runner configurations.
 
 use std::path::PathBuf;
 
@@ -8,11 +8,11 @@
 
 use crate::RunnerCfg;
 
-/// Token-layers a second of the accelerator that the samples' models are measured on: one layer
-/// takes 20 microseconds.
+/// Speed of the reference accelerator of the samples' models, in token-layers per second: one
+/// layer takes 20 microseconds.
 const REFERENCE_TOKEN_LAYERS_PER_S: f64 = 50_000.0;
 
-/// Layers of the samples' models.
+/// Number of layers of the samples' models.
 pub const LAYERS: u32 = 32;
 
 /// One of the two deployments.
@@ -28,10 +28,10 @@
 }
 
 impl Deployment {
-    /// Both.
+    /// Both deployments.
     pub const ALL: [Self; 2] = [Self::Associacao, Self::Tallinna];
 
-    /// Its failure domains.
+    /// Returns the failure domains of the deployment.
     #[must_use]
     pub fn domains(self) -> [&'static str; 3] {
         match self {
@@ -40,14 +40,14 @@
         }
     }
 
-    /// Failure domain of the `i`-th of a kind: dealt out in turn.
+    /// Returns the failure domain of the `i`-th process of a kind, assigned round-robin.
     #[must_use]
     pub fn domain(self, i: usize) -> Name {
         let domains = self.domains();
         domains[i % domains.len()].into()
     }
 
-    /// Model of its sample schema.
+    /// Returns the model of the sample schema.
     #[must_use]
     pub fn model(self) -> &'static str {
         match self {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Pipeline with the shortest answers.
+    /// Returns the pipeline with the shortest answers.
     #[must_use]
     pub fn pipeline(self) -> &'static str {
         match self {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Plain service, which is also the name of its group.
+    /// Returns the name of the plain service, which is also the name of its group.
     #[must_use]
     pub fn service(self) -> &'static str {
         match self {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A call that is not idempotent.
+    /// Returns a non-idempotent call of the plain service.
     #[must_use]
     pub fn non_idempotent_call(self) -> &'static str {
         match self {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// A call that is idempotent.
+    /// Returns an idempotent call of the plain service.
     #[must_use]
     pub fn idempotent_call(self) -> &'static str {
         match self {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Organisations of its sample schema, large ones first.
+    /// Returns the organisations of the sample schema, the large ones first.
     #[must_use]
     pub fn organisations(self) -> [&'static str; 10] {
         match self {
@@ -123,28 +123,28 @@
         }
     }
 
-    /// Key of an organisation of the sample schema.
+    /// Returns the API key of an organisation of the sample schema.
     #[must_use]
     pub fn key(organisation: &str) -> String {
         format!("{organisation}-sample-key")
     }
 
-    /// Its sample schema.
+    /// Returns the path of the sample schema.
     #[must_use]
     pub fn schema(self) -> PathBuf {
         let samples = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../samples");
         samples.join(format!("{self}.jsonc"))
     }
 
-    /// Settings of its `i`-th runner, but for the address.
+    /// Returns the configuration of the `i`-th runner, except for its address.
     #[must_use]
     pub fn runner(self, i: usize) -> RunnerSlot {
-        let (kind, start, end) = SLOTS[i % SLOTS.len()];
+        let (kind, start, end) = RUNNER_SLOTS[i % RUNNER_SLOTS.len()];
         let cfg = RunnerCfg {
             name: format!("runner-{}-{i:02}", kind.name()).into(),
             accelerator: kind.name().into(),
             token_layers_per_s: REFERENCE_TOKEN_LAYERS_PER_S * kind.speed(),
-            checks_fencing: kind != Kind::Small,
+            checks_fencing: kind != AcceleratorKind::Small,
             max_layers: kind.max_layers(),
             holds: vec![HeldLayers {
                 model: self.model().into(),
@@ -161,7 +161,7 @@
     }
 }
 
-/// Where a runner stands.
+/// Configuration of one runner of a deployment.
 #[derive(Clone, Debug)]
 pub struct RunnerSlot {
     /// Upstream group.
@@ -172,15 +172,15 @@
     pub cfg: RunnerCfg,
 }
 
-/// Kinds of accelerator of the samples.
+/// Kinds of accelerator in the samples.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Kind {
+enum AcceleratorKind {
     Fast,
     Medium,
     Small,
 }
 
-impl Kind {
+impl AcceleratorKind {
     fn name(self) -> &'static str {
         match self {
             Self::Fast => "fast",
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Against the reference, as the samples declare it.
+    /// Returns the speed relative to the reference accelerator, as the samples declare it.
     fn speed(self) -> f64 {
         match self {
             Self::Fast => 2.0,
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Layers that fit the memory, with room for the cache.
+    /// Returns the number of layers that fit in memory with headroom for the KV cache.
     fn max_layers(self) -> u32 {
         match self {
             Self::Fast => 18,
@@ -208,21 +208,22 @@
     }
 }
 
-/// Layer ranges of the runners, dealt out in turn. They overlap in part, and each layer is held
-/// by at least two of the first eight.
-const SLOTS: [(Kind, u32, u32); 14] = [
-    (Kind::Fast, 0, 12),
-    (Kind::Medium, 0, 8),
-    (Kind::Fast, 10, 22),
-    (Kind::Medium, 8, 16),
-    (Kind::Fast, 20, 32),
-    (Kind::Medium, 16, 24),
-    (Kind::Medium, 24, 32),
-    (Kind::Fast, 10, 22),
-    (Kind::Small, 0, 6),
-    (Kind::Small, 5, 11),
-    (Kind::Small, 10, 16),
-    (Kind::Small, 15, 21),
-    (Kind::Small, 20, 26),
-    (Kind::Small, 26, 32),
+/// Accelerator kind and layer range of the runners, assigned round-robin.
+///
+/// The ranges overlap in part, and each layer is held by at least two of the first eight runners.
+const RUNNER_SLOTS: [(AcceleratorKind, u32, u32); 14] = [
+    (AcceleratorKind::Fast, 0, 12),
+    (AcceleratorKind::Medium, 0, 8),
+    (AcceleratorKind::Fast, 10, 22),
+    (AcceleratorKind::Medium, 8, 16),
+    (AcceleratorKind::Fast, 20, 32),
+    (AcceleratorKind::Medium, 16, 24),
+    (AcceleratorKind::Medium, 24, 32),
+    (AcceleratorKind::Fast, 10, 22),
+    (AcceleratorKind::Small, 0, 6),
+    (AcceleratorKind::Small, 5, 11),
+    (AcceleratorKind::Small, 10, 16),
+    (AcceleratorKind::Small, 15, 21),
+    (AcceleratorKind::Small, 20, 26),
+    (AcceleratorKind::Small, 26, 32),
 ];
--- a/testkit/src/fleet/fault_points.rs
+++ b/testkit/src/fleet/fault_points.rs
@@ -1,6 +1,6 @@
-//! Arms the fault points of instances that run; see [`jacinthweir_kernel::fault_point`].
+//! Arms fault points of running instances; see [`jacinthweir_kernel::fault_point`].
 //!
-//! The instance's program with fault points is built apart from the shipped one, by [`BUILD`].
+//! The instance program with fault points is built separately from the shipped one, by [`BUILD`].
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -10,34 +10,34 @@
 use super::process::Process;
 use crate::{Error, Fleet, Result};
 
-/// The command that builds the program with fault points.
+/// Command that builds the instance program with fault points.
 pub const BUILD: &str =
     "cargo build --locked -p jacinthweir --features failpoints --target-dir target/failpoints";
-/// Environment variable that names the file of actions.
-const FILE: &str = "FAILPOINTS_FILE";
+/// Environment variable with the path of the actions file.
+const FILE_VAR: &str = "FAILPOINTS_FILE";
 
-/// What an instance does at a fault point.
+/// Action of an instance at a fault point.
 #[derive(Clone, Debug, derive_more::Display, PartialEq, Eq)]
 pub enum Action {
-    /// Ends at once.
+    /// Aborts the process.
     #[display("abort")]
     Abort,
-    /// Stands still until it is woken.
+    /// Stops the process until it is continued.
     #[display("stop")]
     Stop,
-    /// The task waits, in milliseconds.
+    /// Delays the task, in milliseconds.
     #[display("sleep:{_0}")]
     Sleep(u64),
-    /// The task waits until the file exists.
+    /// Blocks the task until the file exists.
     #[display("hold:{}", _0.display())]
     Hold(PathBuf),
 }
 
-/// The program with fault points.
+/// Returns the path of the instance program with fault points.
 ///
 /// # Errors
 ///
-/// Where it isn't built.
+/// Fails if the program isn't built.
 pub fn program() -> Result<PathBuf> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../target/failpoints/debug/jacinthweir");
     if path.is_file() {
@@ -48,14 +48,14 @@
 }
 
 pub(super) fn env(dir: &Path, i: usize) -> Vec<(OsString, OsString)> {
-    vec![(FILE.into(), file(dir, i).into())]
+    vec![(FILE_VAR.into(), actions_path(dir, i).into())]
 }
 
-fn file(dir: &Path, i: usize) -> PathBuf {
+fn actions_path(dir: &Path, i: usize) -> PathBuf {
     dir.join(format!("entry-{i}.failpoints"))
 }
 
-/// How often an instance has reached an armed point.
+/// Returns how often an instance has reached an armed fault point, according to its log.
 #[must_use]
 pub fn reached(process: &Process, step: Step) -> usize {
     process
@@ -65,28 +65,29 @@
 }
 
 impl Fleet {
-    /// Has the `i`-th instance act once at `step`, after passing it `skip` times.
+    /// Arms `action` on the `i`-th instance for one execution of `step`, after `skip` passes.
     ///
     /// # Errors
     ///
-    /// Where the file can't be written.
+    /// Fails if the actions file can't be written.
     pub fn arm(&self, i: usize, step: Step, skip: u32, action: &Action) -> Result<()> {
         let skip = match skip {
             0 => String::new(),
             n => format!("{n}*off->"),
         };
-        // An instance reads a file anew where it differs: the same action twice counts twice.
+        // An instance reloads the file only when its contents change; the unique comment re-arms
+        // an action that is identical to the previous one.
         let unique = uuid::Uuid::now_v7();
         let line = format!("{step}={skip}1*return({action})->off\n# {unique}\n");
-        Ok(std::fs::write(file(&self.folder(), i), line)?)
+        Ok(std::fs::write(actions_path(&self.folder(), i), line)?)
     }
 
-    /// Disarms the `i`-th instance.
+    /// Disarms all fault points of the `i`-th instance.
     ///
     /// # Errors
     ///
-    /// Where the file can't be written.
+    /// Fails if the actions file can't be written.
     pub fn disarm(&self, i: usize) -> Result<()> {
-        Ok(std::fs::write(file(&self.folder(), i), "")?)
+        Ok(std::fs::write(actions_path(&self.folder(), i), "")?)
     }
 }
--- a/testkit/src/fleet/instance.rs
+++ b/testkit/src/fleet/instance.rs
@@ -1,4 +1,4 @@
-//! One entry instance of a fleet.
+//! Entry instance of a fleet.
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -17,53 +17,53 @@
 use crate::http::unix_ms;
 use crate::{Error, Operator, Result};
 
-/// The token between instances of every fleet.
+/// Token that the instances of a fleet use between each other.
 const PEERS_TOKEN: &str = "peers-token-of-the-test-kit";
-/// Longest call of the platform, in milliseconds.
+/// Time-out of calls to the platform, in milliseconds.
 const PLATFORM_TIMEOUT_MS: u64 = 1_000;
 
-/// Addresses of an instance.
+/// Listen addresses of an instance.
 #[derive(Clone, Copy, Debug)]
 pub struct Faces {
-    /// Towards callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Towards other instances.
+    /// Address for other instances.
     pub peers: SocketAddr,
-    /// Towards operators.
+    /// Address for operators.
     pub operators: SocketAddr,
 }
 
-/// What to start.
+/// Configuration of an instance process.
 #[derive(Clone, Debug)]
 pub struct InstanceSpec {
     /// Deployment.
     pub deployment: Deployment,
-    /// Number within the fleet, from 0.
+    /// Index within the fleet, from 0.
     pub number: usize,
-    /// Its addresses.
+    /// Listen addresses.
     pub faces: Faces,
-    /// All instances' peer addresses.
+    /// Peer addresses of all instances.
     pub peers: Vec<SocketAddr>,
-    /// The platform's address.
+    /// Address of the platform.
     pub platform: SocketAddr,
     /// The operators' token.
     pub operators_token: String,
     /// Periods and time-outs.
     pub timing: Timing,
-    /// Another program than the one that is built with the test kit.
+    /// Program to run instead of the one built with the test kit.
     pub program: Option<PathBuf>,
-    /// Environment variables on top of the own ones.
+    /// Environment variables in addition to the inherited ones.
     pub env: Vec<(OsString, OsString)>,
 }
 
-/// An entry instance as a process of its own.
+/// An entry instance in a separate process.
 #[derive(Debug)]
 pub struct Instance {
     /// Name.
     pub name: Name,
     /// Failure domain.
     pub domain: Name,
-    /// Its addresses.
+    /// Listen addresses.
     pub faces: Faces,
     /// The process.
     pub process: Process,
@@ -71,11 +71,11 @@
 }
 
 impl Instance {
-    /// Writes its settings file into `dir` and starts it.
+    /// Writes the settings file into `dir` and starts the process.
     ///
     /// # Errors
     ///
-    /// Where it isn't built or can't be started.
+    /// Fails if the program isn't built or can't be started.
     pub fn spawn(spec: InstanceSpec, dir: &Path) -> Result<Self> {
         let name: Name = format!("entry-{}", spec.number).into();
         let domain = spec.deployment.domain(spec.number);
@@ -100,7 +100,7 @@
         })
     }
 
-    /// Its line in the platform's list, as of now.
+    /// Returns its entry for the platform's list, with the current time as its incarnation.
     #[must_use]
     pub fn listing(&self) -> ListedInstance {
         ListedInstance {
@@ -113,26 +113,26 @@
         }
     }
 
-    /// A client of its operators' listener.
+    /// Returns a client of its operators' listener.
     ///
     /// # Errors
     ///
-    /// Where no HTTP client can be made.
+    /// Fails if the HTTP client can't be built.
     pub fn operator(&self) -> Result<Operator> {
         Operator::open(self.faces.operators, &self.operators_token)
     }
 
-    /// Waits until it answers its operators.
+    /// Waits until the instance answers its operators.
     ///
     /// # Errors
     ///
-    /// Where it ends, or doesn't answer until `deadline`.
+    /// Fails if the process exits or doesn't answer by `deadline`.
     pub async fn wait_operators(&mut self, deadline: Instant) -> Result<()> {
         let operator = self.operator()?;
         while !operator.answers().await {
             let ended = self
                 .process
-                .ended(Duration::from_millis(super::ASK_MS))
+                .ended(Duration::from_millis(super::POLL_MS))
                 .await?;
             if ended.is_some() || Instant::now() > deadline {
                 return Err(Error::Other(format!(
--- a/testkit/src/fleet/process.rs
+++ b/testkit/src/fleet/process.rs
@@ -1,8 +1,8 @@
-//! One process of a fleet, held by its handle.
+//! Handle of a child process of a fleet.
 //!
-//! The handle starts, signals and restarts exactly the process it started. Dropping it kills the
-//! process, so that a test that fails leaves nothing running. Standard error goes to a file;
-//! every start appends to it.
+//! A handle signals and restarts only the process that it started. Dropping it kills the process,
+//! so a failing test leaves no process behind. Standard error is appended to a log file, also
+//! across restarts.
 
 use std::ffi::OsString;
 use std::fs::OpenOptions;
@@ -16,23 +16,23 @@
 
 use crate::{Error, Result};
 
-/// Longest wait for a stand-in's first line.
-const FIRST_LINE_WAIT: Duration = Duration::from_secs(20);
+/// Time-out for a stand-in's first line of output.
+const FIRST_LINE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What to start.
+/// Command line, environment and log file of a process.
 #[derive(Clone, Debug)]
 pub struct ProcessSpec {
     /// Program.
     pub program: PathBuf,
     /// Arguments.
     pub args: Vec<OsString>,
-    /// Environment variables on top of the own ones.
+    /// Environment variables in addition to the inherited ones.
     pub env: Vec<(OsString, OsString)>,
-    /// File that takes standard error.
+    /// File that standard error is appended to.
     pub log: PathBuf,
 }
 
-/// A process that was started.
+/// A child process; killed on drop.
 #[derive(Debug)]
 pub struct Process {
     spec: ProcessSpec,
@@ -40,91 +40,93 @@
 }
 
 impl Process {
-    /// Starts it.
+    /// Starts the process.
     ///
     /// # Errors
     ///
-    /// Where it can't be started.
+    /// Fails if the process can't be started.
     pub fn spawn(spec: ProcessSpec) -> Result<Self> {
         let child = start(&spec)?;
         Ok(Self { spec, child })
     }
 
-    /// Reads the first line that it prints.
+    /// Reads the first line of standard output.
     ///
     /// # Errors
     ///
-    /// Where it ends or is silent for long.
+    /// Fails if the process exits or prints no line within the time-out.
     pub async fn first_line(&mut self) -> Result<String> {
         let Some(out) = self.child.stdout.take() else {
-            return Err(Error::Other("its first line was read before".to_owned()));
+            return Err(Error::Other(
+                "the first line of standard output was already read".to_owned(),
+            ));
         };
         let mut line = String::new();
         let mut reader = BufReader::new(out);
-        let read = tokio::time::timeout(FIRST_LINE_WAIT, reader.read_line(&mut line)).await;
+        let read = tokio::time::timeout(FIRST_LINE_TIMEOUT, reader.read_line(&mut line)).await;
         match read {
             Ok(Ok(n)) if n > 0 => Ok(line.trim_end().to_owned()),
             _ => Err(Error::Other(format!(
-                "{} printed nothing; its log ends with:\n{}",
+                "{} printed no first line; its log ends with:\n{}",
                 self.spec.program.display(),
                 self.log_tail()
             ))),
         }
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits for its exit.
     ///
     /// # Errors
     ///
-    /// Where it can't be signalled.
+    /// Fails if the process can't be signalled.
     pub async fn kill(&mut self) -> Result<()> {
         Ok(self.child.kill().await?)
     }
 
-    /// Stops it from running, as a paused machine does.
+    /// Pauses the process with `SIGSTOP`, like a paused machine.
     ///
     /// # Errors
     ///
-    /// Where it has ended.
+    /// Fails if the process has exited.
     pub fn freeze(&self) -> Result<()> {
         self.signal(Signal::STOP)
     }
 
-    /// Lets a frozen process run on.
+    /// Resumes a paused process with `SIGCONT`.
     ///
     /// # Errors
     ///
-    /// Where it has ended.
+    /// Fails if the process has exited.
     pub fn wake(&self) -> Result<()> {
         self.signal(Signal::CONT)
     }
 
-    /// Asks it to shut down gracefully.
+    /// Requests a graceful shutdown with `SIGTERM`.
     ///
     /// # Errors
     ///
-    /// Where it has ended.
+    /// Fails if the process has exited.
     pub fn terminate(&self) -> Result<()> {
         self.signal(Signal::TERM)
     }
 
-    /// Waits for its end; `None`: it still ran after `longest`.
+    /// Waits for the exit; returns `None` if the process still runs after `timeout`.
     ///
     /// # Errors
     ///
-    /// Where it can't be waited for.
-    pub async fn ended(&mut self, longest: Duration) -> Result<Option<ExitStatus>> {
-        match tokio::time::timeout(longest, self.child.wait()).await {
+    /// Fails if waiting for the process fails.
+    pub async fn ended(&mut self, timeout: Duration) -> Result<Option<ExitStatus>> {
+        match tokio::time::timeout(timeout, self.child.wait()).await {
             Ok(status) => Ok(Some(status?)),
             Err(_) => Ok(None),
         }
     }
 
-    /// Kills it where it still runs, and starts it again with the same arguments.
+    /// Restarts the process with the same arguments, killing it if it still runs.
     ///
     /// # Errors
     ///
-    /// Where it can't be started.
+    /// Fails if the process can't be started.
     pub async fn restart(&mut self) -> Result<()> {
         if self.child.id().is_some() {
             self.kill().await?;
@@ -133,17 +135,17 @@
         Ok(())
     }
 
-    /// The same with other arguments.
+    /// Restarts the process with other arguments, killing it if it still runs.
     ///
     /// # Errors
     ///
-    /// Where it can't be started.
+    /// Fails if the process can't be started.
     pub async fn restart_with(&mut self, args: Vec<OsString>) -> Result<()> {
         self.spec.args = args;
         self.restart().await
     }
 
-    /// Whether the kernel has stopped it.
+    /// Returns whether the process is in the stopped state.
     #[must_use]
     pub fn stands_still(&self) -> bool {
         let Some(id) = self.child.id() else {
@@ -154,20 +156,20 @@
         state.is_some_and(|rest| rest.starts_with('T'))
     }
 
-    /// Process id; `None`: it has ended.
+    /// Returns the process id, or `None` once the exit was observed.
     #[must_use]
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// What it has logged.
+    /// Returns the whole log.
     #[must_use]
     pub fn log(&self) -> String {
         let bytes = std::fs::read(&self.spec.log).unwrap_or_default();
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
-    /// The last lines that it has logged.
+    /// Returns the last lines of the log.
     #[must_use]
     pub fn log_tail(&self) -> String {
         const LINES: usize = 20;
@@ -202,11 +204,11 @@
     Ok(child)
 }
 
-/// Finds a program of this workspace in the target directory that the running one is from.
+/// Returns the path of a workspace program in the current executable's target directory.
 ///
 /// # Errors
 ///
-/// Where it isn't built.
+/// Fails if the program isn't built.
 pub fn program(name: &str) -> Result<PathBuf> {
     let own = std::env::current_exe()?;
     let found = own
--- a/testkit/src/fleet/standin.rs
+++ b/testkit/src/fleet/standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of a fleet, each as a process of its own.
+//! The stand-ins of a fleet, each in a separate process.
 
 use std::ffi::OsString;
 use std::net::{IpAddr, SocketAddr};
@@ -13,8 +13,8 @@
 use crate::http::unix_ms;
 use crate::{Error, PlatformCfg, Result, RunnerCfg, ServiceCfg};
 
-/// What the first line of a stand-in begins with.
-const LISTENING: &str = "listening ";
+/// Prefix of the first line that a stand-in prints, before its address.
+const LISTENING_PREFIX: &str = "listening ";
 
 /// The stand-in platform.
 #[derive(Debug)]
@@ -26,11 +26,11 @@
 }
 
 impl PlatformProcess {
-    /// Starts it.
+    /// Starts the process.
     ///
     /// # Errors
     ///
-    /// Where it isn't built or can't be started.
+    /// Fails if the program isn't built or can't be started.
     pub async fn spawn(cfg: PlatformCfg, dir: &Path) -> Result<Self> {
         let (process, address) = spawn("platform", "platform", &cfg, dir).await?;
         Ok(Self { address, process })
@@ -40,26 +40,26 @@
 /// A stand-in runner.
 #[derive(Debug)]
 pub struct RunnerProcess {
-    /// Its line in the platform's list.
+    /// Entry for the platform's list.
     pub listing: ListedInstance,
-    /// Its settings.
+    /// Settings.
     pub cfg: RunnerCfg,
     /// The process.
     pub process: Process,
 }
 
 impl RunnerProcess {
-    /// Starts it.
+    /// Starts the process.
     ///
     /// # Errors
     ///
-    /// Where it isn't built or can't be started.
+    /// Fails if the program isn't built or can't be started.
     pub async fn spawn(slot: RunnerSlot, ip: IpAddr, dir: &Path) -> Result<Self> {
         let mut cfg = slot.cfg;
         cfg.listen = SocketAddr::new(ip, 0);
         cfg.incarnation = unix_ms();
         let (process, address) = spawn("runner", &cfg.name, &cfg, dir).await?;
-        // Kept over restarts.
+        // A restart binds the same address again.
         cfg.listen = address;
         let listing = ListedInstance {
             name: cfg.name.clone(),
@@ -76,18 +76,18 @@
         })
     }
 
-    /// Kills it and starts it again at the same address, with a new incarnation, empty caches and
-    /// the layers of its settings. The caller lists it again.
+    /// Restarts the runner at the same address with a new incarnation, empty caches and the layers
+    /// of its settings, killing it if it still runs. The caller must list it again.
     ///
     /// # Errors
     ///
-    /// Where it can't be started.
+    /// Fails if the process can't be started.
     pub async fn restart(&mut self) -> Result<()> {
         self.cfg.incarnation = unix_ms().max(self.cfg.incarnation + 1);
         self.listing.incarnation = self.cfg.incarnation;
         let args = args("runner", &self.cfg)?;
         self.process.restart_with(args).await?;
-        listening(&mut self.process).await?;
+        wait_listening(&mut self.process).await?;
         Ok(())
     }
 }
@@ -95,7 +95,7 @@
 /// A stand-in service.
 #[derive(Debug)]
 pub struct ServiceProcess {
-    /// Its line in the platform's list.
+    /// Entry for the platform's list.
     pub listing: ListedInstance,
     /// The process.
     pub process: Process,
@@ -103,11 +103,11 @@
 }
 
 impl ServiceProcess {
-    /// Starts the `i`-th of a deployment.
+    /// Starts the `i`-th service instance of a deployment.
     ///
     /// # Errors
     ///
-    /// Where it isn't built or can't be started.
+    /// Fails if the program isn't built or can't be started.
     pub async fn spawn(deployment: Deployment, i: usize, ip: IpAddr, dir: &Path) -> Result<Self> {
         let group = deployment.service();
         let name: Name = format!("{group}-{i}").into();
@@ -117,7 +117,7 @@
             ..ServiceCfg::default()
         };
         let (process, address) = spawn("service", &name, &cfg, dir).await?;
-        // Kept over restarts.
+        // A restart binds the same address again.
         cfg.listen = address;
         let listing = ListedInstance {
             name,
@@ -134,17 +134,17 @@
         })
     }
 
-    /// Kills it and starts it again at the same address with a new incarnation; what it ran
-    /// before is forgotten. The caller lists it again.
+    /// Restarts the service at the same address with a new incarnation and no record of earlier
+    /// calls, killing it if it still runs. The caller must list it again.
     ///
     /// # Errors
     ///
-    /// Where it can't be started.
+    /// Fails if the process can't be started.
     pub async fn restart(&mut self) -> Result<()> {
         self.listing.incarnation = unix_ms().max(self.listing.incarnation + 1);
         let args = args("service", &self.cfg)?;
         self.process.restart_with(args).await?;
-        listening(&mut self.process).await?;
+        wait_listening(&mut self.process).await?;
         Ok(())
     }
 }
@@ -161,7 +161,7 @@
         args: args(kind, cfg)?,
         log: dir.join(format!("{name}.log")),
     })?;
-    let address = listening(&mut process).await?;
+    let address = wait_listening(&mut process).await?;
     Ok((process, address))
 }
 
@@ -169,9 +169,15 @@
     Ok(vec![kind.into(), serde_json::to_string(cfg)?.into()])
 }
 
-/// Waits until the stand-in says where it listens.
-async fn listening(process: &mut Process) -> Result<SocketAddr> {
+/// Waits for the first line of the stand-in and returns its listen address.
+async fn wait_listening(process: &mut Process) -> Result<SocketAddr> {
     let line = process.first_line().await?;
-    let address = line.strip_prefix(LISTENING).and_then(|a| a.parse().ok());
-    address.ok_or_else(|| Error::Other(format!("a stand-in printed {line:?}")))
+    let address = line
+        .strip_prefix(LISTENING_PREFIX)
+        .and_then(|a| a.parse().ok());
+    address.ok_or_else(|| {
+        Error::Other(format!(
+            "a stand-in printed {line:?} instead of its listen address"
+        ))
+    })
 }
