--- a/testkit/src/platform.rs
+++ b/testkit/src/platform.rs
@@ -1,26 +1,26 @@
-//! Stand-in for the platform's service.
+//! Stand-in for the platform.
 //!
-//! It speaks the interface of [`jacinthweir_wire::platform`]. Objects live in memory
-//! ([`store`]); versions come from one counter over all objects, so a version is also the place
-//! of a change in the order of all changes, which is what a watch passes as `after`. The list of
-//! instances shows a change only `lag_ms` after it was made ([`instances`]).
+//! Implements the interface of [`jacinthweir_wire::platform`]. Objects are kept in memory
+//! ([`store`]). Versions come from one counter over all objects, so a version is also the
+//! sequence number of a change, which a watch passes as `after`. The list of instances shows a
+//! change only `lag_ms` after it was made ([`instances`]).
 //!
-//! Writes are applied under one lock in one step, so a call whose connection breaks either took
-//! effect whole or not at all.
+//! Writes are applied atomically under one lock, so a call whose connection breaks took effect
+//! either completely or not at all.
 //!
 //! # Admin interface, for tests only
 //!
 //! | call | meaning |
 //! |---|---|
 //! | `POST /admin/instances` | body [`admin::InstancesChange`] |
-//! | `POST /admin/fault` | body [`fault::Fault`]: how calls fail from now on |
-//! | `POST /admin/snapshot` | keeps a copy of all objects |
-//! | `POST /admin/restore` | goes back to that copy, versions included; 409 where there is none |
+//! | `POST /admin/fault` | body [`fault::Fault`]: the fault injected into subsequent calls |
+//! | `POST /admin/snapshot` | takes a snapshot of all objects |
+//! | `POST /admin/restore` | restores the snapshot, versions included; 409 if there is none |
 //! | `POST /admin/rates` | body [`rate::Rates`] |
 //! | `GET /admin/counts` | [`admin::Counts`] |
-//! | `GET /admin/objects` | `[Object]`, all of them, in the order of their keys |
+//! | `GET /admin/objects` | `[Object]`: all objects, ordered by key |
 //!
-//! Admin calls are not counted and never fail by a fault.
+//! Admin calls are not counted, and faults do not apply to them.
 
 pub mod admin;
 pub mod fault;
@@ -48,13 +48,13 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlatformCfg {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 picks a free one.
     pub listen: SocketAddr,
-    /// How long the list of instances lags behind, in milliseconds.
+    /// Lag of the list of instances behind its changes, in milliseconds.
     pub lag_ms: u64,
-    /// What it takes a second.
+    /// Rate limits.
     pub rates: Rates,
-    /// Time each call takes, in microseconds.
+    /// Latency added to each call, in microseconds.
     pub latency_us: u64,
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// A running stand-in platform; ends with its cancellation token.
+/// A running stand-in platform; stops when its cancellation token is cancelled.
 #[derive(Clone)]
 pub struct Platform {
     /// Bound address.
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     ///
-    /// Where the address can't be bound.
+    /// Fails if the address can't be bound.
     pub async fn bind(cfg: PlatformCfg, token: CancellationToken) -> Result<Self> {
         let listen = cfg.listen;
         let state = Arc::new(State::new(cfg));
@@ -91,17 +91,17 @@
         Ok(Self { address, state })
     }
 
-    /// Changes the listed instances; the list shows it after the lag.
+    /// Changes the listed instances; the change is visible after the lag.
     pub fn set_instances(&self, change: admin::InstancesChange) {
         self.state.lock().instances.change(change);
     }
 
-    /// Sets how calls fail from now on.
+    /// Sets the fault injected into subsequent calls.
     pub fn set_fault(&self, fault: Fault) {
         self.state.set_fault(fault);
     }
 
-    /// What was called so far.
+    /// Returns the call counters.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.state.lock().counts.clone()
@@ -112,13 +112,13 @@
 pub(crate) struct State {
     cfg: PlatformCfg,
     inner: Mutex<Inner>,
-    /// Newest sequence, for waiting watches.
+    /// Version of the newest change; wakes waiting watches.
     newest: watch::Sender<u64>,
-    /// Count of fault changes, for calls that hang or wait.
+    /// Number of fault changes; wakes hanging calls and waiting watches.
     faults: watch::Sender<u64>,
 }
 
-/// What the lock guards.
+/// State guarded by the lock.
 pub(crate) struct Inner {
     store: Store,
     snapshot: Option<Store>,
@@ -151,13 +151,13 @@
     }
 
     fn set_fault(&self, fault: Fault) {
-        log::info!("fault {fault:?}");
+        log::info!("injecting fault {fault:?}");
         self.lock().fault = fault;
         self.faults.send_modify(|n| *n += 1);
     }
 
-    /// Tells waiting watches that something changed.
-    fn changed(&self) {
+    /// Wakes waiting watches after a change.
+    fn notify_watches(&self) {
         let newest = self.lock().store.newest();
         self.newest.send_replace(newest);
     }
--- a/testkit/src/platform/admin.rs
+++ b/testkit/src/platform/admin.rs
@@ -4,24 +4,24 @@
 use jacinthweir_wire::platform::ListedInstance;
 use serde::{Deserialize, Serialize};
 
-/// A change of the list of instances.
+/// Change to the list of instances.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct InstancesChange {
-    /// Drop all others first.
+    /// Whether to remove all instances first.
     pub replace: bool,
-    /// Show it without the lag.
+    /// Whether the change is visible without the lag.
     pub at_once: bool,
-    /// Names to take out.
+    /// Names of the instances to remove.
     pub remove: Vec<Name>,
-    /// Instances to put in or to change.
+    /// Instances to add or update.
     pub set: Vec<ListedInstance>,
 }
 
-/// What was called so far.
+/// Call counters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Reads of one object.
+    /// Reads of single objects.
     pub gets: u64,
     /// Writes.
     pub puts: u64,
@@ -29,17 +29,17 @@
     pub deletes: u64,
     /// Lists of objects.
     pub lists: u64,
-    /// Watches begun.
+    /// Watches started.
     pub watches: u64,
     /// Reads of the list of instances.
     pub instances: u64,
-    /// Watches waiting now.
+    /// Watches currently waiting.
     pub waiting: u64,
-    /// Calls refused by the rate.
+    /// Calls refused by the rate limit.
     pub refused_by_rate: u64,
-    /// Calls that failed or hung by a fault.
+    /// Calls that failed or hung because of a fault.
     pub failed: u64,
-    /// Writes that a fault left unanswered or made late.
+    /// Writes whose answer was lost or that were delayed by a fault.
     #[serde(default)]
     pub spoilt: u64,
 }
--- a/testkit/src/platform/fault.rs
+++ b/testkit/src/platform/fault.rs
@@ -1,68 +1,69 @@
-//! How the platform fails on request.
+//! Fault injection for the stand-in platform.
 
 use serde::{Deserialize, Serialize};
 
-/// How calls fail from now on.
+/// Fault injected into subsequent calls.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "mode", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
-    /// They don't.
+    /// No fault.
     #[default]
     None,
-    /// 503, without effect; waiting watches end with it too.
+    /// Calls are answered with 503 and have no effect; waiting watches end likewise.
     Outage,
-    /// Accepted and never answered; without effect. Ends, by closing the connection, when the
-    /// fault is changed.
+    /// Calls are accepted, have no effect and are not answered; their connections are closed when
+    /// the fault changes.
     Hang,
-    /// Each call takes longer.
+    /// Calls are delayed.
     Slow {
-        /// Added time, in milliseconds.
+        /// Added latency, in milliseconds.
         ms: u64,
     },
-    /// The next writes take effect, but their connections are closed with no answer.
+    /// The next writes take effect, but their connections are closed without an answer.
     LoseAnswers {
-        /// How many.
+        /// Number of writes affected.
         next: u32,
-        /// Of keys below this prefix.
+        /// Prefix of the keys affected.
         #[serde(default)]
         prefix: String,
     },
-    /// The next writes are applied that long after their connections were closed with no answer.
+    /// The connections of the next writes are closed without an answer, and the writes are applied
+    /// later.
     LateWrites {
-        /// How many.
+        /// Number of writes affected.
         next: u32,
-        /// How late, in milliseconds.
+        /// Delay of the write after the close, in milliseconds.
         ms: u64,
-        /// Of keys below this prefix.
+        /// Prefix of the keys affected.
         #[serde(default)]
         prefix: String,
     },
 }
 
-/// What happens to one write.
+/// Effect of the fault on one write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum WriteFate {
-    /// Applied and answered.
+pub(crate) enum WriteEffect {
+    /// The write is applied and answered.
     Answered,
-    /// Applied, not answered.
+    /// The write is applied and its answer is lost.
     AnswerLost,
-    /// Applied that many milliseconds after the connection is closed.
+    /// The write is applied this many milliseconds after its connection is closed.
     Late(u64),
 }
 
 impl Fault {
-    /// Decides on one write and counts it.
-    pub(crate) fn write_fate(&mut self, key: &str) -> WriteFate {
+    /// Returns the effect on a write to `key` and decrements the remaining count.
+    pub(crate) fn effect_on_write(&mut self, key: &str) -> WriteEffect {
         match self {
             Self::LoseAnswers { next, prefix } if *next > 0 && key.starts_with(&**prefix) => {
                 *next -= 1;
-                WriteFate::AnswerLost
+                WriteEffect::AnswerLost
             }
             Self::LateWrites { next, ms, prefix } if *next > 0 && key.starts_with(&**prefix) => {
                 *next -= 1;
-                WriteFate::Late(*ms)
+                WriteEffect::Late(*ms)
             }
-            _ => WriteFate::Answered,
+            _ => WriteEffect::Answered,
         }
     }
 }
--- a/testkit/src/platform/instances.rs
+++ b/testkit/src/platform/instances.rs
@@ -1,4 +1,4 @@
-//! The list of instances, which shows a change only after a lag.
+//! The list of instances, in which a change becomes visible only after a lag.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -8,27 +8,27 @@
 
 use super::admin::InstancesChange;
 
-/// The list as it is and as it shows.
+/// The visible list and the changes that are not visible yet.
 #[derive(Debug)]
 pub struct Instances {
     lag: Duration,
-    shown: BTreeMap<Name, ListedInstance>,
-    /// Changes not shown yet, oldest first.
+    visible: BTreeMap<Name, ListedInstance>,
+    /// Changes that are not visible yet with the time they become so, oldest first.
     pending: VecDeque<(Instant, InstancesChange)>,
 }
 
 impl Instances {
-    /// An empty list.
+    /// Returns an empty list.
     #[must_use]
     pub fn new(lag_ms: u64) -> Self {
         Self {
             lag: Duration::from_millis(lag_ms),
-            shown: BTreeMap::new(),
+            visible: BTreeMap::new(),
             pending: VecDeque::new(),
         }
     }
 
-    /// Takes a change; it shows after the lag, or at once where it says so.
+    /// Queues a change, which becomes visible after the lag or, with `at_once`, without it.
     pub fn change(&mut self, change: InstancesChange) {
         let lag = if change.at_once {
             Duration::ZERO
@@ -38,8 +38,8 @@
         self.pending.push_back((Instant::now() + lag, change));
     }
 
-    /// The list as it shows now.
-    pub fn shown(&mut self) -> InstanceList {
+    /// Returns the list as currently visible.
+    pub fn visible(&mut self) -> InstanceList {
         let now = Instant::now();
         while self.pending.front().is_some_and(|(at, _)| *at <= now) {
             if let Some((_, change)) = self.pending.pop_front() {
@@ -47,19 +47,19 @@
             }
         }
         InstanceList {
-            instances: self.shown.values().cloned().collect(),
+            instances: self.visible.values().cloned().collect(),
         }
     }
 
     fn apply(&mut self, change: InstancesChange) {
         if change.replace {
-            self.shown.clear();
+            self.visible.clear();
         }
         for name in &change.remove {
-            self.shown.remove(name);
+            self.visible.remove(name);
         }
         for instance in change.set {
-            self.shown.insert(instance.name.clone(), instance);
+            self.visible.insert(instance.name.clone(), instance);
         }
     }
 }
--- a/testkit/src/platform/rate.rs
+++ b/testkit/src/platform/rate.rs
@@ -1,20 +1,20 @@
-//! What the platform takes a second, as two token buckets.
+//! Rate limits of the stand-in platform: one token bucket each for reads and writes.
 
 use std::time::Instant;
 
 use serde::{Deserialize, Serialize};
 
-/// Calls a second; absent: no limit.
+/// Rate limits; `None` means unlimited.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rates {
-    /// Writes a second.
+    /// Writes per second.
     pub writes_per_s: Option<u32>,
-    /// Reads a second; a watch counts as one however long it waits.
+    /// Reads per second; a watch counts as one read regardless of how long it waits.
     pub reads_per_s: Option<u32>,
 }
 
-/// The two buckets.
+/// Token buckets for reads and writes.
 #[derive(Debug)]
 pub struct Buckets {
     writes: Bucket,
@@ -22,7 +22,7 @@
 }
 
 impl Buckets {
-    /// Full buckets.
+    /// Returns full buckets.
     #[must_use]
     pub fn new(rates: Rates) -> Self {
         Self {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Takes one call; `false`: the rate is exceeded.
+    /// Takes a token for one call; returns `false` if the rate is exceeded.
     pub fn take(&mut self, write: bool) -> bool {
         let bucket = if write {
             &mut self.writes
@@ -42,20 +42,20 @@
     }
 }
 
-/// One bucket that holds a second's worth.
+/// Token bucket with a capacity of one second's tokens.
 #[derive(Debug)]
 struct Bucket {
     per_s: Option<u32>,
-    level: f64,
-    at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl Bucket {
     fn new(per_s: Option<u32>) -> Self {
         Self {
             per_s,
-            level: f64::from(per_s.unwrap_or(0)),
-            at: Instant::now(),
+            tokens: f64::from(per_s.unwrap_or(0)),
+            refilled_at: Instant::now(),
         }
     }
 
@@ -63,13 +63,13 @@
         let Some(per_s) = self.per_s.map(f64::from) else {
             return true;
         };
-        let refill = now.duration_since(self.at).as_secs_f64() * per_s;
-        self.level = (self.level + refill).min(per_s);
-        self.at = now;
-        if self.level < 1.0 {
+        let refill = now.duration_since(self.refilled_at).as_secs_f64() * per_s;
+        self.tokens = (self.tokens + refill).min(per_s);
+        self.refilled_at = now;
+        if self.tokens < 1.0 {
             return false;
         }
-        self.level -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
--- a/testkit/src/platform/routes.rs
+++ b/testkit/src/platform/routes.rs
@@ -1,4 +1,4 @@
-//! Handlers of the platform's calls.
+//! HTTP handlers of the stand-in platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,25 +9,25 @@
 
 use super::State;
 use super::admin::InstancesChange;
-use super::fault::{Fault, WriteFate};
+use super::fault::{Fault, WriteEffect};
 use super::rate::{Buckets, Rates};
 use super::store::{Store, WriteOutcome};
 use crate::http::{body, json, state};
 
-/// Largest value, in bytes.
+/// Maximum size of a value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
-/// Longest wait of a watch, in milliseconds.
-const MAX_WAIT_MS: u64 = 60_000;
+/// Maximum wait of a watch, in milliseconds.
+const MAX_WATCH_WAIT_MS: u64 = 60_000;
 
 pub(super) fn router() -> Router {
-    let one = Router::with_path("objects/{**key}")
+    let object = Router::with_path("objects/{**key}")
         .get(get_object)
         .put(put_object)
         .delete(delete_object);
     let service = Router::new()
-        .hoop(gate)
+        .hoop(apply_faults)
         .push(Router::with_path("objects").get(list_objects))
-        .push(one)
+        .push(object)
         .push(Router::with_path("watch").get(watch_objects))
         .push(Router::with_path("instances").get(list_instances));
     let admin = Router::with_path("admin")
@@ -41,12 +41,17 @@
     Router::new().push(admin).push(service)
 }
 
-/// Counts a call and lets it pass, or fails it, before its handler sees it.
+/// Middleware that counts a call and applies rate limits and the fault in force.
 #[handler]
-async fn gate(req: &mut Request, depot: &mut Depot, res: &mut Response, ctrl: &mut FlowCtrl) {
+async fn apply_faults(
+    req: &mut Request,
+    depot: &mut Depot,
+    res: &mut Response,
+    ctrl: &mut FlowCtrl,
+) {
     let state = state::<State>(depot);
-    let (fault, allowed) = admit(&state, req);
-    if !allowed {
+    let (fault, admitted) = admit(&state, req);
+    if !admitted {
         res.status_code(StatusCode::TOO_MANY_REQUESTS);
         ctrl.skip_rest();
         return;
@@ -69,7 +74,7 @@
     }
 }
 
-/// The fault in force, and whether the rate allows the call.
+/// Counts a call; returns the fault in force and whether the rate limit admits the call.
 fn admit(state: &State, req: &Request) -> (Fault, bool) {
     let mut inner = state.lock();
     let write = matches!(*req.method(), Method::PUT | Method::DELETE);
@@ -88,11 +93,11 @@
         inner.counts.failed += 1;
         return (fault, true);
     }
-    let allowed = inner.buckets.take(write);
-    if !allowed {
+    let admitted = inner.buckets.take(write);
+    if !admitted {
         inner.counts.refused_by_rate += 1;
     }
-    (fault, allowed)
+    (fault, admitted)
 }
 
 fn key(req: &Request) -> String {
@@ -142,7 +147,7 @@
     write_object(&state::<State>(depot), &key, write, res, ctrl);
 }
 
-/// Applies a write as the fault in force says.
+/// Applies a write, subject to the fault in force.
 fn write_object(
     state: &Arc<State>,
     key: &str,
@@ -150,31 +155,31 @@
     res: &mut Response,
     ctrl: &mut FlowCtrl,
 ) {
-    let fate = state.lock().fault.write_fate(key);
-    if fate != WriteFate::Answered {
+    let effect = state.lock().fault.effect_on_write(key);
+    if effect != WriteEffect::Answered {
         state.lock().counts.spoilt += 1;
     }
-    if let WriteFate::Late(ms) = fate {
+    if let WriteEffect::Late(ms) = effect {
         let state = state.clone();
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(ms)).await;
             let outcome = write(&mut state.lock().store);
-            log::info!("late write: {outcome:?}");
-            state.changed();
+            log::info!("delayed write applied: {outcome:?}");
+            state.notify_watches();
         });
         ctrl.conn().abort();
         return;
     }
     let outcome = write(&mut state.lock().store);
-    state.changed();
-    if fate == WriteFate::AnswerLost {
-        log::info!("answer lost: {key}: {outcome:?}");
+    state.notify_watches();
+    if effect == WriteEffect::AnswerLost {
+        log::info!("dropping the answer to the write of {key}: {outcome:?}");
         ctrl.conn().abort();
         return;
     }
     match outcome {
         WriteOutcome::Done(written) => json(res, StatusCode::OK, &written),
-        WriteOutcome::Refused(standing) => json(res, StatusCode::PRECONDITION_FAILED, &standing),
+        WriteOutcome::Refused(current) => json(res, StatusCode::PRECONDITION_FAILED, &current),
         WriteOutcome::Absent => {
             res.status_code(StatusCode::NOT_FOUND);
         }
@@ -193,8 +198,11 @@
     let state = state::<State>(depot);
     let prefix = req.query::<String>("prefix").unwrap_or_default();
     let after = req.query::<u64>("after").unwrap_or(0);
-    let wait_ms = req.query::<u64>("wait_ms").unwrap_or(0).min(MAX_WAIT_MS);
-    let _waiting = Waiting::begin(&state);
+    let wait_ms = req
+        .query::<u64>("wait_ms")
+        .unwrap_or(0)
+        .min(MAX_WATCH_WAIT_MS);
+    let _waiting = WaitingGuard::begin(&state);
     let wait = Duration::from_millis(wait_ms);
     match tokio::time::timeout(wait, first_change(&state, &prefix, after)).await {
         Ok(Some(answer)) => json(res, StatusCode::OK, &answer),
@@ -208,7 +216,7 @@
     }
 }
 
-/// Waits for a change after `after`; `None`: an outage began.
+/// Waits for a change after version `after`; returns `None` if an outage begins.
 async fn first_change(state: &State, prefix: &str, after: u64) -> Option<WatchAnswer> {
     let mut newest = state.newest.subscribe();
     let mut faults = state.faults.subscribe();
@@ -229,17 +237,17 @@
     }
 }
 
-/// Counts a waiting watch, also where its caller leaves.
-struct Waiting<'a>(&'a State);
+/// Guard that counts a waiting watch, also if its caller disconnects.
+struct WaitingGuard<'a>(&'a State);
 
-impl<'a> Waiting<'a> {
+impl<'a> WaitingGuard<'a> {
     fn begin(state: &'a State) -> Self {
         state.lock().counts.waiting += 1;
         Self(state)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         self.0.lock().counts.waiting -= 1;
     }
@@ -247,7 +255,7 @@
 
 #[handler]
 async fn list_instances(depot: &mut Depot, res: &mut Response) {
-    let list = state::<State>(depot).lock().instances.shown();
+    let list = state::<State>(depot).lock().instances.visible();
     json(res, StatusCode::OK, &list);
 }
 
@@ -279,7 +287,7 @@
     match snapshot {
         Some(store) => {
             state.lock().store = store;
-            state.changed();
+            state.notify_watches();
         }
         None => {
             res.status_code(StatusCode::CONFLICT);
--- a/testkit/src/platform/store.rs
+++ b/testkit/src/platform/store.rs
@@ -1,14 +1,14 @@
-//! Objects with versions.
+//! In-memory store of versioned objects.
 //!
-//! Invariants: `by_version` has exactly one entry for each key ever written, at the version of
-//! its last change; versions only grow, except by a restore.
+//! Invariants: `by_version` has exactly one entry per key ever written, at the version of its last
+//! change. Versions are monotonic, except across a restore.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
 use jacinthweir_wire::platform::{Condition, Object, ObjectVersion, WatchAnswer, Written};
 
-/// All objects.
+/// Store of all objects.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     newest: u64,
@@ -16,33 +16,33 @@
     by_version: BTreeMap<u64, String>,
 }
 
-/// One key's last change.
+/// Last change of a key.
 #[derive(Clone, Debug)]
 struct Entry {
     version: u64,
-    /// Absent: deleted.
+    /// Value, or `None` for a tombstone.
     value: Option<String>,
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It took effect.
+    /// The write took effect.
     Done(Written),
-    /// Its condition did not hold.
+    /// The condition did not hold; carries the current version.
     Refused(Written),
-    /// Nothing to delete.
+    /// The object to delete does not exist.
     Absent,
 }
 
 impl Store {
-    /// Version of the last change of any object.
+    /// Returns the version of the last change to any object.
     #[must_use]
     pub fn newest(&self) -> u64 {
         self.newest
     }
 
-    /// The object under `key`.
+    /// Returns the object under `key`.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<Object> {
         let entry = self.entries.get(key)?;
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Version that stands under `key`; 0: absent.
+    /// Returns the current version of `key`, or 0 if it does not exist.
     #[must_use]
     pub fn version(&self, key: &str) -> u64 {
         match self.entries.get(key) {
@@ -65,26 +65,26 @@
 
     /// Writes `value` if `condition` holds.
     pub fn put(&mut self, key: &str, value: String, condition: Condition) -> WriteOutcome {
-        let standing = self.version(key);
+        let current = self.version(key);
         let holds = match condition {
-            Condition::Absent => standing == 0,
-            Condition::Version(version) => standing != 0 && standing == version,
+            Condition::Absent => current == 0,
+            Condition::Version(version) => current != 0 && current == version,
             Condition::Any => true,
         };
         if !holds {
-            return WriteOutcome::Refused(Written { version: standing });
+            return WriteOutcome::Refused(Written { version: current });
         }
         WriteOutcome::Done(self.change(key, Some(value)))
     }
 
-    /// Deletes the object if it stands at `version`.
+    /// Deletes the object if its current version is `version`.
     pub fn delete(&mut self, key: &str, version: u64) -> WriteOutcome {
-        let standing = self.version(key);
-        if standing == 0 {
+        let current = self.version(key);
+        if current == 0 {
             return WriteOutcome::Absent;
         }
-        if standing != version {
-            return WriteOutcome::Refused(Written { version: standing });
+        if current != version {
+            return WriteOutcome::Refused(Written { version: current });
         }
         WriteOutcome::Done(self.change(key, None))
     }
@@ -100,10 +100,10 @@
         Written { version }
     }
 
-    /// Keys and versions below `prefix`.
+    /// Returns the keys with `prefix` and their versions, without tombstones.
     #[must_use]
     pub fn list(&self, prefix: &str) -> Vec<ObjectVersion> {
-        self.below(prefix)
+        self.with_prefix(prefix)
             .filter(|(_, entry)| entry.value.is_some())
             .map(|(key, entry)| ObjectVersion {
                 key: key.clone(),
@@ -112,7 +112,7 @@
             .collect()
     }
 
-    /// All objects.
+    /// Returns all objects, ordered by key.
     #[must_use]
     pub fn objects(&self) -> Vec<Object> {
         self.entries
@@ -121,7 +121,7 @@
             .collect()
     }
 
-    /// Changes below `prefix` after the sequence `after`.
+    /// Returns the last change of each key with `prefix` that changed after version `after`.
     #[must_use]
     pub fn changes(&self, prefix: &str, after: u64) -> WatchAnswer {
         let later = (Bound::Excluded(after), Bound::Unbounded);
@@ -140,7 +140,7 @@
         }
     }
 
-    fn below<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a String, &'a Entry)> {
+    fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a String, &'a Entry)> {
         self.entries
             .range::<str, _>((Bound::Included(prefix), Bound::Unbounded))
             .take_while(move |(key, _)| key.starts_with(prefix))
--- a/testkit/src/service.rs
+++ b/testkit/src/service.rs
@@ -1,18 +1,18 @@
-//! Stand-in for a plain service, such as the bookings.
+//! Stand-in for a plain service, such as a booking service.
 //!
-//! `POST /call/{call}` runs the call and answers 200 with a [`CallAnswer`]; request and attempt
-//! headers of [`jacinthweir_wire::header`] come back as they were sent. A refusal before anything
-//! ran is 503 with the header `jacinthweir-ran: no`. Each run is written down before its answer
-//! goes out, so the witness counts a call whose answer is lost.
+//! `POST /call/{call}` runs the call and answers 200 with a [`CallAnswer`]; the request and attempt
+//! headers of [`jacinthweir_wire::header`] are echoed. A call refused before it ran is answered
+//! with 503 and the header `jacinthweir-ran: no`. Each run is recorded before its answer is sent,
+//! so a call whose answer is lost is recorded too.
 //!
-//! The service itself repeats whatever it is told to: it does not look at the idempotency key.
-//! That is what makes it a witness of what the router let through.
+//! The service ignores the idempotency key and runs every call it receives, so its record shows
+//! any duplicate that the router lets through.
 //!
 //! # Admin interface, for tests only
 //!
 //! | call | meaning |
 //! |---|---|
-//! | `POST /admin/set` | body [`Knobs`]: fields that are present are set |
+//! | `POST /admin/set` | body [`Knobs`]: sets the fields that are present |
 //! | `GET /admin/ran` | `[RanCall]`, oldest first |
 
 mod routes;
@@ -31,11 +31,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceCfg {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 picks a free one.
     pub listen: SocketAddr,
     /// Instance name.
     pub name: Name,
-    /// How it behaves at the start.
+    /// Initial behaviour.
     pub knobs: Knobs,
 }
 
@@ -49,26 +49,26 @@
     }
 }
 
-/// How the service behaves; absent: unchanged.
+/// Behaviour of the service; `None` leaves a setting unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Knobs {
-    /// Time a call takes before it runs, in milliseconds.
+    /// Delay before a call runs, in milliseconds.
     pub delay_ms: Option<u64>,
-    /// Time a call takes between its run and its answer, in milliseconds.
+    /// Delay between the run of a call and its answer, in milliseconds.
     pub answer_delay_ms: Option<u64>,
-    /// The next calls run, but their connections are closed with no answer.
+    /// Number of next calls that run, but whose connections are closed without an answer.
     pub lose_answers: Option<u32>,
-    /// The next calls are cut off before they run, with no answer.
+    /// Number of next calls whose connections are closed before they run.
     pub cut_before: Option<u32>,
     /// Whether calls are refused.
     pub refuse: Option<bool>,
-    /// Whether the service is leaving: it refuses new calls.
+    /// Whether the service is leaving and therefore refuses new calls.
     pub leaving: Option<bool>,
 }
 
 impl Knobs {
-    /// Sets what `other` sets.
+    /// Overwrites the fields that `other` sets.
     fn merge(&mut self, other: &Self) {
         self.delay_ms = other.delay_ms.or(self.delay_ms);
         self.answer_delay_ms = other.answer_delay_ms.or(self.answer_delay_ms);
@@ -86,34 +86,34 @@
     pub service: Name,
     /// Call.
     pub call: String,
-    /// Number of the run at this instance, from 1.
+    /// Sequence number of the run on this instance, from 1.
     pub run: u64,
     /// Body of the call.
     pub echo: String,
 }
 
-/// One run of a call.
+/// Record of one run of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RanCall {
-    /// Number of the run at this instance, from 1.
+    /// Sequence number of the run on this instance, from 1.
     pub run: u64,
     /// Instance that ran it.
     pub service: Name,
     /// Call.
     pub call: String,
-    /// Request id, as the header said.
+    /// Request id from the header.
     pub request: Option<Name>,
-    /// Attempt number, as the header said.
+    /// Attempt number from the header.
     pub attempt: Option<u32>,
-    /// Idempotency key, as the header said.
+    /// Idempotency key from the header.
     pub key: Option<String>,
     /// Body.
     pub body: String,
-    /// Unix time, in milliseconds.
+    /// Unix time of the run, in milliseconds.
     pub at_ms: u64,
 }
 
-/// A running stand-in service; ends with its cancellation token.
+/// A running stand-in service; stops when its cancellation token is cancelled.
 #[derive(Clone)]
 pub struct Service {
     /// Bound address.
@@ -126,7 +126,7 @@
     ///
     /// # Errors
     ///
-    /// Where the address can't be bound.
+    /// Fails if the address can't be bound.
     pub async fn bind(cfg: ServiceCfg, token: CancellationToken) -> Result<Self> {
         let listen = cfg.listen;
         let state = Arc::new(State {
@@ -141,12 +141,12 @@
         Ok(Self { address, state })
     }
 
-    /// Changes how it behaves.
+    /// Sets its behaviour.
     pub fn set(&self, knobs: &Knobs) {
         self.state.lock().knobs.merge(knobs);
     }
 
-    /// What ran so far, oldest first.
+    /// Returns the calls that ran, oldest first.
     #[must_use]
     pub fn ran(&self) -> Vec<RanCall> {
         self.state.lock().ran.clone()
@@ -159,7 +159,7 @@
     inner: Mutex<Inner>,
 }
 
-/// What the lock guards.
+/// State guarded by the lock.
 pub(crate) struct Inner {
     knobs: Knobs,
     ran: Vec<RanCall>,
--- a/testkit/src/service/routes.rs
+++ b/testkit/src/service/routes.rs
@@ -1,4 +1,4 @@
-//! Handlers of the service's calls.
+//! HTTP handlers of the stand-in service.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 use super::{CallAnswer, Knobs, RanCall, State};
 use crate::http::{body, json, state, unix_ms};
 
-/// Largest body of a call, in bytes.
-const MAX_CALL_BYTES: usize = 1 << 20;
+/// Maximum body of a call, in bytes.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
 pub(super) fn router() -> Router {
     let admin = Router::with_path("admin")
@@ -22,30 +22,30 @@
         .push(admin)
 }
 
-/// What the knobs decide on one call.
-enum Fate {
+/// Effect of the knobs on one call.
+enum CallEffect {
     Refuse,
     CutBefore,
     Run { lose_answer: bool },
 }
 
-fn fate(state: &State) -> Fate {
+fn next_effect(state: &State) -> CallEffect {
     let mut inner = state.lock();
     let knobs = &mut inner.knobs;
     if knobs.refuse == Some(true) || knobs.leaving == Some(true) {
-        return Fate::Refuse;
+        return CallEffect::Refuse;
     }
     if take_one(&mut knobs.cut_before) {
-        return Fate::CutBefore;
+        return CallEffect::CutBefore;
     }
-    Fate::Run {
+    CallEffect::Run {
         lose_answer: take_one(&mut knobs.lose_answers),
     }
 }
 
-/// Counts down; whether there was one left.
-fn take_one(left: &mut Option<u32>) -> bool {
-    match left {
+/// Decrements the count; returns whether it was above zero.
+fn take_one(remaining: &mut Option<u32>) -> bool {
+    match remaining {
         Some(n) if *n > 0 => {
             *n -= 1;
             true
@@ -57,19 +57,19 @@
 #[handler]
 async fn run_call(req: &mut Request, depot: &mut Depot, res: &mut Response, ctrl: &mut FlowCtrl) {
     let state = state::<State>(depot);
-    let lose_answer = match fate(&state) {
-        Fate::Refuse => {
+    let lose_answer = match next_effect(&state) {
+        CallEffect::Refuse => {
             res.status_code(StatusCode::SERVICE_UNAVAILABLE);
             let _ = res.add_header(header::RAN, "no", true);
             return;
         }
-        Fate::CutBefore => {
+        CallEffect::CutBefore => {
             ctrl.conn().abort();
             return;
         }
-        Fate::Run { lose_answer } => lose_answer,
+        CallEffect::Run { lose_answer } => lose_answer,
     };
-    let body = req.payload_with_max_size(MAX_CALL_BYTES).await;
+    let body = req.payload_with_max_size(MAX_BODY_BYTES).await;
     let Ok(body) = body.map(|bytes| String::from_utf8_lossy(bytes).into_owned()) else {
         res.status_code(StatusCode::BAD_REQUEST);
         let _ = res.add_header(header::RAN, "no", true);
@@ -85,25 +85,25 @@
         body,
         at_ms: 0,
     };
-    // A task of its own: salvo drops this future when the caller leaves, and a real service
-    // would run the call all the same.
+    // Runs in a separate task: salvo drops this future when the caller disconnects, whereas a real
+    // service would still run the call.
     let Ok((ran, answer_delay)) = tokio::spawn(run(state, ran)).await else {
         res.status_code(StatusCode::INTERNAL_SERVER_ERROR);
         return;
     };
-    wait(answer_delay).await;
+    sleep_nonzero(answer_delay).await;
     if lose_answer {
-        log::info!("answer lost: {ran:?}");
+        log::info!("dropping the answer to {ran:?}");
         ctrl.conn().abort();
         return;
     }
-    answer(&ran, res);
+    write_answer(&ran, res);
 }
 
-/// Runs the call: after its delay it is written down.
+/// Runs the call: waits for the delay and records the run. Returns the delay of the answer.
 async fn run(state: Arc<State>, mut ran: RanCall) -> (RanCall, Duration) {
     let delay = state.lock().knobs.delay_ms.unwrap_or(0);
-    wait(Duration::from_millis(delay)).await;
+    sleep_nonzero(Duration::from_millis(delay)).await;
     let mut inner = state.lock();
     ran.run = inner.ran.len() as u64 + 1;
     ran.at_ms = unix_ms();
@@ -112,14 +112,14 @@
     (ran, Duration::from_millis(answer_delay))
 }
 
-/// Sleeps, but for no time: a sleep of nothing still takes a tick of the timer.
-async fn wait(time: Duration) {
+/// Sleeps unless `time` is zero, since a zero sleep still takes one timer tick.
+async fn sleep_nonzero(time: Duration) {
     if !time.is_zero() {
         tokio::time::sleep(time).await;
     }
 }
 
-fn answer(ran: &RanCall, res: &mut Response) {
+fn write_answer(ran: &RanCall, res: &mut Response) {
     if let Some(request) = &ran.request {
         let _ = res.add_header(header::REQUEST, request.to_string(), true);
     }
