--- a/testkit/examples/load.rs
+++ b/testkit/examples/load.rs
@@ -1,29 +1,29 @@
-//! Loads a deployment of separate processes and prints the result as JSON.
+//! Runs a load against a deployment of separate processes and prints the result as JSON.
 
 use argh::FromArgs;
 use jacinthweir_testkit::fleet::deployment::Deployment;
 use jacinthweir_testkit::load::{self, arrivals::ArrivalsCfg};
 use jacinthweir_testkit::{Fleet, FleetCfg};
 
-/// Loads a deployment of separate processes and prints the result as JSON.
+/// Runs a load against a deployment of separate processes and prints the result as JSON.
 #[derive(FromArgs)]
 struct Args {
-    /// requests a second
+    /// requests per second
     #[argh(option, default = "20.0")]
     rate: f64,
-    /// time over which requests arrive, in seconds
+    /// duration over which requests arrive, in seconds
     #[argh(option, default = "10")]
     seconds: u64,
     /// seed of the arrivals
     #[argh(option, default = "1")]
     seed: u64,
-    /// model runners
+    /// number of model runners
     #[argh(option, default = "40")]
     runners: usize,
-    /// entry instances
+    /// number of entry instances
     #[argh(option, default = "6")]
     instances: usize,
-    /// take Tallinna's deployment in place of the Associação's
+    /// use Tallinna's deployment instead of the Associação's
     #[argh(switch)]
     tallinna: bool,
 }
--- a/testkit/examples/overhead.rs
+++ b/testkit/examples/overhead.rs
@@ -1,8 +1,8 @@
-//! What the router adds to a request and to a token, against the stand-ins asked directly.
+//! Latency that the router adds per request and per token, compared with direct calls.
 //!
-//! One runner holds the whole model, so that both ways run the same single stage. Requests go
-//! directly and through the instance in turn, in the same run. Prints JSON, times in
-//! microseconds.
+//! One runner holds the complete model, so that both paths run the same single stage. Requests
+//! alternate between a direct call to the stand-in and a call through the instance, in the same
+//! run. Prints JSON with times in microseconds.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -17,23 +17,23 @@
 use serde::Serialize;
 
 const DEPLOYMENT: Deployment = Deployment::Associacao;
-/// Tokens of each answer.
+/// Length of each answer, in tokens.
 const TOKENS: u32 = 32;
-/// Requests before the measurement.
-const WARM_UP: u32 = 20;
-/// The longest time a histogram takes, in microseconds.
-const LONGEST_US: u64 = 60_000_000;
+/// Requests per path before the measurement.
+const WARM_UP_REQUESTS: u32 = 20;
+/// Largest value of the histograms, in microseconds.
+const MAX_HISTOGRAM_US: u64 = 60_000_000;
 
-/// What the router adds, against the stand-ins asked directly; prints JSON in microseconds.
+/// Measures the latency that the router adds over direct calls; prints JSON in microseconds.
 #[derive(FromArgs)]
 struct Args {
-    /// requests each way
+    /// number of requests per path
     #[argh(option, default = "300")]
     requests: u32,
 }
 
-/// Times of one way.
-struct Times {
+/// Latency histograms of one path.
+struct Latencies {
     first_token: Histogram<u64>,
     gap: Histogram<u64>,
     service: Histogram<u64>,
@@ -46,7 +46,7 @@
 }
 
 #[derive(Serialize)]
-struct Way {
+struct PathResult {
     way: &'static str,
     first_token: Quantiles,
     gap: Quantiles,
@@ -64,17 +64,17 @@
     })
     .await?;
     let mut slot = DEPLOYMENT.runner(0);
-    slot.cfg.holds[0].layers = whole();
+    slot.cfg.holds[0].layers = all_layers();
     slot.cfg.max_layers = LAYERS;
     fleet.add_runner(slot).await?;
     fleet.apply().await?;
     let caller = fleet.caller(DEPLOYMENT.organisations()[0])?;
-    let mut direct = Times::new()?;
-    let mut routed = Times::new()?;
-    for i in 0..WARM_UP + args.requests {
-        if i == WARM_UP {
-            direct = Times::new()?;
-            routed = Times::new()?;
+    let mut direct = Latencies::new()?;
+    let mut routed = Latencies::new()?;
+    for i in 0..WARM_UP_REQUESTS + args.requests {
+        if i == WARM_UP_REQUESTS {
+            direct = Latencies::new()?;
+            routed = Latencies::new()?;
         }
         ask_direct(&fleet, &mut direct, i).await?;
         ask_routed(&fleet, &caller, &mut routed, i).await?;
@@ -85,7 +85,7 @@
     Ok(())
 }
 
-fn whole() -> LayerRange {
+fn all_layers() -> LayerRange {
     LayerRange {
         start: 0,
         end: LAYERS,
@@ -96,7 +96,7 @@
     format!("#len={TOKENS} {way} {i}")
 }
 
-async fn ask_direct(fleet: &Fleet, times: &mut Times, i: u32) -> eyre::Result<()> {
+async fn ask_direct(fleet: &Fleet, latencies: &mut Latencies, i: u32) -> eyre::Result<()> {
     let runner = &fleet.runners[0].listing;
     let req = RunRequest {
         request: format!("direct-{i}").into(),
@@ -105,7 +105,7 @@
         route: vec![Stage {
             runner: runner.name.clone(),
             address: runner.address,
-            layers: whole(),
+            layers: all_layers(),
         }],
         prompt: prompt("direct", i),
         resume: Vec::new(),
@@ -114,7 +114,7 @@
         deadline_ms: 60_000,
         kv_from: None,
     };
-    // A fresh connection, as the callers of the other way have.
+    // One connection per request, as on the routed path.
     let client = reqwest::Client::builder().no_proxy().build()?;
     let started = Instant::now();
     let url = format!("http://{}/v1/run", runner.address);
@@ -123,25 +123,30 @@
     let mut at = Vec::new();
     while let Some(chunk) = chunks.next().await {
         let lines = chunk?.iter().filter(|b| **b == b'\n').count();
-        at.extend(std::iter::repeat_n(micros(started), lines));
+        at.extend(std::iter::repeat_n(elapsed_us(started), lines));
     }
-    // The last line is the end frame.
+    // Drops the end frame, which is the last line.
     at.truncate(TOKENS as usize);
-    times.take(&at);
-    call_direct(fleet.services[0].listing.address, times).await
+    latencies.record_stream(&at);
+    call_direct(fleet.services[0].listing.address, latencies).await
 }
 
-async fn call_direct(at: SocketAddr, times: &mut Times) -> eyre::Result<()> {
+async fn call_direct(at: SocketAddr, latencies: &mut Latencies) -> eyre::Result<()> {
     let client = reqwest::Client::builder().no_proxy().build()?;
     let started = Instant::now();
     let url = format!("http://{at}/call/{}", DEPLOYMENT.idempotent_call());
     let answer = client.post(url).body("item").send().await?;
     answer.error_for_status()?.text().await?;
-    times.service.saturating_record(micros(started));
+    latencies.service.saturating_record(elapsed_us(started));
     Ok(())
 }
 
-async fn ask_routed(fleet: &Fleet, caller: &Caller, times: &mut Times, i: u32) -> eyre::Result<()> {
+async fn ask_routed(
+    fleet: &Fleet,
+    caller: &Caller,
+    latencies: &mut Latencies,
+    i: u32,
+) -> eyre::Result<()> {
     let at = fleet.entries()[0];
     let ask = ModelCall {
         pipeline: DEPLOYMENT.pipeline().into(),
@@ -153,7 +158,7 @@
     if !seen.answered() {
         eyre::bail!("not answered: {seen:?}");
     }
-    times.take(&seen.token_us);
+    latencies.record_stream(&seen.token_us);
     let call = ServiceCall {
         service: DEPLOYMENT.service().into(),
         call: DEPLOYMENT.idempotent_call().into(),
@@ -165,24 +170,24 @@
     if !seen.answered() {
         eyre::bail!("not answered: {seen:?}");
     }
-    times.service.saturating_record(seen.end_us);
+    latencies.service.saturating_record(seen.end_us);
     Ok(())
 }
 
-fn micros(since: Instant) -> u64 {
+fn elapsed_us(since: Instant) -> u64 {
     u64::try_from(since.elapsed().as_micros()).unwrap_or(u64::MAX)
 }
 
-impl Times {
+impl Latencies {
     fn new() -> eyre::Result<Self> {
         Ok(Self {
-            first_token: Histogram::new_with_bounds(1, LONGEST_US, 3)?,
-            gap: Histogram::new_with_bounds(1, LONGEST_US, 3)?,
-            service: Histogram::new_with_bounds(1, LONGEST_US, 3)?,
+            first_token: Histogram::new_with_bounds(1, MAX_HISTOGRAM_US, 3)?,
+            gap: Histogram::new_with_bounds(1, MAX_HISTOGRAM_US, 3)?,
+            service: Histogram::new_with_bounds(1, MAX_HISTOGRAM_US, 3)?,
         })
     }
 
-    fn take(&mut self, token_us: &[u64]) {
+    fn record_stream(&mut self, token_us: &[u64]) {
         if let Some(first) = token_us.first() {
             self.first_token.saturating_record(*first);
         }
@@ -191,8 +196,8 @@
         }
     }
 
-    fn way(&self, way: &'static str) -> Way {
-        Way {
+    fn way(&self, way: &'static str) -> PathResult {
+        PathResult {
             way,
             first_token: quantiles(&self.first_token),
             gap: quantiles(&self.gap),
--- a/testkit/examples/quickstart.rs
+++ b/testkit/examples/quickstart.rs
@@ -1,9 +1,9 @@
-//! The whole path on one machine: stand-ins and six entry instances as separate processes.
+//! End-to-end path on one machine, with stand-ins and six entry instances as separate processes.
 //!
-//! For each of the two deployments it applies the sample schema through `jwctl`, asks which
-//! address to use, prints one streamed model answer over a pipeline of several stages and one
-//! booking, and shows with `jwctl request` where each went. It ends by itself and leaves nothing
-//! running.
+//! For each of the two deployments it applies the sample schema through `jwctl`, asks for the
+//! entry addresses, prints one streamed model answer over a pipeline of several stages and one
+//! booking, and shows the route of each with `jwctl request`. All processes are stopped at the
+//! end.
 
 use std::collections::BTreeMap;
 use std::io::Write as _;
@@ -15,21 +15,21 @@
 use jacinthweir_testkit::{Caller, Fleet, FleetCfg};
 use jacinthweir_wire::runner::LayerRange;
 
-/// Exit code where something went wrong.
-const FAILED: u8 = 1;
+/// Exit code on failure.
+const EXIT_FAILURE: u8 = 1;
 
 #[tokio::main]
 async fn main() -> std::process::ExitCode {
     for deployment in Deployment::ALL {
-        if let Err(err) = show(deployment).await {
+        if let Err(err) = run(deployment).await {
             eprintln!("quickstart: {err:#}");
-            return std::process::ExitCode::from(FAILED);
+            return std::process::ExitCode::from(EXIT_FAILURE);
         }
     }
     std::process::ExitCode::SUCCESS
 }
 
-async fn show(deployment: Deployment) -> eyre::Result<()> {
+async fn run(deployment: Deployment) -> eyre::Result<()> {
     println!("== {deployment}");
     let started = Instant::now();
     let fleet = Fleet::start(FleetCfg::small(deployment)).await?;
@@ -43,29 +43,29 @@
     );
     println!("$ jwctl apply samples/{deployment}.jsonc --wait");
     print!("{}", fleet.apply().await?.out);
-    let shown = requests(&fleet).await;
+    let result = send_requests(&fleet).await;
     fleet.stop().await?;
-    shown
+    result
 }
 
-async fn requests(fleet: &Fleet) -> eyre::Result<()> {
+async fn send_requests(fleet: &Fleet) -> eyre::Result<()> {
     let deployment = fleet.deployment;
     let organisation = deployment.organisations()[0];
     let caller = fleet.caller(organisation)?;
     let entry = caller.entry(fleet.instances[0].faces.callers).await?;
-    let Some(use_first) = entry.addresses.first() else {
+    let Some(entry_address) = entry.addresses.first() else {
         eyre::bail!("the entry answer names no address");
     };
     println!(
         "entry: use {} in {} for {} ms",
-        use_first.address, use_first.domain, entry.ttl_ms
+        entry_address.address, entry_address.domain, entry.ttl_ms
     );
-    let answer = ask(&caller, use_first.address, deployment).await?;
-    stages(fleet, &answer).await?;
-    trace(fleet, &answer).await?;
-    let booking = book(&caller, use_first.address, deployment).await?;
+    let answer = ask(&caller, entry_address.address, deployment).await?;
+    print_stages(fleet, &answer).await?;
+    print_trace(fleet, &answer).await?;
+    let booking = book(&caller, entry_address.address, deployment).await?;
     println!("{}: {}", deployment.non_idempotent_call(), booking.text);
-    trace(fleet, &booking).await?;
+    print_trace(fleet, &booking).await?;
     Ok(())
 }
 
@@ -85,7 +85,7 @@
         print!("{piece}");
         let _ = std::io::stdout().flush();
     };
-    let seen = answered(caller.complete_with(at, &call, &mut show).await)?;
+    let seen = ensure_answered(caller.complete_with(at, &call, &mut show).await)?;
     let first_ms = seen.token_us.first().map_or(0, |us| us / 1_000);
     let count = seen.token_us.len();
     println!("\n{count} tokens, the first after {first_ms} ms");
@@ -99,16 +99,16 @@
     }
 }
 
-/// Shows which runners ran which layers of a request's tokens, as they themselves say.
-async fn stages(fleet: &Fleet, seen: &Seen) -> eyre::Result<()> {
+/// Prints which runner ran which layers of a request's tokens, according to the runners.
+async fn print_stages(fleet: &Fleet, seen: &Seen) -> eyre::Result<()> {
     let mut stages = BTreeMap::<LayerRange, (Name, usize)>::new();
     for i in 0..fleet.runners.len() {
         let witness = fleet.runner_admin(i).witness().await?;
-        let own = witness
+        let runs = witness
             .ran
             .iter()
             .filter(|r| Some(&r.request) == seen.request.as_ref());
-        for ran in own {
+        for ran in runs {
             let stage = stages.entry(ran.layers);
             stage.or_insert_with(|| (witness.runner.clone(), 0)).1 += 1;
         }
@@ -131,10 +131,10 @@
         body: r#"{"item":7}"#.to_owned(),
         deadline_ms: None,
     };
-    answered(caller.call(at, &call).await)
+    ensure_answered(caller.call(at, &call).await)
 }
 
-fn answered(seen: Seen) -> eyre::Result<Seen> {
+fn ensure_answered(seen: Seen) -> eyre::Result<Seen> {
     let seen = unbroken(seen)?;
     if seen.outcome != Some(Outcome::Answered) {
         eyre::bail!("not answered: {seen:?}");
@@ -142,16 +142,16 @@
     Ok(seen)
 }
 
-/// Shows where a request went.
-async fn trace(fleet: &Fleet, seen: &Seen) -> eyre::Result<()> {
+/// Prints the record of a request.
+async fn print_trace(fleet: &Fleet, seen: &Seen) -> eyre::Result<()> {
     let Some(request) = &seen.request else {
         eyre::bail!("the answer names no request");
     };
     println!("$ jwctl request {request}");
-    let shown = fleet.jwctl(0, &["request", request]).await?;
-    if shown.code != Some(0) {
-        eyre::bail!("jwctl request ended with {:?}: {}", shown.code, shown.err);
+    let output = fleet.jwctl(0, &["request", request]).await?;
+    if output.code != Some(0) {
+        eyre::bail!("jwctl request ended with {:?}: {}", output.code, output.err);
     }
-    print!("{}", shown.out);
+    print!("{}", output.out);
     Ok(())
 }
--- a/testkit/src/load.rs
+++ b/testkit/src/load.rs
@@ -1,9 +1,9 @@
-//! A small load driver: open loop, seeded, and checking every answer.
+//! Seeded open-loop load generator that checks every answer.
 //!
-//! Requests leave at the times that [`arrivals`] drew, whether or not earlier ones were answered,
-//! so a system that falls behind can't slow the load down. Callers keep entry answers for their
-//! time to live; where an address refuses the connection, they try the next one, since nothing of
-//! the request was sent. They submit nothing twice.
+//! Requests are sent at the times drawn by [`arrivals`], regardless of whether earlier ones were
+//! answered, so a system that falls behind doesn't reduce the offered load. Callers cache entry
+//! answers for their time to live. If an address refuses the connection they try the next one,
+//! since nothing of the request was sent. No request is submitted twice.
 
 pub mod arrivals;
 pub mod entry;
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 ///
-/// Where no HTTP client can be made.
+/// Fails if an HTTP client can't be built.
 pub async fn run(
     deployment: Deployment,
     cfg: &ArrivalsCfg,
@@ -41,11 +41,11 @@
     Ok(collector.finish())
 }
 
-/// Runs a load whose arrivals count from `start`, and hands over what each caller saw.
+/// Runs a load with arrival times relative to `start`, and passes each result to `take`.
 ///
 /// # Errors
 ///
-/// Where no HTTP client can be made.
+/// Fails if an HTTP client can't be built.
 pub async fn run_each(
     deployment: Deployment,
     cfg: &ArrivalsCfg,
@@ -64,22 +64,22 @@
             (arrival, seen)
         });
         while let Some(ended) = running.try_join_next() {
-            hand_over(&mut take, ended);
+            take_result(&mut take, ended);
         }
     }
     while let Some(ended) = running.join_next().await {
-        hand_over(&mut take, ended);
+        take_result(&mut take, ended);
     }
     Ok(())
 }
 
-fn hand_over(
+fn take_result(
     take: &mut impl FnMut(&Arrival, &Seen),
     ended: std::result::Result<(Arrival, Seen), tokio::task::JoinError>,
 ) {
     match ended {
         Ok((arrival, seen)) => take(&arrival, &seen),
-        Err(err) => log::error!("a caller's task failed: {err}"),
+        Err(err) => log::error!("caller task failed: {err}"),
     }
 }
 
@@ -90,16 +90,16 @@
     let mut caches = BTreeMap::new();
     for (i, organisation) in deployment.organisations().into_iter().enumerate() {
         let caller = Caller::open(&Deployment::key(organisation))?;
-        // Callers of different organisations begin at different instances.
-        let mut first = entries.to_vec();
-        first.rotate_left(i % entries.len().max(1));
-        let cache = EntryCache::new(caller, first);
+        // Callers of different organisations start at different instances.
+        let mut bootstrap = entries.to_vec();
+        bootstrap.rotate_left(i % entries.len().max(1));
+        let cache = EntryCache::new(caller, bootstrap);
         caches.insert(organisation.into(), Arc::new(cache));
     }
     Ok(caches)
 }
 
-/// Submits once, at the first address that takes the connection.
+/// Submits the request once, to the first address that accepts the connection.
 async fn submit(cache: &EntryCache, ask: &Ask) -> Seen {
     let mut last = Seen::default();
     for at in cache.addresses().await {
@@ -110,7 +110,7 @@
         if !last.not_connected {
             return last;
         }
-        cache.forget();
+        cache.invalidate();
     }
     last
 }
--- a/testkit/src/load/arrivals.rs
+++ b/testkit/src/load/arrivals.rs
@@ -1,8 +1,9 @@
-//! Seeded arrivals of an open loop.
+//! Seeded arrivals for an open-loop load.
 //!
-//! Gaps are exponential, so arrivals come in bunches as those of many independent callers do, and
-//! they do not wait for answers. Large organisations send most of the requests; prompts of an
-//! organisation share one of a few long prefixes and end differently, so no two answers are alike.
+//! Arrivals form a Poisson process, as those of many independent callers do: inter-arrival times
+//! are exponential and independent of answers. Large organisations send most of the requests. The
+//! prompts of an organisation share one of a few long prefixes and have unique suffixes, so all
+//! answers differ.
 
 use jacinthweir_policy::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -12,20 +13,20 @@
 use crate::caller::{ModelCall, ServiceCall};
 use crate::fleet::deployment::Deployment;
 
-/// Large organisations among those of a deployment, which come first in its list.
-const LARGE: usize = 4;
-/// Prefixes that an organisation's prompts share.
-const PREFIXES: u32 = 3;
+/// Number of large organisations, which come first in a deployment's list.
+const LARGE_ORGANISATIONS: usize = 4;
+/// Number of distinct prompt prefixes per organisation.
+const SHARED_PREFIXES: u32 = 3;
 
-/// What arrives.
+/// Parameters of the arrivals.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ArrivalsCfg {
-    /// Seed.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate_per_s: f64,
-    /// Time over which requests arrive, in milliseconds.
+    /// Duration over which requests arrive, in milliseconds.
     pub duration_ms: u64,
     /// Share of requests that large organisations send, in percent.
     pub large_percent: u8,
@@ -33,7 +34,7 @@
     pub service_percent: u8,
     /// Length of a shared prefix, in bytes.
     pub prefix_bytes: usize,
-    /// Shortest and longest answer, in tokens.
+    /// Minimum and maximum length of an answer, in tokens.
     pub tokens: (u32, u32),
     /// Deadline of each request, in milliseconds.
     pub deadline_ms: u64,
@@ -54,34 +55,34 @@
     }
 }
 
-/// One request.
+/// A request and its submission time.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Time of its submission after the start, in microseconds.
+    /// Submission time since the start, in microseconds.
     pub at_us: u64,
     /// Organisation that sends it.
     pub organisation: Name,
-    /// What it asks.
+    /// Payload.
     pub ask: Ask,
 }
 
-/// What a request asks.
+/// Payload of a request.
 #[derive(Clone, Debug)]
 pub enum Ask {
-    /// A model's answer.
+    /// Completion by a model.
     Model(ModelCall),
-    /// A call of the plain service.
+    /// Call of the plain service.
     Service(ServiceCall),
 }
 
-/// All arrivals of a run, in the order of time: the same for the same settings.
+/// Returns all arrivals of a run in order of time; deterministic for the same settings.
 #[must_use]
 pub fn arrivals(deployment: Deployment, cfg: &ArrivalsCfg) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(cfg.seed);
     let mut arrivals = Vec::new();
     let mut at_s = 0.0;
     loop {
-        at_s += gap(cfg.rate_per_s, &mut rng);
+        at_s += interarrival_s(cfg.rate_per_s, &mut rng);
         let at_us = (at_s * 1e6) as u64;
         if at_us >= cfg.duration_ms * 1_000 {
             return arrivals;
@@ -100,7 +101,7 @@
     }
 }
 
-fn gap(rate_per_s: f64, rng: &mut ChaCha8Rng) -> f64 {
+fn interarrival_s(rate_per_s: f64, rng: &mut ChaCha8Rng) -> f64 {
     let draw: f64 = rng.random();
     -(1.0 - draw).ln() / rate_per_s
 }
@@ -108,7 +109,11 @@
 fn organisation(deployment: Deployment, cfg: &ArrivalsCfg, rng: &mut ChaCha8Rng) -> &'static str {
     let all = deployment.organisations();
     let large = rng.random_range(0..100) < cfg.large_percent;
-    let range = if large { 0..LARGE } else { LARGE..all.len() };
+    let range = if large {
+        0..LARGE_ORGANISATIONS
+    } else {
+        LARGE_ORGANISATIONS..all.len()
+    };
     all[rng.random_range(range)]
 }
 
@@ -118,7 +123,7 @@
     organisation: &str,
     rng: &mut ChaCha8Rng,
 ) -> ModelCall {
-    let topic = rng.random_range(0..PREFIXES);
+    let topic = rng.random_range(0..SHARED_PREFIXES);
     let head = format!("{organisation}, topic {topic}. ");
     let mut prompt = head.repeat(cfg.prefix_bytes.div_ceil(head.len()));
     prompt.truncate(cfg.prefix_bytes);
@@ -138,8 +143,8 @@
 
 fn service_call(deployment: Deployment, cfg: &ArrivalsCfg, rng: &mut ChaCha8Rng) -> ServiceCall {
     let number = rng.random::<u64>();
-    let repeatable = rng.random_range(0..2) == 0;
-    let (call, key) = if repeatable {
+    let idempotent = rng.random_range(0..2) == 0;
+    let (call, key) = if idempotent {
         (deployment.idempotent_call(), None)
     } else {
         (
--- a/testkit/src/load/entry.rs
+++ b/testkit/src/load/entry.rs
@@ -1,4 +1,4 @@
-//! The addresses that callers use: asked for, kept for their time to live, and failed over.
+//! Cache of the entry addresses of an organisation's callers, with failover.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,72 +6,72 @@
 
 use crate::Caller;
 
-/// What the callers of one organisation know of addresses.
+/// Entry addresses known to the callers of one organisation.
 #[derive(Debug)]
 pub struct EntryCache {
     caller: Caller,
-    /// Addresses that every caller was told at its installation.
-    first: Vec<SocketAddr>,
-    kept: Mutex<Kept>,
+    /// Statically configured addresses to ask if no cached one answers.
+    bootstrap: Vec<SocketAddr>,
+    cached: Mutex<CachedEntry>,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct CachedEntry {
     addresses: Vec<SocketAddr>,
-    until: Instant,
+    expires_at: Instant,
 }
 
 impl EntryCache {
-    /// A cache that knows only the addresses that every caller was told.
+    /// Returns an empty cache with bootstrap addresses.
     #[must_use]
-    pub fn new(caller: Caller, first: Vec<SocketAddr>) -> Self {
-        let kept = Kept {
+    pub fn new(caller: Caller, bootstrap: Vec<SocketAddr>) -> Self {
+        let cached = CachedEntry {
             addresses: Vec::new(),
-            until: Instant::now(),
+            expires_at: Instant::now(),
         };
         Self {
             caller,
-            first,
-            kept: Mutex::new(kept),
+            bootstrap,
+            cached: Mutex::new(cached),
         }
     }
 
-    /// The caller.
+    /// Returns the caller.
     #[must_use]
     pub fn caller(&self) -> &Caller {
         &self.caller
     }
 
-    fn lock(&self) -> MutexGuard<'_, Kept> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, CachedEntry> {
+        self.cached.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Addresses to try, best first; empty: nobody answers.
+    /// Returns the addresses to try, best first; empty if no instance answers.
     pub async fn addresses(&self) -> Vec<SocketAddr> {
         {
-            let kept = self.lock();
-            if Instant::now() < kept.until {
-                return kept.addresses.clone();
+            let cached = self.lock();
+            if Instant::now() < cached.expires_at {
+                return cached.addresses.clone();
             }
         }
-        self.ask().await
+        self.refresh().await
     }
 
-    /// Has the next use ask again: an address did not answer.
-    pub fn forget(&self) {
-        self.lock().until = Instant::now();
+    /// Expires the cached addresses, for use after an address did not answer.
+    pub fn invalidate(&self) {
+        self.lock().expires_at = Instant::now();
     }
 
-    async fn ask(&self) -> Vec<SocketAddr> {
+    async fn refresh(&self) -> Vec<SocketAddr> {
         let known = self.lock().addresses.clone();
-        for at in known.iter().chain(&self.first) {
+        for at in known.iter().chain(&self.bootstrap) {
             let Ok(answer) = self.caller.entry(*at).await else {
                 continue;
             };
             let addresses: Vec<_> = answer.addresses.iter().map(|a| a.address).collect();
-            let mut kept = self.lock();
-            kept.addresses.clone_from(&addresses);
-            kept.until = Instant::now() + Duration::from_millis(answer.ttl_ms);
+            let mut cached = self.lock();
+            cached.addresses.clone_from(&addresses);
+            cached.expires_at = Instant::now() + Duration::from_millis(answer.ttl_ms);
             return addresses;
         }
         Vec::new()
--- a/testkit/src/load/result.rs
+++ b/testkit/src/load/result.rs
@@ -1,4 +1,4 @@
-//! What a load run saw, for people and as JSON.
+//! Result of a load run, also as JSON.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +10,16 @@
 use crate::caller::Seen;
 use crate::text;
 
-/// Longest time that histograms hold, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
-/// Significant digits of histograms.
-const DIGITS: u8 = 3;
-/// Width of one step of the timeline, in milliseconds.
+/// Largest value of the histograms, in microseconds.
+const MAX_HISTOGRAM_US: u64 = 600_000_000;
+/// Significant decimal digits of the histograms.
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// Width of one timeline bucket, in milliseconds.
 pub const STEP_MS: u64 = 100;
-/// Violations that are written out.
-const SHOWN_VIOLATIONS: usize = 20;
+/// Maximum number of violations reported in full.
+const MAX_REPORTED_VIOLATIONS: usize = 20;
 
-/// Collects what callers saw.
+/// Aggregates the results of submissions.
 #[derive(Debug)]
 pub struct Collector {
     outcomes: BTreeMap<String, u64>,
@@ -33,18 +33,18 @@
     violation_count: u64,
 }
 
-/// Quantiles of a time, in microseconds.
+/// Quantiles of a duration, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quantiles {
     /// Number of samples.
     pub count: u64,
-    /// Half are below.
+    /// Median.
     pub p50_us: u64,
-    /// 95 in 100 are below.
+    /// 95th percentile.
     pub p95_us: u64,
-    /// 99 in 100 are below.
+    /// 99th percentile.
     pub p99_us: u64,
-    /// The greatest.
+    /// Maximum.
     pub max_us: u64,
 }
 
@@ -53,23 +53,23 @@
 pub struct LoadResult {
     /// Requests sent.
     pub sent: u64,
-    /// Requests by how they ended: an outcome with its error code, or `broken`.
+    /// Number of requests by outcome with its error code, or `broken` if no outcome was reported.
     pub outcomes: BTreeMap<String, u64>,
-    /// From the submission to the first token, answered requests only.
+    /// Time-to-first-token of answered requests.
     pub first_token: Quantiles,
-    /// Between two tokens of a stream, answered requests only.
+    /// Inter-token gap of answered requests.
     pub gap: Quantiles,
-    /// Whole time of answered service calls.
+    /// Total duration of answered service calls.
     pub service: Quantiles,
-    /// Time to the first token by organisation.
+    /// Time-to-first-token of answered requests by organisation.
     pub organisations: BTreeMap<Name, Quantiles>,
-    /// Tokens of answered requests.
+    /// Number of tokens of answered requests.
     pub tokens: u64,
-    /// Tokens that callers received in each step of [`STEP_MS`] after the start.
+    /// Tokens that callers received in each interval of [`STEP_MS`] since the start.
     pub timeline: Vec<u64>,
-    /// Answers that were not the right ones.
+    /// Number of incorrect answers.
     pub violation_count: u64,
-    /// The first of them.
+    /// Descriptions of the first violations.
     pub violations: Vec<String>,
 }
 
@@ -90,28 +90,28 @@
 }
 
 impl Collector {
-    /// Takes what the caller of one arrival saw.
+    /// Records the result of one arrival.
     pub fn take(&mut self, arrival: &Arrival, seen: &Seen) {
-        *self.outcomes.entry(ended(seen)).or_default() += 1;
+        *self.outcomes.entry(outcome_key(seen)).or_default() += 1;
         if let Some(violation) = violation(arrival, seen) {
             self.violation_count += 1;
-            if self.violations.len() < SHOWN_VIOLATIONS {
+            if self.violations.len() < MAX_REPORTED_VIOLATIONS {
                 self.violations.push(violation);
             }
         }
         for us in &seen.token_us {
-            self.note_token(arrival.at_us + us);
+            self.record_token(arrival.at_us + us);
         }
         if !seen.answered() {
             return;
         }
         match arrival.ask {
-            Ask::Model(_) => self.take_times(&arrival.organisation, &seen.token_us),
+            Ask::Model(_) => self.record_stream(&arrival.organisation, &seen.token_us),
             Ask::Service(_) => self.service.saturating_record(seen.end_us),
         }
     }
 
-    fn note_token(&mut self, at_us: u64) {
+    fn record_token(&mut self, at_us: u64) {
         let step = usize::try_from(at_us / (STEP_MS * 1_000)).unwrap_or(usize::MAX - 1);
         if self.timeline.len() <= step {
             self.timeline.resize(step + 1, 0);
@@ -119,19 +119,19 @@
         self.timeline[step] += 1;
     }
 
-    fn take_times(&mut self, organisation: &Name, token_us: &[u64]) {
+    fn record_stream(&mut self, organisation: &Name, token_us: &[u64]) {
         self.tokens += token_us.len() as u64;
         if let Some(first) = token_us.first() {
             self.first_token.saturating_record(*first);
-            let own = self.organisations.entry(organisation.clone());
-            own.or_insert_with(histogram).saturating_record(*first);
+            let entry = self.organisations.entry(organisation.clone());
+            entry.or_insert_with(histogram).saturating_record(*first);
         }
         for pair in token_us.windows(2) {
             self.gap.saturating_record(pair[1] - pair[0]);
         }
     }
 
-    /// The result.
+    /// Returns the aggregated result.
     #[must_use]
     pub fn finish(self) -> LoadResult {
         let organisations = self.organisations.iter();
@@ -153,7 +153,7 @@
 }
 
 impl LoadResult {
-    /// Requests that were answered whole.
+    /// Returns the number of completely answered requests.
     #[must_use]
     pub fn answered(&self) -> u64 {
         let answered = Outcome::Answered.to_string();
@@ -162,7 +162,8 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST_US, DIGITS).expect("the bounds are constant and valid")
+    Histogram::new_with_bounds(1, MAX_HISTOGRAM_US, SIGNIFICANT_DIGITS)
+        .expect("the bounds are constant and valid")
 }
 
 fn quantiles(h: &Histogram<u64>) -> Quantiles {
@@ -175,8 +176,8 @@
     }
 }
 
-/// How a request ended, as a key of a table.
-fn ended(seen: &Seen) -> String {
+/// Returns the key of a request in [`LoadResult::outcomes`].
+fn outcome_key(seen: &Seen) -> String {
     match (seen.outcome, seen.code) {
         (Some(outcome), Some(code)) => format!("{outcome}: {code}"),
         (Some(outcome), None) => outcome.to_string(),
@@ -184,16 +185,18 @@
     }
 }
 
-/// What is wrong with an answer, if anything. A caller must get the whole right answer, or a part of it from
-/// its beginning with an error; never a token of anything else.
+/// Returns a description of the error in an answer, or `None` if it is valid.
+///
+/// A caller must receive either the complete expected answer or a prefix of it with an error, and
+/// never a token of another answer.
 #[must_use]
 pub fn violation(arrival: &Arrival, seen: &Seen) -> Option<String> {
     let fault = match &arrival.ask {
         Ask::Model(call) => {
-            let right = text::answer(&call.prompt, call.max_tokens);
-            if seen.answered() && seen.text != right {
+            let expected = text::answer(&call.prompt, call.max_tokens);
+            if seen.answered() && seen.text != expected {
                 "the answer is not the whole right one"
-            } else if seen.status == Some(200) && !right.starts_with(&seen.text) {
+            } else if seen.status == Some(200) && !expected.starts_with(&seen.text) {
                 "a token is not of this answer"
             } else {
                 return None;
--- a/testkit/tests/load.rs
+++ b/testkit/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load driver: seeded arrivals, and a checker that rejects wrong answers.
+//! Load generator: seeded arrivals, and a checker that rejects incorrect answers.
 
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
@@ -8,7 +8,7 @@
 use jacinthweir_testkit::load::result::{Collector, LoadResult};
 use jacinthweir_testkit::text;
 
-fn drawn(seed: u64) -> Vec<Arrival> {
+fn arrivals_for(seed: u64) -> Vec<Arrival> {
     let cfg = ArrivalsCfg {
         seed,
         ..ArrivalsCfg::default()
@@ -17,24 +17,27 @@
 }
 
 #[gtest]
-fn the_same_seed_draws_the_same_arrivals() {
-    let shown = |seed| format!("{:?}", drawn(seed));
-    expect_that!(shown(1), eq(&shown(1)));
-    expect_that!(shown(1), not(eq(&shown(2))));
+fn the_same_seed_gives_the_same_arrivals() {
+    let debug = |seed| format!("{:?}", arrivals_for(seed));
+    expect_that!(debug(1), eq(&debug(1)));
+    expect_that!(debug(1), not(eq(&debug(2))));
     let cfg = ArrivalsCfg::default();
     let expected = cfg.rate_per_s * cfg.duration_ms as f64 / 1e3;
-    expect_that!(drawn(1).len() as f64, near(expected, expected / 3.0));
+    expect_that!(arrivals_for(1).len() as f64, near(expected, expected / 3.0));
 }
 
-fn judged(seen: impl Fn(&str) -> Seen) -> LoadResult {
+fn check(seen: impl Fn(&str) -> Seen) -> LoadResult {
     let model = |a: &Arrival| matches!(a.ask, Ask::Model(_));
-    let arrival = drawn(1).into_iter().find(model).expect("a model's request");
+    let arrival = arrivals_for(1)
+        .into_iter()
+        .find(model)
+        .expect("a model request");
     let Ask::Model(call) = &arrival.ask else {
-        unreachable!("it was picked as one");
+        unreachable!("the arrival was selected as a model request");
     };
-    let right = text::answer(&call.prompt, call.max_tokens);
+    let expected = text::answer(&call.prompt, call.max_tokens);
     let mut collector = Collector::default();
-    collector.take(&arrival, &seen(&right));
+    collector.take(&arrival, &seen(&expected));
     collector.finish()
 }
 
@@ -48,17 +51,17 @@
 }
 
 #[gtest]
-fn a_right_answer_and_a_beginning_with_an_error_pass() {
-    let whole = judged(|right| seen(Some(Outcome::Answered), right));
-    expect_that!((whole.answered(), whole.violation_count), eq((1, 0)));
-    let part = judged(|right| seen(Some(Outcome::Failed), &right[..9]));
-    expect_that!((part.answered(), part.violation_count), eq((0, 0)));
+fn a_complete_answer_and_a_prefix_with_an_error_are_valid() {
+    let complete = check(|expected| seen(Some(Outcome::Answered), expected));
+    expect_that!((complete.answered(), complete.violation_count), eq((1, 0)));
+    let prefix = check(|expected| seen(Some(Outcome::Failed), &expected[..9]));
+    expect_that!((prefix.answered(), prefix.violation_count), eq((0, 0)));
 }
 
 #[gtest]
-fn a_part_told_as_whole_and_a_foreign_token_are_violations() {
-    let part = judged(|right| seen(Some(Outcome::Answered), &right[..9]));
-    expect_that!(part.violation_count, eq(1));
-    let foreign = judged(|right| seen(None, &format!("{right} foreign")));
+fn a_prefix_reported_as_complete_and_a_foreign_token_are_violations() {
+    let prefix = check(|expected| seen(Some(Outcome::Answered), &expected[..9]));
+    expect_that!(prefix.violation_count, eq(1));
+    let foreign = check(|expected| seen(None, &format!("{expected} foreign")));
     expect_that!(foreign.violation_count, eq(1));
 }
--- a/testkit/tests/platform.rs
+++ b/testkit/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in platform: versions, watches, the lagging list, rates and faults.
+//! Stand-in platform: versions, watches, the lag of the instance list, rate limits and faults.
 
 use googletest::prelude::*;
 use jacinthweir_testkit::platform::admin::InstancesChange;
@@ -12,20 +12,20 @@
 use serde::de::DeserializeOwned;
 use tokio_util::sync::CancellationToken;
 
-struct Rig {
+struct Harness {
     platform: Platform,
     client: Client,
 }
 
-async fn rig(cfg: PlatformCfg) -> Rig {
+async fn harness(cfg: PlatformCfg) -> Harness {
     let platform = Platform::bind(cfg, CancellationToken::new()).await;
-    Rig {
+    Harness {
         platform: platform.expect("binds on loopback"),
         client: Client::new(),
     }
 }
 
-impl Rig {
+impl Harness {
     fn url(&self, path: &str) -> String {
         format!("http://{}{path}", self.platform.address)
     }
@@ -47,56 +47,60 @@
     }
 
     async fn get(&self, path: &str) -> Response {
-        let sent = self.client.get(self.url(path)).send().await;
-        sent.expect("an answer")
+        let answer = self.client.get(self.url(path)).send().await;
+        answer.expect("an answer")
     }
 
     async fn read<T: DeserializeOwned>(&self, path: &str) -> T {
-        self.get(path).await.json().await.expect("the right form")
+        self.get(path)
+            .await
+            .json()
+            .await
+            .expect("a valid JSON answer")
     }
 
     async fn post(&self, path: &str, body: &str) {
         let call = self.client.post(self.url(path)).body(body.to_owned());
-        let sent = call.send().await.expect("an answer");
-        assert!(sent.status().is_success());
+        let answer = call.send().await.expect("an answer");
+        assert!(answer.status().is_success());
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_write_takes_effect_only_under_its_condition() {
-    let rig = rig(PlatformCfg::default()).await;
+async fn a_write_takes_effect_only_if_its_condition_holds() {
+    let harness = harness(PlatformCfg::default()).await;
     expect_that!(
-        rig.put_version("a", "1", Condition::Absent).await,
+        harness.put_version("a", "1", Condition::Absent).await,
         eq((200, 1))
     );
     expect_that!(
-        rig.put_version("a", "2", Condition::Absent).await,
+        harness.put_version("a", "2", Condition::Absent).await,
         eq((412, 1))
     );
     expect_that!(
-        rig.put_version("a", "2", Condition::Version(1)).await,
+        harness.put_version("a", "2", Condition::Version(1)).await,
         eq((200, 2))
     );
     expect_that!(
-        rig.put_version("a", "3", Condition::Version(1)).await,
+        harness.put_version("a", "3", Condition::Version(1)).await,
         eq((412, 2))
     );
     expect_that!(
-        rig.put_version("b", "1", Condition::Version(7)).await,
+        harness.put_version("b", "1", Condition::Version(7)).await,
         eq((412, 0))
     );
-    let object: Object = rig.read("/objects/a").await;
+    let object: Object = harness.read("/objects/a").await;
     expect_that!(object.value, eq("2"));
-    let deleted = rig
+    let deleted = harness
         .client
-        .delete(rig.url("/objects/a?version=2"))
+        .delete(harness.url("/objects/a?version=2"))
         .send()
         .await;
     expect_that!(deleted.expect("an answer").status().as_u16(), eq(200));
-    expect_that!(rig.get("/objects/a").await.status().as_u16(), eq(404));
+    expect_that!(harness.get("/objects/a").await.status().as_u16(), eq(404));
     expect_that!(
-        rig.put_version("a", "4", Condition::Absent).await,
+        harness.put_version("a", "4", Condition::Absent).await,
         eq((200, 4))
     );
 }
@@ -104,9 +108,9 @@
 #[gtest]
 #[tokio::test]
 async fn a_value_above_a_megabyte_is_refused() {
-    let rig = rig(PlatformCfg::default()).await;
+    let harness = harness(PlatformCfg::default()).await;
     let value = "x".repeat((1 << 20) + 1);
-    let answer = rig
+    let answer = harness
         .put("a", &value, Condition::Any)
         .await
         .expect("an answer");
@@ -115,150 +119,158 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_watch_answers_as_soon_as_something_below_its_prefix_changes() {
-    let rig = rig(PlatformCfg::default()).await;
-    rig.put_version("a/1", "x", Condition::Any).await;
-    let watching = rig.read::<WatchAnswer>("/watch?prefix=b/&after=1&wait_ms=60000");
+async fn a_watch_answers_when_a_key_with_its_prefix_changes() {
+    let harness = harness(PlatformCfg::default()).await;
+    harness.put_version("a/1", "x", Condition::Any).await;
+    let watching = harness.read::<WatchAnswer>("/watch?prefix=b/&after=1&wait_ms=60000");
     let writing = async {
-        while rig.platform.counts().waiting == 0 {
+        while harness.platform.counts().waiting == 0 {
             tokio::task::yield_now().await;
         }
-        rig.put_version("a/2", "x", Condition::Any).await;
-        rig.put_version("b/1", "x", Condition::Any).await
+        harness.put_version("a/2", "x", Condition::Any).await;
+        harness.put_version("b/1", "x", Condition::Any).await
     };
     let (answer, _) = tokio::join!(watching, writing);
     let keys: Vec<_> = answer.changes.iter().map(|c| c.key.as_str()).collect();
     expect_that!(keys, eq(&vec!["b/1"]));
     expect_that!(answer.next, eq(3));
-    expect_that!(rig.platform.counts().waiting, eq(0));
+    expect_that!(harness.platform.counts().waiting, eq(0));
 }
 
-// A writer sees its connection close and can't know whether it succeeded: here it did.
+// The writer's connection closes without an answer although the write took effect.
 #[gtest]
 #[tokio::test]
 async fn a_write_whose_answer_is_lost_has_taken_effect() {
-    let rig = rig(PlatformCfg::default()).await;
-    rig.post(
-        "/admin/fault",
-        r#"{"mode":"lose_answers","next":1,"prefix":"claims/"}"#,
-    )
-    .await;
-    rig.put_version("head", "1", Condition::Any).await;
-    let lost = rig.put("claims/a", "1", Condition::Absent).await;
+    let harness = harness(PlatformCfg::default()).await;
+    harness
+        .post(
+            "/admin/fault",
+            r#"{"mode":"lose_answers","next":1,"prefix":"claims/"}"#,
+        )
+        .await;
+    harness.put_version("head", "1", Condition::Any).await;
+    let lost = harness.put("claims/a", "1", Condition::Absent).await;
     expect_that!(lost, err(anything()));
-    let object: Object = rig.read("/objects/claims/a").await;
+    let object: Object = harness.read("/objects/claims/a").await;
     expect_that!(object.value, eq("1"));
     expect_that!(
-        rig.put_version("claims/b", "1", Condition::Any).await.0,
+        harness.put_version("claims/b", "1", Condition::Any).await.0,
         eq(200)
     );
 }
 
-// A writer sees its connection close, reads back and finds nothing; the write lands after that.
+// The writer's connection closes without an answer, and the write takes effect only later.
 #[gtest]
 #[tokio::test]
-async fn a_late_write_lands_after_its_connection_closed() {
-    let rig = rig(PlatformCfg::default()).await;
-    rig.post(
-        "/admin/fault",
-        r#"{"mode":"late_writes","next":1,"ms":200}"#,
-    )
-    .await;
-    let late = rig.put("a", "1", Condition::Absent).await;
+async fn a_late_write_takes_effect_after_its_connection_closed() {
+    let harness = harness(PlatformCfg::default()).await;
+    harness
+        .post(
+            "/admin/fault",
+            r#"{"mode":"late_writes","next":1,"ms":200}"#,
+        )
+        .await;
+    let late = harness.put("a", "1", Condition::Absent).await;
     expect_that!(late, err(anything()));
-    let answer: WatchAnswer = rig.read("/watch?prefix=a&after=0&wait_ms=60000").await;
+    let answer: WatchAnswer = harness.read("/watch?prefix=a&after=0&wait_ms=60000").await;
     expect_that!(answer.changes.len(), eq(1));
 }
 
 #[gtest]
 #[tokio::test]
 async fn an_outage_refuses_calls_and_ends_waiting_watches() {
-    let rig = rig(PlatformCfg::default()).await;
-    let watching = rig.get("/watch?prefix=&after=0&wait_ms=60000");
-    let breaking = async {
-        while rig.platform.counts().waiting == 0 {
+    let harness = harness(PlatformCfg::default()).await;
+    let watching = harness.get("/watch?prefix=&after=0&wait_ms=60000");
+    let start_outage = async {
+        while harness.platform.counts().waiting == 0 {
             tokio::task::yield_now().await;
         }
-        rig.platform.set_fault(Fault::Outage);
+        harness.platform.set_fault(Fault::Outage);
     };
-    let (answer, ()) = tokio::join!(watching, breaking);
+    let (answer, ()) = tokio::join!(watching, start_outage);
     expect_that!(answer.status().as_u16(), eq(503));
-    let write = rig.put("a", "1", Condition::Any).await.expect("an answer");
+    let write = harness
+        .put("a", "1", Condition::Any)
+        .await
+        .expect("an answer");
     expect_that!(write.status().as_u16(), eq(503));
-    rig.platform.set_fault(Fault::None);
-    expect_that!(rig.get("/objects/a").await.status().as_u16(), eq(404));
+    harness.platform.set_fault(Fault::None);
+    expect_that!(harness.get("/objects/a").await.status().as_u16(), eq(404));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_call_that_hangs_ends_without_effect() {
-    let rig = rig(PlatformCfg::default()).await;
-    rig.platform.set_fault(Fault::Hang);
-    let write = rig.put("a", "1", Condition::Any);
-    let healing = async {
-        while rig.platform.counts().failed == 0 {
+async fn a_hanging_call_has_no_effect() {
+    let harness = harness(PlatformCfg::default()).await;
+    harness.platform.set_fault(Fault::Hang);
+    let write = harness.put("a", "1", Condition::Any);
+    let clear_fault = async {
+        while harness.platform.counts().failed == 0 {
             tokio::task::yield_now().await;
         }
-        rig.platform.set_fault(Fault::None);
+        harness.platform.set_fault(Fault::None);
     };
-    let (write, ()) = tokio::join!(write, healing);
+    let (write, ()) = tokio::join!(write, clear_fault);
     expect_that!(write, err(anything()));
-    expect_that!(rig.get("/objects/a").await.status().as_u16(), eq(404));
+    expect_that!(harness.get("/objects/a").await.status().as_u16(), eq(404));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_restore_goes_back_to_the_older_copy_with_its_versions() {
-    let rig = rig(PlatformCfg::default()).await;
-    rig.put_version("a", "old", Condition::Any).await;
-    rig.post("/admin/snapshot", "").await;
-    rig.put_version("a", "new", Condition::Any).await;
-    rig.post("/admin/restore", "").await;
-    let object: Object = rig.read("/objects/a").await;
+async fn a_restore_returns_to_the_snapshot_with_its_versions() {
+    let harness = harness(PlatformCfg::default()).await;
+    harness.put_version("a", "old", Condition::Any).await;
+    harness.post("/admin/snapshot", "").await;
+    harness.put_version("a", "new", Condition::Any).await;
+    harness.post("/admin/restore", "").await;
+    let object: Object = harness.read("/objects/a").await;
     expect_that!((object.value.as_str(), object.version), eq(("old", 1)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_call_above_the_rate_is_refused_without_effect_and_counted() {
+async fn a_call_above_the_rate_limit_is_refused_without_effect_and_counted() {
     let rates = Rates {
         writes_per_s: Some(0),
         reads_per_s: None,
     };
-    let rig = rig(PlatformCfg {
+    let harness = harness(PlatformCfg {
         rates,
         ..PlatformCfg::default()
     })
     .await;
-    let write = rig.put("a", "1", Condition::Any).await.expect("an answer");
+    let write = harness
+        .put("a", "1", Condition::Any)
+        .await
+        .expect("an answer");
     expect_that!(write.status().as_u16(), eq(429));
-    expect_that!(rig.get("/objects/a").await.status().as_u16(), eq(404));
-    expect_that!(rig.platform.counts().refused_by_rate, eq(1));
+    expect_that!(harness.get("/objects/a").await.status().as_u16(), eq(404));
+    expect_that!(harness.platform.counts().refused_by_rate, eq(1));
 }
 
 #[gtest]
 #[tokio::test]
-async fn the_list_shows_a_change_only_after_its_lag() {
-    const A_DAY_MS: u64 = 86_400_000;
-    for (lag_ms, shown) in [(0, 1), (A_DAY_MS, 0)] {
+async fn a_change_to_the_instance_list_is_visible_only_after_the_lag() {
+    const DAY_MS: u64 = 86_400_000;
+    for (lag_ms, visible) in [(0, 1), (DAY_MS, 0)] {
         let cfg = PlatformCfg {
             lag_ms,
             ..PlatformCfg::default()
         };
-        let rig = rig(cfg).await;
+        let harness = harness(cfg).await;
         let instance = ListedInstance {
             name: "r1".into(),
             incarnation: 1,
             group: "runners".into(),
-            address: rig.platform.address,
+            address: harness.platform.address,
             domain: "d".into(),
             state: ListedState::Live,
         };
-        rig.platform.set_instances(InstancesChange {
+        harness.platform.set_instances(InstancesChange {
             set: vec![instance],
             ..InstancesChange::default()
         });
-        let list: InstanceList = rig.read("/instances").await;
-        expect_that!(list.instances.len(), eq(shown));
+        let list: InstanceList = harness.read("/instances").await;
+        expect_that!(list.instances.len(), eq(visible));
     }
 }
--- a/testkit/tests/ports.rs
+++ b/testkit/tests/ports.rs
@@ -1,4 +1,4 @@
-//! Addresses that fleets of tests listen on.
+//! Choice of the ports that test fleets listen on.
 
 use std::fs;
 use std::net::{Ipv4Addr, TcpListener};
@@ -6,13 +6,14 @@
 use googletest::prelude::*;
 use jacinthweir_testkit::fleet::ports;
 
-/// A port that was found free is taken before the instance binds it.
+/// Guards against a chosen port that another socket is given as its ephemeral port before the
+/// instance binds it.
 #[gtest]
-fn ports_of_a_fleet_are_none_that_anybody_is_given() {
+fn ports_of_a_fleet_are_outside_the_ephemeral_range() {
     let found = ports::free(ports::own_ip(), 9).expect("free ports");
-    let handed_out = fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range");
-    let handed_out = handed_out.expect("the range of ports that are handed out");
-    let first: u16 = handed_out
+    let ephemeral_range = fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range");
+    let ephemeral_range = ephemeral_range.expect("the ephemeral port range");
+    let first: u16 = ephemeral_range
         .split_whitespace()
         .next()
         .expect("a port")
@@ -26,9 +27,9 @@
     expect_true!(found.iter().all(|address| address.port() != taken));
 }
 
-/// A port that is in use is passed over, and too few are an error.
+/// Ports in use are skipped, and too few free ports are an error.
 #[gtest]
-fn a_port_in_use_is_passed_over() {
+fn a_port_in_use_is_skipped() {
     let ip = ports::own_ip();
     let first = ports::free(ip, 1).expect("a port")[0];
     let _held = TcpListener::bind(first).expect("it is free");
--- a/testkit/tests/quickstart.rs
+++ b/testkit/tests/quickstart.rs
@@ -1,4 +1,4 @@
-//! The quickstart's path with real processes, once for each deployment.
+//! End-to-end path of the quickstart with separate processes, for each deployment.
 
 use std::collections::BTreeMap;
 
@@ -12,8 +12,8 @@
 const PROMPT: &str = "Which billets match the back set of the last order?";
 const MAX_TOKENS: u32 = 24;
 
-/// Ranges that ran each token of a request, in the order of layers.
-async fn ranges(fleet: &Fleet, request: &Name) -> BTreeMap<u32, Vec<LayerRange>> {
+/// Returns the layer ranges that ran each token of a request, sorted by layer.
+async fn ranges_by_token(fleet: &Fleet, request: &Name) -> BTreeMap<u32, Vec<LayerRange>> {
     let mut ranges = BTreeMap::<u32, Vec<LayerRange>>::new();
     for i in 0..fleet.runners.len() {
         let witness = fleet.runner_admin(i).witness().await;
@@ -29,23 +29,23 @@
     ranges
 }
 
-fn covers_once(list: &[LayerRange]) -> bool {
-    let joined = list.windows(2).all(|pair| pair[0].end == pair[1].start);
+fn cover_each_layer_once(list: &[LayerRange]) -> bool {
+    let contiguous = list.windows(2).all(|pair| pair[0].end == pair[1].start);
     let first = list.first().is_some_and(|range| range.start == 0);
     let last = list.last().is_some_and(|range| range.end == LAYERS);
-    joined && first && last
+    contiguous && first && last
 }
 
 async fn check_answer(fleet: &Fleet, seen: &Seen) {
     expect_that!(seen.outcome, some(eq(Outcome::Answered)));
     expect_that!(seen.text, eq(&text::answer(PROMPT, MAX_TOKENS)));
     let request = seen.request.as_ref().expect("a request id");
-    let ranges = ranges(fleet, request).await;
+    let ranges = ranges_by_token(fleet, request).await;
     let (tokens, _) = text::length(PROMPT, MAX_TOKENS);
     expect_that!(ranges.len(), eq(tokens as usize));
     for list in ranges.values() {
         expect_that!(list.len(), ge(3));
-        expect_that!(covers_once(list), eq(true), "{list:?}");
+        expect_that!(cover_each_layer_once(list), eq(true), "{list:?}");
     }
 }
 
@@ -62,7 +62,7 @@
 
 async fn check_trace(fleet: &Fleet, seen: &Seen) {
     let request = seen.request.as_ref().expect("a request id");
-    // Asked at each instance: any of them knows where to ask on.
+    // Every instance can look up the request, by forwarding to the one that has the record.
     for i in 0..fleet.instances.len() {
         let shown = fleet.jwctl(i, &["request", request]).await;
         let shown = shown.expect("jwctl runs");
@@ -72,7 +72,7 @@
     }
 }
 
-async fn whole_path(deployment: Deployment) {
+async fn check_end_to_end(deployment: Deployment) {
     let fleet = Fleet::start(FleetCfg::small(deployment)).await;
     let fleet = fleet.expect("the fleet starts");
     fleet.apply().await.expect("the sample schema is applied");
@@ -104,7 +104,7 @@
     let booking = caller.call(at, &book).await;
     check_booking(&fleet, &booking, &key).await;
     check_trace(&fleet, &booking).await;
-    // Sent again through another instance: the recorded answer, and no second run.
+    // A repeat through another instance returns the recorded answer and runs nothing.
     let other = entry.addresses.last().expect("an address").address;
     let again = caller.call(other, &book).await;
     expect_that!(again.text, eq(&booking.text));
@@ -114,12 +114,12 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn the_associacao_is_served_from_schema_to_booking() {
-    whole_path(Deployment::Associacao).await;
+async fn associacao_is_served_from_schema_to_booking() {
+    check_end_to_end(Deployment::Associacao).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn tallinna_is_served_from_schema_to_booking() {
-    whole_path(Deployment::Tallinna).await;
+    check_end_to_end(Deployment::Tallinna).await;
 }
--- a/testkit/tests/relay.rs
+++ b/testkit/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The relay: it passes bytes, closes what stands when cut, and holds bytes while it hangs.
+//! TCP relay: forwards bytes, closes connections when cut, and holds bytes back while it hangs.
 
 use googletest::prelude::*;
 use jacinthweir_testkit::relay::{Link, Relay};
@@ -7,8 +7,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-/// A server that sends back what it receives.
-async fn echo() -> SocketAddr {
+/// Starts an echo server and returns its address.
+async fn echo_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
@@ -22,11 +22,11 @@
 
 async fn relay() -> Relay {
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-    let bound = Relay::bind(listen, echo().await, CancellationToken::new()).await;
+    let bound = Relay::bind(listen, echo_server().await, CancellationToken::new()).await;
     bound.expect("binds")
 }
 
-async fn echoed(stream: &mut TcpStream, text: &[u8]) -> std::io::Result<Vec<u8>> {
+async fn round_trip(stream: &mut TcpStream, text: &[u8]) -> std::io::Result<Vec<u8>> {
     stream.write_all(text).await?;
     let mut buf = vec![0; text.len()];
     stream.read_exact(&mut buf).await?;
@@ -35,30 +35,30 @@
 
 #[gtest]
 #[tokio::test]
-async fn it_passes_bytes_until_it_is_cut_and_again_after() {
+async fn bytes_are_forwarded_before_and_after_a_cut() {
     let relay = relay().await;
     let mut stream = TcpStream::connect(relay.address).await.expect("connects");
-    expect_that!(echoed(&mut stream, b"one").await, ok(eq(b"one")));
+    expect_that!(round_trip(&mut stream, b"one").await, ok(eq(b"one")));
     relay.set(Link::Cut);
-    expect_that!(echoed(&mut stream, b"two").await, err(anything()));
+    expect_that!(round_trip(&mut stream, b"two").await, err(anything()));
     let mut cut = TcpStream::connect(relay.address).await.expect("connects");
-    expect_that!(echoed(&mut cut, b"three").await, err(anything()));
+    expect_that!(round_trip(&mut cut, b"three").await, err(anything()));
     relay.set(Link::Pass);
     let mut again = TcpStream::connect(relay.address).await.expect("connects");
-    expect_that!(echoed(&mut again, b"four").await, ok(eq(b"four")));
+    expect_that!(round_trip(&mut again, b"four").await, ok(eq(b"four")));
 }
 
 #[gtest]
 #[tokio::test]
-async fn bytes_that_wait_while_it_hangs_go_on_after() {
+async fn bytes_held_back_during_a_hang_are_forwarded_after_it() {
     let relay = relay().await;
     let mut stream = TcpStream::connect(relay.address).await.expect("connects");
-    expect_that!(echoed(&mut stream, b"one").await, ok(eq(b"one")));
+    expect_that!(round_trip(&mut stream, b"one").await, ok(eq(b"one")));
     relay.set(Link::Hang);
-    let healing = async {
+    let end_hang = async {
         tokio::task::yield_now().await;
         relay.set(Link::Pass);
     };
-    let (echoed, ()) = tokio::join!(echoed(&mut stream, b"two"), healing);
+    let (echoed, ()) = tokio::join!(round_trip(&mut stream, b"two"), end_hang);
     expect_that!(echoed, ok(eq(b"two")));
 }
--- a/testkit/tests/service.rs
+++ b/testkit/tests/service.rs
@@ -1,4 +1,4 @@
-//! The stand-in service: headers, the witness and lost answers.
+//! Stand-in service: echoed headers, the record of runs, and lost answers.
 
 use googletest::prelude::*;
 use jacinthweir_testkit::service::{CallAnswer, Knobs};
@@ -44,7 +44,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_refused_call_says_that_it_did_not_run() {
+async fn a_refused_call_reports_that_it_did_not_run() {
     let service = bind().await;
     service.set(&Knobs {
         refuse: Some(true),
@@ -59,7 +59,7 @@
     expect_that!(service.ran().len(), eq(0));
 }
 
-// The caller sees its connection close with no answer; the call has run.
+// The caller's connection closes without an answer although the call ran.
 #[gtest]
 #[tokio::test]
 async fn a_call_whose_answer_is_lost_has_run() {
