--- a/testkit/examples/load.rs
+++ b/testkit/examples/load.rs
@@ -39,7 +39,7 @@
     let fleet = Fleet::start(FleetCfg {
         runners: args.runners,
         instances: args.instances,
-        ..FleetCfg::today(deployment)
+        ..FleetCfg::production_size(deployment)
     })
     .await?;
     fleet.apply().await?;
--- a/testkit/examples/measure_claims.rs
+++ b/testkit/examples/measure_claims.rs
@@ -7,7 +7,7 @@
 
 use hdrhistogram::Histogram;
 use jacinthweir_testkit::Result;
-use jacinthweir_testkit::caller::{ServiceCall, unbroken};
+use jacinthweir_testkit::caller::{ServiceCall, ensure_uninterrupted};
 use jacinthweir_testkit::fleet::deployment::Deployment;
 use jacinthweir_testkit::fleet::{Fleet, FleetCfg};
 use jacinthweir_testkit::platform::admin::Counts;
@@ -71,7 +71,7 @@
             body: format!("call {i}"),
             deadline_ms: None,
         };
-        let seen = unbroken(caller.call(fleet.entries()[0], &call).await)?;
+        let seen = ensure_uninterrupted(caller.call(fleet.entries()[0], &call).await)?;
         assert!(seen.answered(), "{seen:?}");
         times.record(seen.end_us).expect("the histogram grows");
     }
--- a/testkit/examples/overhead.rs
+++ b/testkit/examples/overhead.rs
@@ -10,7 +10,7 @@
 use argh::FromArgs;
 use futures::StreamExt;
 use hdrhistogram::Histogram;
-use jacinthweir_testkit::caller::{ModelCall, ServiceCall, unbroken};
+use jacinthweir_testkit::caller::{ModelCall, ServiceCall, ensure_uninterrupted};
 use jacinthweir_testkit::fleet::deployment::{Deployment, LAYERS};
 use jacinthweir_testkit::{Caller, Fleet, FleetCfg};
 use jacinthweir_wire::runner::{LayerRange, RunRequest, Stage};
@@ -154,7 +154,7 @@
         max_tokens: TOKENS,
         deadline_ms: None,
     };
-    let seen = unbroken(caller.complete(at, &ask).await)?;
+    let seen = ensure_uninterrupted(caller.complete(at, &ask).await)?;
     if !seen.answered() {
         eyre::bail!("not answered: {seen:?}");
     }
@@ -166,7 +166,7 @@
         body: "item".to_owned(),
         deadline_ms: None,
     };
-    let seen = unbroken(caller.call(at, &call).await)?;
+    let seen = ensure_uninterrupted(caller.call(at, &call).await)?;
     if !seen.answered() {
         eyre::bail!("not answered: {seen:?}");
     }
--- a/testkit/examples/quickstart.rs
+++ b/testkit/examples/quickstart.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 use jacinthweir_policy::prelude::*;
-use jacinthweir_testkit::caller::{ModelCall, Seen, ServiceCall, unbroken};
+use jacinthweir_testkit::caller::{ModelCall, Observation, ServiceCall, ensure_uninterrupted};
 use jacinthweir_testkit::fleet::deployment::Deployment;
 use jacinthweir_testkit::{Caller, Fleet, FleetCfg};
 use jacinthweir_wire::runner::LayerRange;
@@ -52,7 +52,7 @@
     let deployment = fleet.deployment;
     let organisation = deployment.organisations()[0];
     let caller = fleet.caller(organisation)?;
-    let entry = caller.entry(fleet.instances[0].faces.callers).await?;
+    let entry = caller.entry(fleet.instances[0].listen.callers).await?;
     let Some(entry_address) = entry.addresses.first() else {
         eyre::bail!("the entry answer names no address");
     };
@@ -73,7 +73,7 @@
     caller: &Caller,
     at: std::net::SocketAddr,
     deployment: Deployment,
-) -> eyre::Result<Seen> {
+) -> eyre::Result<Observation> {
     let call = ModelCall {
         pipeline: deployment.pipeline().into(),
         prompt: question(deployment).to_owned(),
@@ -100,7 +100,7 @@
 }
 
 /// Prints which runner ran which layers of a request's tokens, according to the runners.
-async fn print_stages(fleet: &Fleet, seen: &Seen) -> eyre::Result<()> {
+async fn print_stages(fleet: &Fleet, seen: &Observation) -> eyre::Result<()> {
     let mut stages = BTreeMap::<LayerRange, (Name, usize)>::new();
     for i in 0..fleet.runners.len() {
         let witness = fleet.runner_admin(i).witness().await?;
@@ -123,7 +123,7 @@
     caller: &Caller,
     at: std::net::SocketAddr,
     deployment: Deployment,
-) -> eyre::Result<Seen> {
+) -> eyre::Result<Observation> {
     let call = ServiceCall {
         service: deployment.service().into(),
         call: deployment.non_idempotent_call().into(),
@@ -134,8 +134,8 @@
     ensure_answered(caller.call(at, &call).await)
 }
 
-fn ensure_answered(seen: Seen) -> eyre::Result<Seen> {
-    let seen = unbroken(seen)?;
+fn ensure_answered(seen: Observation) -> eyre::Result<Observation> {
+    let seen = ensure_uninterrupted(seen)?;
     if seen.outcome != Some(Outcome::Answered) {
         eyre::bail!("not answered: {seen:?}");
     }
@@ -143,7 +143,7 @@
 }
 
 /// Prints the record of a request.
-async fn print_trace(fleet: &Fleet, seen: &Seen) -> eyre::Result<()> {
+async fn print_trace(fleet: &Fleet, seen: &Observation) -> eyre::Result<()> {
     let Some(request) = &seen.request else {
         eyre::bail!("the answer names no request");
     };
--- a/testkit/src/caller.rs
+++ b/testkit/src/caller.rs
@@ -28,7 +28,7 @@
 
 /// What a caller observed of one submission.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Observation {
     /// HTTP status; `None` if no response head was received.
     pub status: Option<u16>,
     /// Request id from the response header.
@@ -114,7 +114,7 @@
     }
 
     /// Submits a model request and reads the stream to its end.
-    pub async fn complete(&self, at: SocketAddr, call: &ModelCall) -> Seen {
+    pub async fn complete(&self, at: SocketAddr, call: &ModelCall) -> Observation {
         self.complete_with(at, call, &mut |_| {}).await
     }
 
@@ -124,7 +124,7 @@
         at: SocketAddr,
         call: &ModelCall,
         show: &mut impl FnMut(&str),
-    ) -> Seen {
+    ) -> Observation {
         let body = CompletionRequest {
             model: call.pipeline.clone(),
             prompt: call.prompt.clone(),
@@ -137,7 +137,7 @@
     }
 
     /// Calls a plain service.
-    pub async fn call(&self, at: SocketAddr, call: &ServiceCall) -> Seen {
+    pub async fn call(&self, at: SocketAddr, call: &ServiceCall) -> Observation {
         let url = format!("http://{at}/v1/services/{}/{}", call.service, call.call);
         let mut req = self.client.post(url).body(call.body.clone());
         if let Some(key) = &call.key {
@@ -152,9 +152,9 @@
         req: RequestBuilder,
         kind: BodyKind,
         show: &mut impl FnMut(&str),
-    ) -> Seen {
+    ) -> Observation {
         let started = Instant::now();
-        let mut seen = Seen::default();
+        let mut seen = Observation::default();
         let read = async {
             let answer = req.bearer_auth(&self.key).send().await?;
             seen.read_headers(&answer);
@@ -190,7 +190,7 @@
     u64::try_from(since.elapsed().as_micros()).unwrap_or(u64::MAX)
 }
 
-impl Seen {
+impl Observation {
     /// Returns whether the system reported a complete answer.
     #[must_use]
     pub fn answered(&self) -> bool {
@@ -281,7 +281,7 @@
 /// # Errors
 ///
 /// Fails if the submission was interrupted.
-pub fn unbroken(seen: Seen) -> Result<Seen> {
+pub fn ensure_uninterrupted(seen: Observation) -> Result<Observation> {
     match &seen.broken {
         Some(broken) => Err(Error::Other(broken.clone())),
         None => Ok(seen),
--- a/testkit/src/campaign/load.rs
+++ b/testkit/src/campaign/load.rs
@@ -15,7 +15,7 @@
 
 use super::CampaignCfg;
 use super::recorder::Recorder;
-use crate::caller::{ModelCall, Seen, ServiceCall};
+use crate::caller::{ModelCall, Observation, ServiceCall};
 use crate::fleet::deployment::Deployment;
 use crate::history::record::{Submission, Work};
 use crate::http::unix_ms;
@@ -55,7 +55,7 @@
             per_s: cfg.per_s,
             deployment: cfg.deployment,
             instances: instances
-                .map(|i| (i.faces.callers, i.name.clone()))
+                .map(|i| (i.listen.callers, i.name.clone()))
                 .collect(),
             caller,
         })
@@ -159,7 +159,7 @@
         }
     }
 
-    async fn submit(&self, number: u64, at: SocketAddr, call: &Call) -> Seen {
+    async fn submit(&self, number: u64, at: SocketAddr, call: &Call) -> Observation {
         let submission = ServiceCall {
             service: self.cfg.deployment.service().into(),
             call: self.cfg.deployment.non_idempotent_call().into(),
@@ -194,7 +194,7 @@
         Vec::new()
     }
 
-    fn record(&self, number: u64, at: SocketAddr, sent_ms: u64, work: Work, seen: Seen) {
+    fn record(&self, number: u64, at: SocketAddr, sent_ms: u64, work: Work, seen: Observation) {
         let instance = self.cfg.instances.get(&at).cloned();
         self.recorder.history().submissions.push(Submission {
             number,
@@ -208,10 +208,10 @@
 }
 
 /// What a caller sees that gives up after a while.
-async fn patient(asked: impl Future<Output = Seen>) -> Seen {
+async fn patient(asked: impl Future<Output = Observation>) -> Observation {
     let seen = tokio::time::timeout(PATIENCE, asked).await;
-    seen.unwrap_or_else(|_| Seen {
+    seen.unwrap_or_else(|_| Observation {
         broken: Some("gave up waiting".into()),
-        ..Seen::default()
+        ..Observation::default()
     })
 }
--- a/testkit/src/fleet.rs
+++ b/testkit/src/fleet.rs
@@ -88,7 +88,7 @@
     /// Production size: forty runners, slowed down so that they fit one machine and a step takes
     /// much longer than the timer granularity.
     #[must_use]
-    pub fn today(deployment: Deployment) -> Self {
+    pub fn production_size(deployment: Deployment) -> Self {
         Self {
             runners: 40,
             speed: 0.1,
@@ -141,7 +141,7 @@
     /// Fails if a program isn't built, a process exits early or a time-out expires.
     pub async fn start(cfg: FleetCfg) -> Result<Self> {
         let dir = tempfile::Builder::new().prefix("jacinthweir-").tempdir()?;
-        let ip = ports::own_ip();
+        let ip = ports::unique_loopback_ip();
         let client = reqwest::Client::builder().no_proxy().build()?;
         let platform_cfg = PlatformCfg {
             listen: SocketAddr::new(ip, 0),
@@ -203,10 +203,10 @@
         }
         // A separate loopback address for the instances: a stand-in or link that binds port 0
         // could otherwise take the port of an instance that has yet to start or restart.
-        let addresses = ports::free(ports::own_ip(), 3 * count)?;
+        let addresses = ports::free(ports::unique_loopback_ip(), 3 * count)?;
         let peers: Vec<SocketAddr> = (0..count).map(|i| addresses[3 * i + 1]).collect();
         for i in 0..count {
-            let faces = instance::Faces {
+            let listen = instance::ListenAddresses {
                 callers: addresses[3 * i],
                 peers: addresses[3 * i + 1],
                 operators: addresses[3 * i + 2],
@@ -214,7 +214,7 @@
             let spec = instance::InstanceSpec {
                 deployment: self.deployment,
                 number: i,
-                faces,
+                listen,
                 peers: peers.clone(),
                 platform: self.platform_links[i].address,
                 operators_token: OPERATORS_TOKEN.to_owned(),
@@ -291,7 +291,7 @@
         let running = |process: &process::Process| process.id().is_some();
         let instances = self.instances.iter().filter(|i| running(&i.process));
         let runners = self.runners.iter().filter(|r| running(&r.process));
-        let Ok(answer) = caller.entry(instance.faces.callers).await else {
+        let Ok(answer) = caller.entry(instance.listen.callers).await else {
             return Ok(false);
         };
         let Ok(status) = instance.operator()?.status().await else {
@@ -325,7 +325,7 @@
             deadline_ms: None,
         };
         caller
-            .complete(instance.faces.callers, &ask)
+            .complete(instance.listen.callers, &ask)
             .await
             .answered()
     }
@@ -343,7 +343,7 @@
     /// Returns the callers' addresses of all instances.
     #[must_use]
     pub fn entries(&self) -> Vec<SocketAddr> {
-        self.instances.iter().map(|i| i.faces.callers).collect()
+        self.instances.iter().map(|i| i.listen.callers).collect()
     }
 
     /// Runs `jwctl` against the `i`-th instance.
@@ -352,7 +352,7 @@
     ///
     /// Fails if the process can't be started.
     pub async fn jwctl(&self, i: usize, args: &[&str]) -> Result<CtlOutput> {
-        let at = self.instances[i].faces.operators.to_string();
+        let at = self.instances[i].listen.operators.to_string();
         let output = Command::new(program("jwctl")?)
             .env("JWCTL_SERVER", at)
             .env("JWCTL_TOKEN", OPERATORS_TOKEN)
--- a/testkit/src/fleet/instance.rs
+++ b/testkit/src/fleet/instance.rs
@@ -24,7 +24,7 @@
 
 /// Listen addresses of an instance.
 #[derive(Clone, Copy, Debug)]
-pub struct Faces {
+pub struct ListenAddresses {
     /// Address for callers.
     pub callers: SocketAddr,
     /// Address for other instances.
@@ -41,7 +41,7 @@
     /// Index within the fleet, from 0.
     pub number: usize,
     /// Listen addresses.
-    pub faces: Faces,
+    pub listen: ListenAddresses,
     /// Peer addresses of all instances.
     pub peers: Vec<SocketAddr>,
     /// Address of the platform.
@@ -64,7 +64,7 @@
     /// Failure domain.
     pub domain: Name,
     /// Listen addresses.
-    pub faces: Faces,
+    pub listen: ListenAddresses,
     /// The process.
     pub process: Process,
     operators_token: String,
@@ -94,7 +94,7 @@
         Ok(Self {
             name,
             domain,
-            faces: spec.faces,
+            listen: spec.listen,
             process,
             operators_token: spec.operators_token,
         })
@@ -107,7 +107,7 @@
             name: self.name.clone(),
             incarnation: unix_ms(),
             group: super::entry_group(),
-            address: self.faces.peers,
+            address: self.listen.peers,
             domain: self.domain.clone(),
             state: ListedState::Live,
         }
@@ -119,7 +119,7 @@
     ///
     /// Fails if the HTTP client can't be built.
     pub fn operator(&self) -> Result<Operator> {
-        Operator::open(self.faces.operators, &self.operators_token)
+        Operator::open(self.listen.operators, &self.operators_token)
     }
 
     /// Waits until the instance answers its operators.
@@ -147,14 +147,14 @@
 }
 
 fn settings(spec: &InstanceSpec, name: Name, domain: Name) -> Settings {
-    let own = spec.faces.peers;
+    let own = spec.listen.peers;
     Settings {
         name,
         failure_domain: domain,
         listen: Listen {
-            callers: spec.faces.callers,
+            callers: spec.listen.callers,
             peers: own,
-            operators: spec.faces.operators,
+            operators: spec.listen.operators,
         },
         peers: spec.peers.iter().copied().filter(|p| *p != own).collect(),
         platform: PlatformSettings {
--- a/testkit/src/fleet/ports.rs
+++ b/testkit/src/fleet/ports.rs
@@ -15,7 +15,7 @@
 /// Returns a loopback address that is unlikely to be in use on this machine, derived from the
 /// process id and a counter within the process.
 #[must_use]
-pub fn own_ip() -> IpAddr {
+pub fn unique_loopback_ip() -> IpAddr {
     let [high, low] = (std::process::id() as u16).to_be_bytes();
     let count = ALLOCATED.fetch_add(1, Ordering::Relaxed) % 250;
     IpAddr::V4(Ipv4Addr::new(127, high.max(1), low, 1 + count))
--- a/testkit/src/fleet/process.rs
+++ b/testkit/src/fleet/process.rs
@@ -147,7 +147,7 @@
 
     /// Returns whether the process is in the stopped state.
     #[must_use]
-    pub fn stands_still(&self) -> bool {
+    pub fn is_stopped(&self) -> bool {
         let Some(id) = self.child.id() else {
             return false;
         };
--- a/testkit/src/history/record.rs
+++ b/testkit/src/history/record.rs
@@ -6,7 +6,7 @@
 use jacinthweir_wire::runner::LayerRange;
 use serde::{Deserialize, Serialize};
 
-use crate::caller::Seen;
+use crate::caller::Observation;
 use crate::runner::witness::Witness;
 use crate::service::RanCall;
 
@@ -53,7 +53,7 @@
     /// What was asked for.
     pub work: Work,
     /// What the caller saw.
-    pub seen: Seen,
+    pub seen: Observation,
 }
 
 /// What was asked for.
--- a/testkit/src/load.rs
+++ b/testkit/src/load.rs
@@ -17,7 +17,7 @@
 use jacinthweir_policy::prelude::*;
 use tokio::task::JoinSet;
 
-use crate::caller::Seen;
+use crate::caller::Observation;
 use crate::fleet::deployment::Deployment;
 use crate::{Caller, Result};
 use arrivals::{Arrival, ArrivalsCfg, Ask};
@@ -36,7 +36,7 @@
 ) -> Result<LoadResult> {
     let mut collector = Collector::default();
     let start = Instant::now();
-    let take = |arrival: &Arrival, seen: &Seen| collector.take(arrival, seen);
+    let take = |arrival: &Arrival, seen: &Observation| collector.take(arrival, seen);
     run_each(deployment, cfg, entries, start, take).await?;
     Ok(collector.finish())
 }
@@ -51,7 +51,7 @@
     cfg: &ArrivalsCfg,
     entries: &[SocketAddr],
     start: Instant,
-    mut take: impl FnMut(&Arrival, &Seen),
+    mut take: impl FnMut(&Arrival, &Observation),
 ) -> Result<()> {
     let caches = caches(deployment, entries)?;
     let mut running = JoinSet::new();
@@ -74,8 +74,8 @@
 }
 
 fn take_result(
-    take: &mut impl FnMut(&Arrival, &Seen),
-    ended: std::result::Result<(Arrival, Seen), tokio::task::JoinError>,
+    take: &mut impl FnMut(&Arrival, &Observation),
+    ended: std::result::Result<(Arrival, Observation), tokio::task::JoinError>,
 ) {
     match ended {
         Ok((arrival, seen)) => take(&arrival, &seen),
@@ -100,8 +100,8 @@
 }
 
 /// Submits the request once, to the first address that accepts the connection.
-async fn submit(cache: &EntryCache, ask: &Ask) -> Seen {
-    let mut last = Seen::default();
+async fn submit(cache: &EntryCache, ask: &Ask) -> Observation {
+    let mut last = Observation::default();
     for at in cache.addresses().await {
         last = match ask {
             Ask::Model(call) => cache.caller().complete(at, call).await,
--- a/testkit/src/load/result.rs
+++ b/testkit/src/load/result.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::arrivals::{Arrival, Ask};
-use crate::caller::Seen;
+use crate::caller::Observation;
 use crate::text;
 
 /// Largest value of the histograms, in microseconds.
@@ -91,7 +91,7 @@
 
 impl Collector {
     /// Records the result of one arrival.
-    pub fn take(&mut self, arrival: &Arrival, seen: &Seen) {
+    pub fn take(&mut self, arrival: &Arrival, seen: &Observation) {
         *self.outcomes.entry(outcome_key(seen)).or_default() += 1;
         if let Some(violation) = violation(arrival, seen) {
             self.violation_count += 1;
@@ -177,7 +177,7 @@
 }
 
 /// Returns the key of a request in [`LoadResult::outcomes`].
-fn outcome_key(seen: &Seen) -> String {
+fn outcome_key(seen: &Observation) -> String {
     match (seen.outcome, seen.code) {
         (Some(outcome), Some(code)) => format!("{outcome}: {code}"),
         (Some(outcome), None) => outcome.to_string(),
@@ -190,7 +190,7 @@
 /// A caller must receive either the complete expected answer or a prefix of it with an error, and
 /// never a token of another answer.
 #[must_use]
-pub fn violation(arrival: &Arrival, seen: &Seen) -> Option<String> {
+pub fn violation(arrival: &Arrival, seen: &Observation) -> Option<String> {
     let fault = match &arrival.ask {
         Ask::Model(call) => {
             let expected = text::answer(&call.prompt, call.max_tokens);
--- a/testkit/src/matrix/rig.rs
+++ b/testkit/src/matrix/rig.rs
@@ -10,7 +10,7 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-use crate::caller::{ModelCall, Seen, ServiceCall};
+use crate::caller::{ModelCall, Observation, ServiceCall};
 use crate::campaign::recorder::Recorder;
 use crate::campaign::watch;
 use crate::fleet::deployment::{Deployment, LAYERS};
@@ -234,7 +234,7 @@
     fn sender(&self, i: usize, number: u64, work: Work) -> Result<Sender> {
         Ok(Sender {
             caller: self.fleet.caller(DEPLOYMENT.organisations()[0])?,
-            at: self.fleet.instances[i].faces.callers,
+            at: self.fleet.instances[i].listen.callers,
             instance: self.fleet.instances[i].name.clone(),
             number,
             work,
@@ -261,7 +261,7 @@
 }
 
 impl Sender {
-    fn record(self, sent_ms: u64, seen: Seen) {
+    fn record(self, sent_ms: u64, seen: Observation) {
         if seen.not_connected {
             return;
         }
@@ -277,10 +277,10 @@
     }
 }
 
-async fn patient(asked: impl Future<Output = Seen>) -> Seen {
+async fn patient(asked: impl Future<Output = Observation>) -> Observation {
     let seen = tokio::time::timeout(PATIENCE, asked).await;
-    seen.unwrap_or_else(|_| Seen {
+    seen.unwrap_or_else(|_| Observation {
         broken: Some("gave up waiting".into()),
-        ..Seen::default()
+        ..Observation::default()
     })
 }
--- a/testkit/src/matrix/script.rs
+++ b/testkit/src/matrix/script.rs
@@ -232,7 +232,7 @@
         }
         match action {
             Action::Abort => Ok(process.ended(LOOK).await?.is_some_and(|s| !s.success())),
-            Action::Stop => Ok(process.stands_still()),
+            Action::Stop => Ok(process.is_stopped()),
             Action::Sleep(_) | Action::Hold(_) => Ok(true),
         }
     }
--- a/testkit/src/recovery.rs
+++ b/testkit/src/recovery.rs
@@ -154,7 +154,7 @@
     start: Instant,
 ) -> Result<Vec<SeenAt>> {
     let mut all = Vec::new();
-    let take = |arrival: &Arrival, seen: &crate::caller::Seen| {
+    let take = |arrival: &Arrival, seen: &crate::caller::Observation| {
         all.push(SeenAt {
             at_us: arrival.at_us,
             model: matches!(arrival.ask, load::arrivals::Ask::Model(_)),
--- a/testkit/src/recovery/figures.rs
+++ b/testkit/src/recovery/figures.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 
-use crate::caller::Seen;
+use crate::caller::Observation;
 use crate::load::result::STEP_MS;
 
 /// Steps of the moving window over which throughput is taken.
@@ -27,7 +27,7 @@
     /// What is wrong with the answer.
     pub violation: Option<String>,
     /// What the caller saw.
-    pub seen: Seen,
+    pub seen: Observation,
 }
 
 /// Times after the start between which figures are taken.
@@ -160,7 +160,7 @@
     greatest.1
 }
 
-fn ended(seen: &Seen) -> String {
+fn ended(seen: &Observation) -> String {
     match (seen.outcome, seen.code) {
         (Some(outcome), Some(code)) => format!("{outcome}: {code}"),
         (Some(outcome), None) => outcome.to_string(),
--- a/testkit/tests/claims.rs
+++ b/testkit/tests/claims.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use jacinthweir_policy::claim::{ClaimRecord, ClaimState};
 use jacinthweir_policy::prelude::Outcome;
-use jacinthweir_testkit::caller::{Seen, ServiceCall};
+use jacinthweir_testkit::caller::{Observation, ServiceCall};
 use jacinthweir_testkit::fleet::deployment::Deployment;
 use jacinthweir_testkit::fleet::{Fleet, FleetCfg};
 use jacinthweir_testkit::platform::fault::Fault;
@@ -31,7 +31,7 @@
 }
 
 /// Sends a non-idempotent call with a key to an instance.
-async fn send(fleet: &Fleet, instance: usize, key: &str, body: &str) -> Seen {
+async fn send(fleet: &Fleet, instance: usize, key: &str, body: &str) -> Observation {
     let caller = fleet.caller(DEPLOYMENT.organisations()[0]).expect("opens");
     let call = ServiceCall {
         service: DEPLOYMENT.service().into(),
@@ -95,7 +95,7 @@
     )
     .await;
     let send = |i| send(&fleet, i, "three", "shift 7");
-    let seen: [Seen; 3] = tokio::join!(send(0), send(1), send(2)).into();
+    let seen: [Observation; 3] = tokio::join!(send(0), send(1), send(2)).into();
     for seen in &seen {
         expect_that!(seen.outcome, some(eq(Outcome::Answered)), "{seen:?}");
 
@@ -243,7 +243,7 @@
     let calls = futures::future::join_all((0..FLOOD).map(|_| flood.call(at, &call)));
     let (flooded, seen) = tokio::join!(calls, other.call(at, &call));
     expect_that!(seen.outcome, some(eq(Outcome::Answered)), "{seen:?}");
-    let refused: Vec<&Seen> = flooded.iter().filter(|s| !s.answered()).collect();
+    let refused: Vec<&Observation> = flooded.iter().filter(|s| !s.answered()).collect();
     expect_that!(refused.len(), gt(0));
     for seen in &refused {
         expect_that!(seen.outcome, some(eq(Outcome::NotRun)), "{seen:?}");
--- a/testkit/tests/history.rs
+++ b/testkit/tests/history.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use jacinthweir_policy::layers::LayerRange;
 use jacinthweir_policy::prelude::{Name, Outcome};
-use jacinthweir_testkit::caller::Seen;
+use jacinthweir_testkit::caller::Observation;
 use jacinthweir_testkit::history::record::*;
 use jacinthweir_testkit::history::{Limits, Violation, check};
 use jacinthweir_testkit::service::RanCall;
@@ -22,8 +22,8 @@
     }
 }
 
-fn seen(request: &str, outcome: Outcome, text: &str, tokens: usize) -> Seen {
-    Seen {
+fn seen(request: &str, outcome: Outcome, text: &str, tokens: usize) -> Observation {
+    Observation {
         status: Some(if outcome == Outcome::Answered {
             200
         } else {
@@ -33,11 +33,11 @@
         outcome: Some(outcome),
         text: text.to_owned(),
         token_us: vec![0; tokens],
-        ..Seen::default()
+        ..Observation::default()
     }
 }
 
-fn submission(number: u64, work: Work, seen: Seen) -> Submission {
+fn submission(number: u64, work: Work, seen: Observation) -> Submission {
     Submission {
         number,
         instance: "entry-0".into(),
--- a/testkit/tests/load.rs
+++ b/testkit/tests/load.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
-use jacinthweir_testkit::caller::Seen;
+use jacinthweir_testkit::caller::Observation;
 use jacinthweir_testkit::fleet::deployment::Deployment;
 use jacinthweir_testkit::load::arrivals::{Arrival, ArrivalsCfg, Ask, arrivals};
 use jacinthweir_testkit::load::result::{Collector, LoadResult};
@@ -26,7 +26,7 @@
     expect_that!(arrivals_for(1).len() as f64, near(expected, expected / 3.0));
 }
 
-fn check(seen: impl Fn(&str) -> Seen) -> LoadResult {
+fn check(seen: impl Fn(&str) -> Observation) -> LoadResult {
     let model = |a: &Arrival| matches!(a.ask, Ask::Model(_));
     let arrival = arrivals_for(1)
         .into_iter()
@@ -41,12 +41,12 @@
     collector.finish()
 }
 
-fn seen(outcome: Option<Outcome>, text: &str) -> Seen {
-    Seen {
+fn seen(outcome: Option<Outcome>, text: &str) -> Observation {
+    Observation {
         status: Some(200),
         outcome,
         text: text.to_owned(),
-        ..Seen::default()
+        ..Observation::default()
     }
 }
 
--- a/testkit/tests/ports.rs
+++ b/testkit/tests/ports.rs
@@ -10,7 +10,7 @@
 /// instance binds it.
 #[gtest]
 fn ports_of_a_fleet_are_outside_the_ephemeral_range() {
-    let found = ports::free(ports::own_ip(), 9).expect("free ports");
+    let found = ports::free(ports::unique_loopback_ip(), 9).expect("free ports");
     let ephemeral_range = fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range");
     let ephemeral_range = ephemeral_range.expect("the ephemeral port range");
     let first: u16 = ephemeral_range
@@ -30,7 +30,7 @@
 /// Ports in use are skipped, and too few free ports are an error.
 #[gtest]
 fn a_port_in_use_is_skipped() {
-    let ip = ports::own_ip();
+    let ip = ports::unique_loopback_ip();
     let first = ports::free(ip, 1).expect("a port")[0];
     let _held = TcpListener::bind(first).expect("it is free");
     expect_that!(ports::free(ip, 1).expect("a port")[0], not(eq(first)));
--- a/testkit/tests/quickstart.rs
+++ b/testkit/tests/quickstart.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
-use jacinthweir_testkit::caller::{ModelCall, Seen, ServiceCall};
+use jacinthweir_testkit::caller::{ModelCall, Observation, ServiceCall};
 use jacinthweir_testkit::fleet::deployment::{Deployment, LAYERS};
 use jacinthweir_testkit::{Fleet, FleetCfg, text};
 use jacinthweir_wire::runner::LayerRange;
@@ -36,7 +36,7 @@
     contiguous && first && last
 }
 
-async fn check_answer(fleet: &Fleet, seen: &Seen) {
+async fn check_answer(fleet: &Fleet, seen: &Observation) {
     expect_that!(seen.outcome, some(eq(Outcome::Answered)));
     expect_that!(seen.text, eq(&text::answer(PROMPT, MAX_TOKENS)));
     let request = seen.request.as_ref().expect("a request id");
@@ -49,7 +49,7 @@
     }
 }
 
-async fn check_booking(fleet: &Fleet, seen: &Seen, key: &str) {
+async fn check_booking(fleet: &Fleet, seen: &Observation, key: &str) {
     expect_that!(seen.outcome, some(eq(Outcome::Answered)), "{seen:?}");
     let mut runs = 0;
     for i in 0..fleet.services.len() {
@@ -60,7 +60,7 @@
     expect_that!(runs, eq(1));
 }
 
-async fn check_trace(fleet: &Fleet, seen: &Seen) {
+async fn check_trace(fleet: &Fleet, seen: &Observation) {
     let request = seen.request.as_ref().expect("a request id");
     // Every instance can look up the request, by forwarding to the one that has the record.
     for i in 0..fleet.instances.len() {
--- a/testkit/tests/recovery.rs
+++ b/testkit/tests/recovery.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
-use jacinthweir_testkit::caller::{ModelCall, Seen};
+use jacinthweir_testkit::caller::{ModelCall, Observation};
 use jacinthweir_testkit::fleet::deployment::Deployment;
 use jacinthweir_testkit::load::entry::EntryCache;
 use jacinthweir_testkit::{Fleet, FleetCfg, text};
@@ -42,7 +42,7 @@
     let killed = fleet
         .instances
         .iter_mut()
-        .find(|i| i.faces.callers == first);
+        .find(|i| i.listen.callers == first);
     let killed = killed.expect("one of the fleet's");
     killed.process.kill().await.expect("it is killed");
     let lost = caller.complete(first, &ask("lost")).await;
@@ -99,7 +99,7 @@
     fleet: &Fleet,
     at: usize,
     prompt: String,
-) -> (JoinHandle<Seen>, mpsc::UnboundedReceiver<String>) {
+) -> (JoinHandle<Observation>, mpsc::UnboundedReceiver<String>) {
     let caller = fleet.caller("signals").expect("a caller");
     let at = fleet.entries()[at];
     let (tx, mut rx) = mpsc::unbounded_channel();
