--- a/testkit/src/runner.rs
+++ b/testkit/src/runner.rs
@@ -1,31 +1,31 @@
-//! Stand-in for a model runner: an engine that holds layer ranges on an accelerator.
+//! Simulated model runner: an engine that holds layer ranges on an accelerator.
 //!
-//! It speaks the interface of [`jacinthweir_wire::runner`]. The answer to a prompt is the pure
-//! function of [`crate::text`]; the work is only time.
+//! Implements the interface of [`jacinthweir_wire::runner`]. The answer to a prompt is the pure
+//! function of [`crate::text`]; computation is simulated by delays.
 //!
-//! - **Places** ([`seats`]): an attempt holds one place at each stage of its route from its start
-//!   to its end. At the first stage it may wait for one, in the order of priority, in a queue of
-//!   bounded length; a later stage that has none refuses at once, since waiting there while
-//!   holding a place elsewhere can deadlock.
-//! - **Batch** ([`batch`]): one loop. Each step takes the time of its token-layers, and every
-//!   attempt in it moves on by one token (a prefill by one chunk).
-//! - **Route** ([`drive`], [`stage`]): before anything runs, a call with no tokens goes down the
-//!   whole route and takes the places. A refusal, or a stage that can't be reached, up to there
-//!   is a true [`jacinthweir_wire::runner::Refused`]; after it an attempt can only break.
-//! - **Attempts** ([`attempts`]): an attempt that was seen or cancelled before is `Stale`, and
+//! - **Slots** ([`seats`]): an attempt holds one slot at each stage of its route from its start
+//!   to its end. At the first stage it may wait for one, in order of priority, in a queue of
+//!   bounded length; a later stage without a free slot refuses at once, since waiting there while
+//!   holding a slot elsewhere can deadlock.
+//! - **Batch** ([`batch`]): one loop. Each step lasts as long as its token-layers take, and every
+//!   attempt in it advances by one token (a prefill by one chunk).
+//! - **Route** ([`drive`], [`stage`]): before anything runs, a call with no tokens traverses the
+//!   whole route and reserves the slots. A refusal or an unreachable stage in this phase
+//!   results in [`jacinthweir_wire::runner::Refused`]; after it an attempt can only break.
+//! - **Attempts** ([`attempts`]): an attempt that was received or cancelled before is `Stale`, and
 //!   each token index runs once in an attempt.
-//! - **Caches**: prefixes with late and gappy events ([`cache`]); KV of lately seen requests, for
-//!   a resume and for export ([`kv`]).
-//! - **Load** ([`load`]): reports show the figures of `load_lag_ms` ago.
-//! - **Orders** ([`orders`]): loads take time; an old fencing number is refused where the runner
-//!   checks it and obeyed where it does not.
+//! - **Caches**: prefixes, with delayed and lossy events ([`cache`]); KV of recent requests, for
+//!   resumption and export ([`kv`]).
+//! - **Load** ([`load`]): reports show the load of `load_lag_ms` ago.
+//! - **Orders** ([`orders`]): loading layers takes time; a stale fencing token is refused if the
+//!   runner checks it and accepted otherwise.
 //!
 //! # Admin interface, for tests only
 //!
 //! | call | meaning |
 //! |---|---|
 //! | `POST /admin/set` | body [`knobs::Knobs`]: fields that are present are set |
-//! | `GET /admin/ran?take=BOOL` | [`witness::Witness`]; with `take`, what it lists is forgotten |
+//! | `GET /admin/ran?take=BOOL` | [`witness::Witness`]; `take` also clears it |
 
 pub mod attempts;
 pub mod batch;
@@ -58,64 +58,64 @@
 use kv::KvCache;
 use load::Reports;
 use orders::Orders;
-use seats::Seats;
+use seats::Slots;
 use witness::Witness;
 
-/// Time between two samples of the load, in milliseconds.
+/// Load sampling interval, in milliseconds.
 const SAMPLE_MS: u64 = 20;
 
-/// Settings of a stand-in runner.
+/// Settings of a simulated runner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RunnerCfg {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Name.
+    /// Runner name.
     pub name: Name,
-    /// Incarnation; 0: the Unix time of the start, in milliseconds.
+    /// Incarnation; 0 selects the Unix time of the start, in milliseconds.
     pub incarnation: u64,
     /// Accelerator kind.
     pub accelerator: Name,
-    /// Layers held at the start.
+    /// Layers held at startup.
     pub holds: Vec<HeldLayers>,
-    /// Token-layers a second.
+    /// Throughput, in token-layers per second.
     pub token_layers_per_s: f64,
-    /// Time that each step takes besides, in microseconds.
+    /// Fixed overhead of each step, in microseconds.
     pub step_us: u64,
-    /// Attempts that hold a place at the same time.
+    /// Maximum number of attempts that hold a slot at the same time.
     pub max_running: u32,
-    /// Attempts that wait for a place.
+    /// Maximum number of attempts that wait for a slot.
     pub max_queued: u32,
-    /// Largest part of a prefill in one step, in tokens.
+    /// Maximum prefill chunk per step, in tokens.
     pub prefill_chunk: u32,
-    /// What a token of a prefill costs against a generated one, in percent: engines run the
-    /// tokens of a prefill side by side.
+    /// Cost of a prefill token relative to a generated one, in percent: engines process the
+    /// tokens of a prefill in parallel.
     pub prefill_percent: u32,
-    /// Time from this runner to the next stage, in microseconds.
+    /// Link delay from this runner to the next stage, in microseconds.
     pub link_delay_us: u64,
-    /// Longest call of the next stage, in milliseconds.
+    /// Timeout of a call to the next stage, in milliseconds.
     pub stage_timeout_ms: u64,
-    /// How old the reported load is, in milliseconds.
+    /// Age of the reported load, in milliseconds.
     pub load_lag_ms: u64,
-    /// How late cache events show, in milliseconds.
+    /// Delay until cache events become visible, in milliseconds.
     pub cache_lag_ms: u64,
     /// Share of cache events that are lost, in percent.
     pub cache_gap_percent: u8,
-    /// Prefix blocks that fit the cache.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// Bytes of KV cache a second between two runners.
+    /// KV cache transfer rate between two runners, in bytes per second.
     pub kv_bytes_per_s: f64,
     /// Size of the KV cache of one token in one layer, in bytes.
     pub kv_bytes_per_token_layer: f64,
-    /// Whether an order with an old fencing number is refused.
+    /// Whether an order with a stale fencing token is refused.
     pub checks_fencing: bool,
     /// Time to load one layer, in milliseconds.
     pub load_ms_per_layer: u64,
-    /// Most layers that fit the memory.
+    /// Maximum number of layers that fit in memory.
     pub max_layers: u32,
-    /// Seed of what is random.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// How it behaves at the start.
+    /// Behaviour overrides at startup.
     pub knobs: Knobs,
 }
 
@@ -150,7 +150,7 @@
     }
 }
 
-/// A running stand-in runner; ends with its cancellation token.
+/// A running simulated runner; stops when its cancellation token is cancelled.
 #[derive(Clone)]
 pub struct Runner {
     /// Bound address.
@@ -163,7 +163,7 @@
     ///
     /// # Errors
     ///
-    /// Where the address can't be bound.
+    /// Returns an error if the address cannot be bound.
     pub async fn bind(cfg: RunnerCfg, token: CancellationToken) -> Result<Self> {
         let listen = cfg.listen;
         let state = Arc::new(State::new(cfg, token.clone())?);
@@ -174,35 +174,35 @@
         Ok(Self { address, state })
     }
 
-    /// Changes how it behaves.
+    /// Applies behaviour overrides.
     pub fn set(&self, knobs: &Knobs) {
         self.state.set(knobs);
     }
 
-    /// Attempts with a place, and those that wait for one, without any lag.
+    /// Returns the current numbers of attempts that hold a slot and that wait for one, without lag.
     #[must_use]
     pub fn load(&self) -> (u32, u32) {
-        self.state.seats.load()
+        self.state.slots.load()
     }
 
-    /// What was received and what ran.
+    /// Returns the record of what was received and executed.
     #[must_use]
     pub fn witness(&self) -> Witness {
         self.state.lock().witness.clone()
     }
 }
 
-/// State shared by the handlers, the drivers and the batch loop.
+/// State shared by the handlers, the attempt drivers and the batch loop.
 pub(crate) struct State {
     cfg: RunnerCfg,
-    seats: Arc<Seats>,
+    slots: Arc<Slots>,
     batch: Batch,
     client: reqwest::Client,
     token: CancellationToken,
     inner: Mutex<Inner>,
 }
 
-/// What the lock guards.
+/// State guarded by the mutex.
 pub(crate) struct Inner {
     knobs: Knobs,
     attempts: Attempts,
@@ -211,7 +211,7 @@
     kv: KvCache,
     reports: Reports,
     orders: Orders,
-    /// Token-layers done since the start.
+    /// Token-layers executed since startup.
     done: f64,
 }
 
@@ -236,7 +236,7 @@
             done: 0.0,
         };
         Ok(Self {
-            seats: Arc::new(Seats::new(cfg.max_running, cfg.max_queued)),
+            slots: Arc::new(Slots::new(cfg.max_running, cfg.max_queued)),
             batch: Batch::default(),
             client,
             token,
@@ -255,20 +255,20 @@
         self.batch.wake();
     }
 
-    /// Whether the layers are held now.
+    /// Returns whether the layers are currently held.
     fn holds(&self, model: &Name, layers: LayerRange) -> bool {
         self.lock().orders.holds(model, layers)
     }
 }
 
-/// Samples the load and forgets what is old, until `token` is cancelled.
+/// Samples the load and evicts idle and expired attempts until `token` is cancelled.
 async fn sample(state: Arc<State>, token: CancellationToken) {
     let mut tick = tokio::time::interval(Duration::from_millis(SAMPLE_MS));
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     while token.run_until_cancelled(tick.tick()).await.is_some() {
         load::sample(&state);
         let idle = state.lock().attempts.sweep();
-        // Dropped outside the lock: a place that is given back wakes another attempt.
+        // Dropped outside the lock: releasing a slot wakes another attempt.
         drop(idle);
     }
 }
--- a/testkit/src/runner/attempts.rs
+++ b/testkit/src/runner/attempts.rs
@@ -1,7 +1,7 @@
-//! Which attempts were seen, which run, and which may run no more.
+//! Table of the attempts that were received, are running or were cancelled.
 //!
 //! Invariants: a stage of an attempt begins once; its token indices only grow; after a cancel of
-//! attempt `n` of a request, no attempt up to `n` begins or goes on.
+//! attempt `n` of a request, no attempt up to `n` begins or continues.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,12 +9,12 @@
 use jacinthweir_policy::prelude::*;
 use tokio_util::sync::CancellationToken;
 
-use super::seats::Seat;
+use super::seats::Slot;
 
-/// After this time without a token a place at a later stage is given back, in seconds.
+/// Idle time without a token after which the slot of a later stage is released, in seconds.
 const IDLE_S: u64 = 15;
-/// Seen attempts are remembered that long, in seconds.
-const REMEMBER_S: u64 = 600;
+/// Retention of ended and cancelled attempts, in seconds.
+const RETENTION_S: u64 = 600;
 
 /// One stage of one attempt: request, attempt number, first layer.
 pub(crate) type StageKey = (Name, u32, u32);
@@ -28,38 +28,38 @@
 
 #[derive(Debug)]
 struct StageState {
-    /// Given back at the end; the rest is remembered.
-    seat: Option<Seat>,
+    /// Released when the stage ends; the rest is retained to detect duplicates.
+    slot: Option<Slot>,
     token: CancellationToken,
-    /// Least index that may run next.
+    /// Smallest token index that may run next.
     next: u32,
     used: Instant,
 }
 
-/// It was seen or cancelled before.
+/// Error: the stage was received or cancelled before, or has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Stale;
 
 impl Attempts {
-    /// Whether the stage may begin: neither seen nor cancelled before.
+    /// Checks that the stage may begin: neither received nor cancelled before.
     pub(crate) fn check(&self, key: &StageKey) -> Result<(), Stale> {
         let cancelled = self.cancelled.get(&key.0);
-        if self.stages.contains_key(key) || cancelled.is_some_and(|(upto, _)| key.1 <= *upto) {
+        if self.stages.contains_key(key) || cancelled.is_some_and(|(up_to, _)| key.1 <= *up_to) {
             return Err(Stale);
         }
         Ok(())
     }
 
-    /// Begins a stage that was not seen before, with its place.
+    /// Begins a stage that was not received before, with its slot.
     pub(crate) fn begin(
         &mut self,
         key: StageKey,
-        seat: Seat,
+        slot: Slot,
         token: CancellationToken,
     ) -> Result<(), Stale> {
         self.check(&key)?;
         let stage = StageState {
-            seat: Some(seat),
+            slot: Some(slot),
             token,
             next: 0,
             used: Instant::now(),
@@ -68,18 +68,18 @@
         Ok(())
     }
 
-    /// Cancellation of a stage that has its place.
+    /// Returns the cancellation token of a stage that holds a slot.
     pub(crate) fn token(&self, key: &StageKey) -> Result<CancellationToken, Stale> {
         match self.stages.get(key) {
-            Some(stage) if stage.seat.is_some() => Ok(stage.token.clone()),
+            Some(stage) if stage.slot.is_some() => Ok(stage.token.clone()),
             _ => Err(Stale),
         }
     }
 
-    /// Lets the token at `index` run once; answers with the stage's cancellation.
+    /// Admits the token at `index` at most once; returns the stage's cancellation token.
     pub(crate) fn step(&mut self, key: &StageKey, index: u32) -> Result<CancellationToken, Stale> {
         match self.stages.get_mut(key) {
-            Some(s) if s.seat.is_some() && !s.token.is_cancelled() && index >= s.next => {
+            Some(s) if s.slot.is_some() && !s.token.is_cancelled() && index >= s.next => {
                 s.next = index + 1;
                 s.used = Instant::now();
                 Ok(s.token.clone())
@@ -88,43 +88,43 @@
         }
     }
 
-    /// Ends one stage; the caller drops its place outside the lock.
-    pub(crate) fn end(&mut self, key: &StageKey) -> Option<Seat> {
+    /// Ends one stage; the caller drops the returned slot outside the lock.
+    pub(crate) fn end(&mut self, key: &StageKey) -> Option<Slot> {
         let stage = self.stages.get_mut(key)?;
         stage.token.cancel();
-        stage.seat.take()
+        stage.slot.take()
     }
 
-    /// Cancels all attempts of a request up to `attempt`.
-    pub(crate) fn cancel(&mut self, request: &Name, attempt: u32) -> Vec<Seat> {
+    /// Cancels all attempts of a request up to and including `attempt`.
+    pub(crate) fn cancel(&mut self, request: &Name, attempt: u32) -> Vec<Slot> {
         let now = Instant::now();
-        let upto = self.cancelled.entry(request.clone()).or_insert((0, now));
-        *upto = (upto.0.max(attempt), now);
+        let up_to = self.cancelled.entry(request.clone()).or_insert((0, now));
+        *up_to = (up_to.0.max(attempt), now);
         let first = (request.clone(), 0, 0);
         let last = (request.clone(), attempt, u32::MAX);
         let stages = self.stages.range_mut(first..=last);
         stages
             .filter_map(|(_, stage)| {
                 stage.token.cancel();
-                stage.seat.take()
+                stage.slot.take()
             })
             .collect()
     }
 
-    /// Ends stages that nobody drives any more and forgets old ones.
-    pub(crate) fn sweep(&mut self) -> Vec<Seat> {
+    /// Ends idle stages and evicts expired entries.
+    pub(crate) fn sweep(&mut self) -> Vec<Slot> {
         let idle = Duration::from_secs(IDLE_S);
-        let remember = Duration::from_secs(REMEMBER_S);
-        let mut seats = Vec::new();
+        let retention = Duration::from_secs(RETENTION_S);
+        let mut slots = Vec::new();
         for stage in self.stages.values_mut() {
-            if stage.seat.is_some() && stage.used.elapsed() > idle {
+            if stage.slot.is_some() && stage.used.elapsed() > idle {
                 stage.token.cancel();
-                seats.extend(stage.seat.take());
+                slots.extend(stage.slot.take());
             }
         }
         self.stages
-            .retain(|_, s| s.seat.is_some() || s.used.elapsed() < remember);
-        self.cancelled.retain(|_, (_, at)| at.elapsed() < remember);
-        seats
+            .retain(|_, s| s.slot.is_some() || s.used.elapsed() < retention);
+        self.cancelled.retain(|_, (_, at)| at.elapsed() < retention);
+        slots
     }
 }
--- a/testkit/src/runner/batch.rs
+++ b/testkit/src/runner/batch.rs
@@ -1,8 +1,8 @@
-//! The batch loop: work is only time.
+//! The batch loop, which simulates computation by delays.
 //!
-//! Each step takes the first `max_running` units in the order of priority and arrival, does at
+//! Each step takes the first `max_running` units in order of priority and arrival, processes at
 //! most one chunk of each, and lasts for the token-layers in it. Timers are coarser than a step,
-//! so the loop keeps account of the time it owes: an overslept step shortens the next ones.
+//! so the loop tracks its schedule: a step that overslept shortens the following ones.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,10 +15,10 @@
 use super::witness::RanToken;
 use crate::http::unix_ms;
 
-/// Most time that the loop may catch up on, in milliseconds.
+/// Maximum lag that the loop may catch up on, in milliseconds.
 const MAX_CATCH_UP_MS: u64 = 4;
 
-/// Work that waits for the batch.
+/// Queue of work for the batch loop.
 #[derive(Debug, Default)]
 pub struct Batch {
     queue: Mutex<Queue>,
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 struct Unit {
     token: RanToken,
-    left: u32,
+    remaining: u32,
     started: bool,
     done: oneshot::Sender<()>,
 }
@@ -45,28 +45,28 @@
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Looks at the queue and the knobs again.
+    /// Makes the batch loop re-read the queue and the overrides.
     pub(crate) fn wake(&self) {
         self.wake.notify_one();
     }
 
-    /// Runs a token; giving up the wait takes it out of the batch before its next step.
+    /// Runs a token; dropping the future removes it from the batch before its next step.
     pub(crate) async fn run(&self, priority: u8, token: RanToken) {
         let (done, rx) = oneshot::channel();
         {
             let mut queue = self.lock();
             queue.arrivals += 1;
-            let place = (priority, queue.arrivals);
+            let position = (priority, queue.arrivals);
             let unit = Unit {
-                left: token.tokens,
+                remaining: token.tokens,
                 token,
                 started: false,
                 done,
             };
-            queue.units.insert(place, unit);
+            queue.units.insert(position, unit);
         }
         self.wake();
-        // The sender is dropped only with the whole runner.
+        // The sender is dropped only when the whole runner stops.
         let _ = rx.await;
     }
 }
@@ -98,14 +98,14 @@
             return;
         }
         finish_step(&state, step);
-        // Lets the drivers enter their next tokens before the next step is put together.
+        // Lets the attempt drivers enqueue their next tokens before the next step is assembled.
         tokio::task::yield_now().await;
     }
 }
 
-/// Part of a unit that one step does.
+/// Part of a unit that one step processes.
 struct Part {
-    place: (u8, u64),
+    position: (u8, u64),
     unit: Unit,
     tokens: u32,
 }
@@ -115,7 +115,7 @@
     let mut step = Vec::new();
     let mut queue = state.batch.lock();
     while step.len() < max {
-        let Some((place, mut unit)) = queue.units.pop_first() else {
+        let Some((position, mut unit)) = queue.units.pop_first() else {
             break;
         };
         if unit.done.is_closed() {
@@ -126,9 +126,9 @@
             unit.token.at_ms = unix_ms();
             state.lock().witness.ran.push(unit.token.clone());
         }
-        let tokens = unit.left.min(state.cfg.prefill_chunk.max(1));
+        let tokens = unit.remaining.min(state.cfg.prefill_chunk.max(1));
         step.push(Part {
-            place,
+            position,
             unit,
             tokens,
         });
@@ -136,8 +136,8 @@
     step
 }
 
-/// Token-layers of a part, a prefill's at their lower cost.
-fn work(state: &State, part: &Part) -> f64 {
+/// Returns the cost of a part in token-layers; prefill tokens are discounted.
+fn cost(state: &State, part: &Part) -> f64 {
     let layers = part.unit.token.layers;
     let all = f64::from(part.tokens) * f64::from(layers.end - layers.start);
     if part.unit.token.tokens > 1 {
@@ -150,19 +150,19 @@
 fn step_time(state: &State, step: &[Part]) -> Duration {
     let speed = state.lock().knobs.speed;
     let speed = speed.unwrap_or(state.cfg.token_layers_per_s).max(1.0);
-    let total: f64 = step.iter().map(|part| work(state, part)).sum();
+    let total: f64 = step.iter().map(|part| cost(state, part)).sum();
     Duration::from_micros(state.cfg.step_us) + Duration::from_secs_f64(total / speed)
 }
 
 fn finish_step(state: &State, step: Vec<Part>) {
-    let total: f64 = step.iter().map(|part| work(state, part)).sum();
+    let total: f64 = step.iter().map(|part| cost(state, part)).sum();
     state.lock().done += total;
     for mut part in step {
-        part.unit.left -= part.tokens;
-        if part.unit.left == 0 {
+        part.unit.remaining -= part.tokens;
+        if part.unit.remaining == 0 {
             let _ = part.unit.done.send(());
         } else {
-            state.batch.lock().units.insert(part.place, part.unit);
+            state.batch.lock().units.insert(part.position, part.unit);
         }
     }
 }
--- a/testkit/src/runner/cache.rs
+++ b/testkit/src/runner/cache.rs
@@ -1,7 +1,7 @@
-//! The cache of prompt prefixes, and its events, which are late and have gaps.
+//! Prompt prefix cache and its events, which are delayed and lossy.
 //!
-//! A prompt enters by the hashes of its prefixes ([`crate::text::prefixes`]). Only a first block
-//! is named in events; the further ones save work and are not reported.
+//! A prompt is keyed by the hashes of its prefixes ([`crate::text::prefixes`]). Only a first block
+//! is named in events; later blocks save work and are not reported.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -13,12 +13,12 @@
 use super::RunnerCfg;
 use crate::text::BYTES_PER_TOKEN;
 
-/// Tokens of one block of a prefix.
+/// Tokens per prefix block.
 const BLOCK_TOKENS: usize = PREFIX_BYTES / BYTES_PER_TOKEN;
-/// Events that are kept for reading.
-const KEPT_EVENTS: usize = 4_096;
+/// Maximum number of events retained.
+const MAX_RETAINED_EVENTS: usize = 4_096;
 
-/// Least recently used prefixes leave first.
+/// LRU cache of prompt prefixes.
 #[derive(Debug)]
 pub struct PrefixCache {
     capacity: usize,
@@ -26,11 +26,11 @@
     gap_percent: u8,
     rng: ChaCha8Rng,
     uses: u64,
-    /// Last use of each prefix.
+    /// Sequence number of each prefix's last use.
     held: BTreeMap<u64, u64>,
     by_use: BTreeMap<u64, u64>,
-    /// Prefixes of one block, which events name.
-    firsts: BTreeSet<u64>,
+    /// Prefixes of one block; only these are reported in events.
+    first_blocks: BTreeSet<u64>,
     numbers: u64,
     events: VecDeque<(Instant, CacheEvent)>,
 }
@@ -45,14 +45,14 @@
             uses: 0,
             held: BTreeMap::new(),
             by_use: BTreeMap::new(),
-            firsts: BTreeSet::new(),
+            first_blocks: BTreeSet::new(),
             numbers: 0,
             events: VecDeque::new(),
         }
     }
 
-    /// Tokens of the prompt that the cache holds; all its prefixes are held from now on.
-    pub(crate) fn enter(&mut self, prefixes: &[u64]) -> u32 {
+    /// Returns the number of cached tokens of the prompt, then caches all its prefixes.
+    pub(crate) fn lookup_and_insert(&mut self, prefixes: &[u64]) -> u32 {
         let blocks = prefixes
             .iter()
             .take_while(|p| self.held.contains_key(p))
@@ -61,7 +61,7 @@
             self.touch(*prefix);
         }
         if let Some(first) = prefixes.first()
-            && self.firsts.insert(*first)
+            && self.first_blocks.insert(*first)
         {
             self.event(*first, true);
         }
@@ -82,7 +82,7 @@
     fn evict(&mut self) {
         if let Some((_, prefix)) = self.by_use.pop_first() {
             self.held.remove(&prefix);
-            if self.firsts.remove(&prefix) {
+            if self.first_blocks.remove(&prefix) {
                 self.event(prefix, false);
             }
         }
@@ -99,12 +99,12 @@
             cached,
         };
         self.events.push_back((Instant::now(), event));
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_RETAINED_EVENTS {
             self.events.pop_front();
         }
     }
 
-    /// Events after the number `after` that are old enough to show.
+    /// Returns the events numbered above `after` that are at least the configured lag old.
     pub(crate) fn events(&self, after: u64) -> CacheEvents {
         let old_enough = |(at, _): &&(Instant, CacheEvent)| at.elapsed() >= self.lag;
         let shown = || self.events.iter().take_while(old_enough);
--- a/testkit/src/runner/drive.rs
+++ b/testkit/src/runner/drive.rs
@@ -1,4 +1,4 @@
-//! The first stage: begins an attempt, drives it token by token and streams its frames.
+//! First stage of a route: starts an attempt, drives it token by token and streams its frames.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,12 +18,12 @@
 use super::stage::{self, StageFault, refused};
 use crate::text;
 
-/// Longest wait for a later stage to give a place back.
-const GIVE_BACK: Duration = Duration::from_millis(500);
-/// Token at which faults of frames strike, counted within the attempt.
-const FAULT_AT: u32 = 2;
+/// Timeout for releasing the slot of a later stage.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Token at which frame faults are injected, counted within the attempt.
+const FAULT_TOKEN: u32 = 2;
 
-/// An attempt that has its places.
+/// An attempt that holds a slot at every stage of its route.
 pub(crate) struct Drive {
     state: Arc<State>,
     req: RunRequest,
@@ -31,58 +31,58 @@
     token: CancellationToken,
     deadline: Instant,
     faults: FrameFaults,
-    /// Gives the places back, also where the caller leaves before the stream begins.
-    _places: Places,
+    /// Releases the slots on drop, also if the caller disconnects before the stream begins.
+    _slots: RouteSlots,
 }
 
-/// Places of an attempt along its route.
-struct Places {
+/// Slots of an attempt along its route.
+struct RouteSlots {
     state: Arc<State>,
     key: StageKey,
     later: Vec<Stage>,
 }
 
-impl Drop for Places {
+impl Drop for RouteSlots {
     fn drop(&mut self) {
         let state = self.state.clone();
         let key = self.key.clone();
         let later = std::mem::take(&mut self.later);
         tokio::spawn(async move {
-            let calls = later.iter().map(|stage| give_back(&state, &key, stage));
+            let calls = later.iter().map(|stage| release_slot(&state, &key, stage));
             futures::future::join_all(calls).await;
-            // Last, so that the next attempt finds the later stages' places free too.
+            // Released last, so that the next attempt finds the later stages' slots free too.
             stage::end(&state, &key);
         });
     }
 }
 
-/// Has a later stage give its place back.
-async fn give_back(state: &State, key: &StageKey, stage: &Stage) {
+/// Asks a later stage to release its slot.
+async fn release_slot(state: &State, key: &StageKey, stage: &Stage) {
     let body = CancelRequest {
         request: key.0.clone(),
         attempt: key.1,
     };
     let url = format!("http://{}/v1/cancel", stage.address);
-    let call = state.client.post(url).timeout(GIVE_BACK).json(&body);
+    let call = state.client.post(url).timeout(RELEASE_TIMEOUT).json(&body);
     if let Err(err) = call.send().await {
-        log::info!("{}: place not given back: {err}", stage.runner);
+        log::info!("{}: slot not released: {err}", stage.runner);
     }
 }
 
-/// How an attempt ended.
-enum Ended {
-    Whole,
-    CallerLeft,
+/// Result of an attempt.
+enum AttemptEnd {
+    Complete,
+    CallerDisconnected,
     Truncated,
     Cut,
     Broken { runner: Option<Name>, cause: String },
 }
 
-/// Takes the places of an attempt, here and down its route.
+/// Reserves the slots of an attempt, here and at all later stages of its route.
 ///
 /// # Errors
 ///
-/// A refusal: nothing of the attempt ran anywhere.
+/// Returns a refusal; nothing of the attempt ran anywhere.
 pub(crate) async fn begin(state: Arc<State>, req: RunRequest) -> Result<Drive, Refused> {
     let arrived = Instant::now();
     let key = stage::key(&req.request, req.attempt, &req.route);
@@ -91,10 +91,10 @@
         .witness
         .received(&req.request, req.attempt, true);
     stage::check(&state, &key, &req.model, &req.route)?;
-    let seat = state.seats.take(req.priority).await;
-    let seat = seat.map_err(|_| refused(&state, RefusedCode::Busy))?;
-    stage::sit(&state, &key, seat)?;
-    let places = Places {
+    let slot = state.slots.take(req.priority).await;
+    let slot = slot.map_err(|_| refused(&state, RefusedCode::Busy))?;
+    stage::begin_stage(&state, &key, slot)?;
+    let slots = RouteSlots {
         state: state.clone(),
         key: key.clone(),
         later: req.route[1..].to_vec(),
@@ -111,11 +111,11 @@
         key,
         token,
         faults,
-        _places: places,
+        _slots: slots,
     })
 }
 
-/// A fault while places were taken: nothing ran, as the call runs nothing at any stage.
+/// Maps a fault during slot reservation to a refusal: reservation runs nothing at any stage.
 fn begin_refused(state: &State, fault: StageFault) -> Refused {
     match fault {
         StageFault::Refused(refused) => refused,
@@ -146,7 +146,7 @@
 }
 
 impl Drive {
-    /// Drives the attempt to its end.
+    /// Runs the attempt to completion and sends its final frame.
     pub(crate) async fn run(self, mut tx: BodySender) {
         let token = self.token.clone();
         let left = self.deadline.saturating_duration_since(Instant::now());
@@ -157,11 +157,11 @@
             None => broken(None, "cancelled"),
         };
         match ended {
-            Ended::Whole => {
+            AttemptEnd::Complete => {
                 let end = self.end_frame();
                 let _ = send(&mut tx, &Frame::End(end)).await;
             }
-            Ended::Broken { runner, cause } => {
+            AttemptEnd::Broken { runner, cause } => {
                 log::info!("{}: {:?} broke off: {cause}", self.state.cfg.name, self.key);
                 let frame = BrokenFrame {
                     request: self.req.request.clone(),
@@ -171,17 +171,17 @@
                 };
                 let _ = send(&mut tx, &Frame::Broken(frame)).await;
             }
-            Ended::Cut => tx.send_error(std::io::Error::other("cut by a test")),
-            Ended::CallerLeft | Ended::Truncated => {}
+            AttemptEnd::Cut => tx.send_error(std::io::Error::other("cut by a test")),
+            AttemptEnd::CallerDisconnected | AttemptEnd::Truncated => {}
         }
     }
 
-    async fn tokens(&self, tx: &mut BodySender) -> Ended {
+    async fn tokens(&self, tx: &mut BodySender) -> AttemptEnd {
         let (length, _) = text::length(&self.req.prompt, self.req.max_tokens);
         let first = u32::try_from(self.req.resume.len()).unwrap_or(u32::MAX);
         let prompt = text::prompt_tokens(&self.req.prompt);
         for index in first..length {
-            // A prefill is at least two tokens: one alone could not be told from a later token.
+            // A prefill has at least two tokens: one alone would look like a decode step.
             let tokens = if index == first {
                 (prompt + first).max(2)
             } else {
@@ -204,20 +204,25 @@
                 return ended;
             }
         }
-        Ended::Whole
+        AttemptEnd::Complete
     }
 
-    /// Sends a token's frame with the faults that a test asked for.
-    async fn send_token(&self, tx: &mut BodySender, frame: TokenFrame, nth: u32) -> Option<Ended> {
-        let strikes = nth == FAULT_AT;
-        if strikes && self.faults.truncated {
-            return Some(Ended::Truncated);
+    /// Sends a token frame with the faults that a test has requested.
+    async fn send_token(
+        &self,
+        tx: &mut BodySender,
+        frame: TokenFrame,
+        nth: u32,
+    ) -> Option<AttemptEnd> {
+        let inject = nth == FAULT_TOKEN;
+        if inject && self.faults.truncated {
+            return Some(AttemptEnd::Truncated);
         }
-        if strikes && self.faults.cut {
-            return Some(Ended::Cut);
+        if inject && self.faults.cut {
+            return Some(AttemptEnd::Cut);
         }
         let mut frames = Vec::with_capacity(2);
-        if strikes && self.faults.crossed {
+        if inject && self.faults.crossed {
             frames.push(TokenFrame {
                 request: format!("{}-other", frame.request).into(),
                 text: " crossed".to_owned(),
@@ -231,13 +236,13 @@
                 ..frame.clone()
             });
         }
-        if strikes && self.faults.duplicate {
+        if inject && self.faults.duplicate {
             frames.push(frame.clone());
         }
         frames.push(frame);
         for frame in frames {
             if send(tx, &Frame::Token(frame)).await.is_err() {
-                return Some(Ended::CallerLeft);
+                return Some(AttemptEnd::CallerDisconnected);
             }
         }
         None
@@ -255,8 +260,8 @@
     }
 }
 
-fn broken(runner: Option<Name>, cause: &str) -> Ended {
-    Ended::Broken {
+fn broken(runner: Option<Name>, cause: &str) -> AttemptEnd {
+    AttemptEnd::Broken {
         runner,
         cause: cause.to_owned(),
     }
--- a/testkit/src/runner/knobs.rs
+++ b/testkit/src/runner/knobs.rs
@@ -1,39 +1,39 @@
-//! How a runner behaves, set by tests.
+//! Overrides of a runner's behaviour, set by tests.
 
 use serde::{Deserialize, Serialize};
 
-/// How the runner behaves; absent: unchanged.
+/// Overrides of a runner's behaviour; absent fields leave it unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Knobs {
-    /// Whether it is leaving: it refuses new attempts and says so in its load report.
+    /// Whether it drains: it refuses new attempts and reports `leaving` in its load report.
     pub leaving: Option<bool>,
     /// Whether it refuses new attempts as busy.
     pub refuse: Option<bool>,
-    /// Time to the next stage, in microseconds.
+    /// Link delay to the next stage, in microseconds.
     pub link_delay_us: Option<u64>,
-    /// Factor on the time to the next stage, for a degraded link.
+    /// Multiplier of the link delay to the next stage, for a degraded link.
     pub link_factor: Option<u32>,
-    /// Token-layers a second.
+    /// Throughput, in token-layers per second.
     pub speed: Option<f64>,
-    /// Whether the batch stands still; calls are still answered.
+    /// Whether the batch loop is suspended; calls are still answered.
     pub freeze: Option<bool>,
-    /// The next attempts get a frame of another request among their own.
+    /// Number of next attempts that get a frame of another request.
     pub crossed: Option<u32>,
-    /// The next attempts' answers end cleanly in their middle, without an end frame.
+    /// Number of next attempts whose answers end cleanly in the middle, without an end frame.
     pub truncated: Option<u32>,
-    /// The next attempts' connections break in the middle of the answer.
+    /// Number of next attempts whose connections break in the middle of the answer.
     pub cut: Option<u32>,
-    /// The next attempts get one token frame twice.
+    /// Number of next attempts that get one token frame twice.
     pub duplicate: Option<u32>,
-    /// The next attempts get a token frame of the attempt before.
+    /// Number of next attempts that get a token frame of the previous attempt.
     pub late: Option<u32>,
-    /// Whether a cancel is answered but not obeyed: the attempt goes on.
+    /// Whether cancellations are acknowledged but ignored: the attempt continues.
     pub ignore_cancel: Option<bool>,
 }
 
 impl Knobs {
-    /// Sets what `other` sets.
+    /// Applies the fields that `other` sets.
     pub(crate) fn merge(&mut self, other: &Self) {
         self.leaving = other.leaving.or(self.leaving);
         self.refuse = other.refuse.or(self.refuse);
@@ -49,19 +49,19 @@
         self.ignore_cancel = other.ignore_cancel.or(self.ignore_cancel);
     }
 
-    /// Takes the faults of one attempt's frames.
+    /// Consumes and returns the frame faults of one attempt.
     pub(crate) fn take_frame_faults(&mut self) -> FrameFaults {
         FrameFaults {
-            crossed: take_one(&mut self.crossed),
-            truncated: take_one(&mut self.truncated),
-            cut: take_one(&mut self.cut),
-            duplicate: take_one(&mut self.duplicate),
-            late: take_one(&mut self.late),
+            crossed: decrement(&mut self.crossed),
+            truncated: decrement(&mut self.truncated),
+            cut: decrement(&mut self.cut),
+            duplicate: decrement(&mut self.duplicate),
+            late: decrement(&mut self.late),
         }
     }
 }
 
-/// Which faults one attempt's frames have.
+/// Faults to inject into the frames of one attempt.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FrameFaults {
     pub(crate) crossed: bool,
@@ -71,8 +71,8 @@
     pub(crate) late: bool,
 }
 
-/// Counts down; whether there was one left.
-fn take_one(left: &mut Option<u32>) -> bool {
+/// Decrements a counter; returns whether it was above zero.
+fn decrement(left: &mut Option<u32>) -> bool {
     match left {
         Some(n) if *n > 0 => {
             *n -= 1;
--- a/testkit/src/runner/kv.rs
+++ b/testkit/src/runner/kv.rs
@@ -1,4 +1,4 @@
-//! KV cache of lately seen requests: what a resumed attempt need not run again.
+//! KV cache of recent requests: tokens that a resumed attempt need not recompute.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -9,14 +9,14 @@
 
 use super::State;
 
-/// Requests whose KV cache is kept.
-const KEPT: usize = 1_024;
+/// Maximum number of KV caches retained.
+const MAX_RETAINED: usize = 1_024;
 
 /// KV caches by request and first layer.
 #[derive(Debug, Default)]
 pub struct KvCache {
     held: BTreeMap<(Name, u32), Held>,
-    /// In the order of their first use.
+    /// Keys in order of first use, for eviction.
     order: VecDeque<(Name, u32)>,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl KvCache {
-    /// Tokens of the request that are held for these layers.
+    /// Returns how many tokens of the request are cached for these layers.
     pub(crate) fn tokens(&self, request: &Name, model: &Name, layers: LayerRange) -> u32 {
         let first = (request.clone(), 0);
         let last = (request.clone(), layers.start);
@@ -44,8 +44,8 @@
             .unwrap_or(0)
     }
 
-    /// Holds that many tokens of the request from now on, or more where it did before.
-    pub(crate) fn hold(&mut self, request: &Name, model: &Name, layers: LayerRange, tokens: u32) {
+    /// Caches at least `tokens` tokens of the request; never reduces the count for the same layers.
+    pub(crate) fn store(&mut self, request: &Name, model: &Name, layers: LayerRange, tokens: u32) {
         let key = (request.clone(), layers.start);
         if let Some(held) = self.held.get_mut(&key)
             && held.layers == layers
@@ -61,7 +61,7 @@
         if self.held.insert(key.clone(), held).is_none() {
             self.order.push_back(key);
         }
-        if self.order.len() > KEPT
+        if self.order.len() > MAX_RETAINED
             && let Some(oldest) = self.order.pop_front()
         {
             self.held.remove(&oldest);
@@ -69,7 +69,7 @@
     }
 }
 
-/// What a stage's prefill is of.
+/// Prefill of one stage.
 pub(crate) struct Prefill<'a> {
     pub(crate) request: &'a Name,
     pub(crate) model: &'a Name,
@@ -79,11 +79,11 @@
     pub(crate) kv_from: Option<SocketAddr>,
 }
 
-/// Tokens that a prefill has to run here: those that no cache holds, one at least.
+/// Returns the number of tokens that a prefill must compute here: the uncached ones, at least one.
 pub(crate) async fn missing_tokens(state: &State, prefill: &Prefill<'_>) -> u32 {
     let (cached, mut held) = {
         let mut inner = state.lock();
-        let cached = inner.cache.enter(prefill.prefix);
+        let cached = inner.cache.lookup_and_insert(prefill.prefix);
         let held = inner
             .kv
             .tokens(prefill.request, prefill.model, prefill.layers);
@@ -97,7 +97,7 @@
     prefill.tokens.saturating_sub(cached.max(held)).max(1)
 }
 
-/// Imports from another runner; 0 where it has nothing or can't be reached.
+/// Imports a KV cache from another runner; returns 0 if it has none or is unreachable.
 async fn import(state: &State, prefill: &Prefill<'_>, from: SocketAddr) -> u32 {
     let body = KvRequest {
         request: prefill.request.clone(),
--- a/testkit/src/runner/load.rs
+++ b/testkit/src/runner/load.rs
@@ -1,4 +1,4 @@
-//! Load reports, which lag behind.
+//! Load reports, which are delayed by a configured lag.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -7,10 +7,10 @@
 
 use super::{SAMPLE_MS, State};
 
-/// Samples over which the busy rate is taken.
+/// Number of samples over which the busy rate is averaged.
 const BUSY_SAMPLES: usize = 25;
 
-/// Reports of the last while, oldest first.
+/// Recent load reports, oldest first.
 #[derive(Debug, Default)]
 pub struct Reports {
     numbers: u64,
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 struct Sample {
     at: Instant,
-    /// Token-layers done since the start.
+    /// Token-layers executed since startup.
     done: f64,
     report: LoadReport,
 }
@@ -33,7 +33,7 @@
         (done - past.done) / past.at.elapsed().as_secs_f64().max(1e-3)
     }
 
-    /// The newest report that is at least `lag` old, else the oldest.
+    /// Returns the newest report that is at least `lag` old, or else the oldest.
     fn lagged(&self, lag: Duration) -> Option<LoadReport> {
         let old_enough = self.samples.iter().rev().find(|s| s.at.elapsed() >= lag);
         let sample = old_enough.or(self.samples.front())?;
@@ -43,7 +43,7 @@
     }
 }
 
-/// Takes a sample.
+/// Records a sample of the current load.
 pub(crate) fn sample(state: &State) {
     let report = current(state);
     let kept = usize::try_from(state.cfg.load_lag_ms / SAMPLE_MS).unwrap_or(0) + 2 * BUSY_SAMPLES;
@@ -61,7 +61,7 @@
 }
 
 fn current(state: &State) -> LoadReport {
-    let (running, queued) = state.seats.load();
+    let (running, queued) = state.slots.load();
     let mut inner = state.lock();
     inner.reports.numbers += 1;
     LoadReport {
@@ -81,7 +81,7 @@
     }
 }
 
-/// The report to answer with.
+/// Returns the load report to answer with.
 pub(crate) fn report(state: &State) -> LoadReport {
     let lag = Duration::from_millis(state.cfg.load_lag_ms);
     let lagged = state.lock().reports.lagged(lag);
--- a/testkit/src/runner/orders.rs
+++ b/testkit/src/runner/orders.rs
@@ -1,4 +1,4 @@
-//! Orders: which layers are held, and the greatest fencing number seen.
+//! Placement orders: the layers held and the greatest fencing token received.
 
 use std::time::{Duration, Instant};
 
@@ -7,12 +7,12 @@
 
 use super::RunnerCfg;
 
-/// Layers held and being loaded.
+/// Layers that are held or being loaded.
 #[derive(Debug)]
 pub struct Orders {
     entries: Vec<Entry>,
     fencing: u64,
-    /// When the last load ends: loads follow one another.
+    /// Time at which the last load ends; loads are sequential.
     loaded_at: Instant,
 }
 
@@ -22,12 +22,12 @@
     ready_at: Instant,
 }
 
-/// Why an order is not obeyed.
+/// Reason for refusing an order.
 #[derive(Debug)]
 pub(crate) enum OrderRefused {
-    /// Its fencing number is old.
+    /// The fencing token is stale.
     Fenced(Fenced),
-    /// The layers don't fit the memory.
+    /// The layers do not fit in memory.
     NoMemory,
 }
 
@@ -45,13 +45,13 @@
         }
     }
 
-    /// Greatest fencing number seen.
+    /// Returns the greatest fencing token received.
     #[must_use]
     pub fn fencing(&self) -> u64 {
         self.fencing
     }
 
-    /// Layers held now.
+    /// Returns the layers currently held.
     #[must_use]
     pub fn held(&self) -> Vec<HeldLayers> {
         let now = Instant::now();
@@ -59,7 +59,7 @@
         ready.map(|e| e.held.clone()).collect()
     }
 
-    /// Whether all of `layers` are held now.
+    /// Returns whether all of `layers` are currently held.
     #[must_use]
     pub fn holds(&self, model: &Name, layers: LayerRange) -> bool {
         let now = Instant::now();
@@ -81,8 +81,8 @@
         layers.start < layers.end
     }
 
-    /// Obeys an order, or refuses it.
-    pub(crate) fn give(&mut self, order: &Order, cfg: &RunnerCfg) -> Result<(), OrderRefused> {
+    /// Applies an order or refuses it.
+    pub(crate) fn apply(&mut self, order: &Order, cfg: &RunnerCfg) -> Result<(), OrderRefused> {
         if cfg.checks_fencing && order.fencing < self.fencing {
             return Err(OrderRefused::Fenced(Fenced {
                 fencing: self.fencing,
@@ -99,17 +99,17 @@
     }
 
     fn load(&mut self, wanted: &HeldLayers, cfg: &RunnerCfg) -> Result<(), OrderRefused> {
-        let known = |e: &&Entry| {
+        let covers = |e: &&Entry| {
             e.held.model == wanted.model
                 && e.held.layers.start <= wanted.layers.start
                 && e.held.layers.end >= wanted.layers.end
         };
-        if self.entries.iter().any(|e| known(&e)) {
+        if self.entries.iter().any(|e| covers(&e)) {
             return Ok(());
         }
         let count = wanted.layers.end.saturating_sub(wanted.layers.start);
-        let standing: u32 = self.entries.iter().map(Entry::count).sum();
-        if standing + count > cfg.max_layers {
+        let total: u32 = self.entries.iter().map(Entry::count).sum();
+        if total + count > cfg.max_layers {
             return Err(OrderRefused::NoMemory);
         }
         let time = Duration::from_millis(cfg.load_ms_per_layer * u64::from(count));
@@ -132,7 +132,7 @@
         self.held.layers.end - self.held.layers.start
     }
 
-    /// What is left of it: none, one or two parts.
+    /// Returns the remainder without `unwanted`: zero, one or two parts.
     fn without(&self, unwanted: &HeldLayers) -> Vec<Self> {
         if self.held.model != unwanted.model {
             return vec![self.clone()];
--- a/testkit/src/runner/routes.rs
+++ b/testkit/src/runner/routes.rs
@@ -1,4 +1,4 @@
-//! Handlers of the runner's calls.
+//! HTTP handlers of the runner.
 
 use jacinthweir_wire::runner::{
     CancelRequest, KvRequest, Order, Refused, RefusedCode, RunRequest, StageRequest,
@@ -23,7 +23,7 @@
         .push(Router::with_path("cache-events").get(get_cache_events))
         .push(Router::with_path("kv/export").post(export_kv))
         .push(Router::with_path("kv/import").post(import_kv))
-        .push(Router::with_path("orders").post(give_order));
+        .push(Router::with_path("orders").post(post_order));
     let admin = Router::with_path("admin")
         .push(Router::with_path("set").post(admin_set))
         .push(Router::with_path("ran").get(admin_ran));
@@ -80,11 +80,11 @@
     if state.lock().knobs.ignore_cancel == Some(true) {
         return;
     }
-    let seats = state
+    let slots = state
         .lock()
         .attempts
         .cancel(&cancel.request, cancel.attempt);
-    drop(seats);
+    drop(slots);
 }
 
 #[handler]
@@ -128,26 +128,26 @@
     state
         .lock()
         .kv
-        .hold(&kv.request, &kv.model, kv.layers, kv.tokens);
+        .store(&kv.request, &kv.model, kv.layers, kv.tokens);
 }
 
 #[handler]
-async fn give_order(req: &mut Request, depot: &mut Depot, res: &mut Response) {
+async fn post_order(req: &mut Request, depot: &mut Depot, res: &mut Response) {
     let Some(order) = body::<Order>(req, res).await else {
         return;
     };
     let state = state::<State>(depot);
-    let given = {
+    let applied = {
         let mut inner = state.lock();
-        let given = inner.orders.give(&order, &state.cfg);
+        let applied = inner.orders.apply(&order, &state.cfg);
         inner.witness.orders.push(SeenOrder {
             order,
-            obeyed: given.is_ok(),
+            obeyed: applied.is_ok(),
             at_ms: unix_ms(),
         });
-        given
+        applied
     };
-    match given {
+    match applied {
         Ok(()) => {}
         Err(OrderRefused::Fenced(fenced)) => json(res, StatusCode::CONFLICT, &fenced),
         Err(OrderRefused::NoMemory) => {
--- a/testkit/src/runner/seats.rs
+++ b/testkit/src/runner/seats.rs
@@ -1,16 +1,16 @@
-//! Places for attempts, and the queue before them.
+//! Execution slots of a runner, and the queue of attempts that wait for one.
 //!
-//! Invariant: `running` counts the [`Seat`]s that exist. A place that becomes free passes to the
-//! first in the queue under the same lock, so no later arrival overtakes it.
+//! Invariant: `running` counts the [`Slot`]s that exist. A slot that becomes free passes to the
+//! head of the queue under the same lock, so no later arrival overtakes it.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use tokio::sync::oneshot;
 
-/// Places of one runner.
+/// Slots of one runner.
 #[derive(Debug)]
-pub struct Seats {
+pub struct Slots {
     max_running: u32,
     max_queued: u32,
     inner: Mutex<Inner>,
@@ -20,20 +20,20 @@
 struct Inner {
     running: u32,
     arrivals: u64,
-    /// By priority, then arrival.
-    queue: BTreeMap<(u8, u64), oneshot::Sender<Seat>>,
+    /// Ordered by priority, then arrival.
+    queue: BTreeMap<(u8, u64), oneshot::Sender<Slot>>,
 }
 
-/// One place; dropping it gives it to the next in the queue.
+/// One slot; dropping it passes it to the next attempt in the queue.
 #[derive(Debug)]
-pub struct Seat(Arc<Seats>);
+pub struct Slot(Arc<Slots>);
 
-/// No place and no room in the queue.
+/// Error: no slot is free, and the queue is full or was not allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Full;
 
-impl Seats {
-    /// Empty places.
+impl Slots {
+    /// Creates a set of free slots.
     #[must_use]
     pub fn new(max_running: u32, max_queued: u32) -> Self {
         Self {
@@ -47,7 +47,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Attempts with a place, and those that wait for one.
+    /// Returns the numbers of attempts that hold a slot and that wait for one.
     #[must_use]
     pub fn load(&self) -> (u32, u32) {
         let inner = self.lock();
@@ -55,53 +55,56 @@
         (inner.running, queued)
     }
 
-    /// Takes a place at once, or not at all.
+    /// Takes a slot without waiting.
     ///
     /// # Errors
     ///
-    /// Where there is none.
-    pub fn try_take(self: &Arc<Self>) -> Result<Seat, Full> {
+    /// Returns [`Full`] if no slot is free.
+    pub fn try_take(self: &Arc<Self>) -> Result<Slot, Full> {
         let mut inner = self.lock();
         if inner.running >= self.max_running {
             return Err(Full);
         }
         inner.running += 1;
-        Ok(Seat(self.clone()))
+        Ok(Slot(self.clone()))
     }
 
-    /// Takes a place, waiting for it in the order of priority.
+    /// Takes a slot, waiting for it in order of priority.
     ///
     /// # Errors
     ///
-    /// Where the queue is full.
-    pub async fn take(self: &Arc<Self>, priority: u8) -> Result<Seat, Full> {
-        if let Ok(seat) = self.try_take() {
-            return Ok(seat);
+    /// Returns [`Full`] if the queue is full.
+    pub async fn take(self: &Arc<Self>, priority: u8) -> Result<Slot, Full> {
+        if let Ok(slot) = self.try_take() {
+            return Ok(slot);
         }
-        let (waiting, rx) = self.enqueue(priority)?;
-        let seat = rx.await.map_err(|_| Full);
-        drop(waiting);
-        seat
+        let (guard, rx) = self.enqueue(priority)?;
+        let slot = rx.await.map_err(|_| Full);
+        drop(guard);
+        slot
     }
 
-    fn enqueue(self: &Arc<Self>, priority: u8) -> Result<(Waiting, oneshot::Receiver<Seat>), Full> {
+    fn enqueue(
+        self: &Arc<Self>,
+        priority: u8,
+    ) -> Result<(QueueGuard, oneshot::Receiver<Slot>), Full> {
         let (tx, rx) = oneshot::channel();
         let mut inner = self.lock();
         if inner.queue.len() >= self.max_queued as usize {
             return Err(Full);
         }
         inner.arrivals += 1;
-        let place = (priority, inner.arrivals);
-        inner.queue.insert(place, tx);
-        let waiting = Waiting {
-            seats: self.clone(),
-            place,
+        let position = (priority, inner.arrivals);
+        inner.queue.insert(position, tx);
+        let guard = QueueGuard {
+            slots: self.clone(),
+            position,
         };
-        Ok((waiting, rx))
+        Ok((guard, rx))
     }
 }
 
-impl Drop for Seat {
+impl Drop for Slot {
     fn drop(&mut self) {
         let next = {
             let mut inner = self.0.lock();
@@ -112,22 +115,22 @@
             next
         };
         if let Some((_, tx)) = next {
-            // Where the waiting attempt has left meanwhile, the seat comes back, is dropped here
-            // and passes on.
-            drop(tx.send(Seat(self.0.clone())));
+            // If the waiting attempt was dropped meanwhile, the slot comes back, is dropped here
+            // and passes to the next attempt.
+            drop(tx.send(Slot(self.0.clone())));
         }
     }
 }
 
-/// A place in the queue; leaves it also where the attempt is given up.
-struct Waiting {
-    seats: Arc<Seats>,
-    place: (u8, u64),
+/// Guard of a queue entry; removes it on drop, also if the attempt is cancelled.
+struct QueueGuard {
+    slots: Arc<Slots>,
+    position: (u8, u64),
 }
 
-impl Drop for Waiting {
+impl Drop for QueueGuard {
     fn drop(&mut self) {
-        let gone = self.seats.lock().queue.remove(&self.place);
+        let gone = self.slots.lock().queue.remove(&self.position);
         drop(gone);
     }
 }
--- a/testkit/src/runner/stage.rs
+++ b/testkit/src/runner/stage.rs
@@ -1,4 +1,4 @@
-//! One stage of a route: taking places down the route, and running one token through it.
+//! One stage of a route: slot reservation down the route, and execution of one token.
 
 use std::time::Duration;
 
@@ -10,23 +10,23 @@
 use super::State;
 use super::attempts::StageKey;
 use super::kv::{Prefill, missing_tokens};
-use super::seats::Seat;
+use super::seats::Slot;
 use super::witness::RanToken;
 use crate::http::unix_ms;
 
-/// When a refused attempt may come back, in milliseconds.
+/// Delay after which a refused attempt may be retried, in milliseconds.
 const RETRY_AFTER_MS: u64 = 50;
 
 /// Why a stage call failed.
 #[derive(Debug)]
 pub(crate) enum StageFault {
-    /// A stage refused it.
+    /// A stage refused the call.
     Refused(Refused),
-    /// The call broke or timed out: what ran is not known.
+    /// The call failed or timed out; it is unknown what ran.
     Lost { runner: Name, cause: String },
 }
 
-/// A refusal by this runner.
+/// Creates a refusal by this runner.
 pub(crate) fn refused(state: &State, code: RefusedCode) -> Refused {
     Refused {
         code,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Checks what can be checked before an attempt begins here.
+/// Validates an attempt before it begins here: route, state of the runner, layers, staleness.
 pub(crate) fn check(
     state: &State,
     key: &StageKey,
@@ -43,7 +43,7 @@
     route: &[Stage],
 ) -> Result<(), Refused> {
     let own = route.first().filter(|s| s.runner == state.cfg.name);
-    let Some(own) = own.filter(|_| fits(route)) else {
+    let Some(own) = own.filter(|_| is_contiguous(route)) else {
         return Err(refused(state, RefusedCode::BadRoute));
     };
     let held = state.holds(model, own.layers);
@@ -62,8 +62,8 @@
     Err(refused(state, code))
 }
 
-/// Whether the stages' ranges follow one another with no gap and no overlap.
-fn fits(route: &[Stage]) -> bool {
+/// Returns whether the stages' ranges are non-empty and contiguous, without gap or overlap.
+fn is_contiguous(route: &[Stage]) -> bool {
     let filled = route.iter().all(|s| s.layers.start < s.layers.end);
     let joined = route
         .windows(2)
@@ -71,22 +71,22 @@
     filled && joined
 }
 
-/// Key of the addressee's stage.
+/// Returns the key of the first stage of `route`, which the call is addressed to.
 pub(crate) fn key(request: &Name, attempt: u32, route: &[Stage]) -> StageKey {
     let start = route.first().map_or(0, |s| s.layers.start);
     (request.clone(), attempt, start)
 }
 
-/// Serves a call from the stage before.
+/// Serves a call from the previous stage.
 pub(crate) async fn serve(state: &State, req: StageRequest) -> Result<StageReply, StageFault> {
     if req.tokens == 0 {
-        return take_places(state, &req).await;
+        return reserve_slots(state, &req).await;
     }
     run_token(state, &req).await
 }
 
-/// Takes a place here and down the route; runs nothing.
-async fn take_places(state: &State, req: &StageRequest) -> Result<StageReply, StageFault> {
+/// Reserves a slot here and at all later stages; runs nothing.
+async fn reserve_slots(state: &State, req: &StageRequest) -> Result<StageReply, StageFault> {
     let key = key(&req.request, req.attempt, &req.route);
     state
         .lock()
@@ -94,8 +94,8 @@
         .received(&req.request, req.attempt, false);
     check(state, &key, &req.model, &req.route).map_err(StageFault::Refused)?;
     let busy = |_| StageFault::Refused(refused(state, RefusedCode::Busy));
-    let seat = state.seats.try_take().map_err(busy)?;
-    sit(state, &key, seat).map_err(StageFault::Refused)?;
+    let slot = state.slots.try_take().map_err(busy)?;
+    begin_stage(state, &key, slot).map_err(StageFault::Refused)?;
     let further = call_next(state, req).await;
     if further.is_err() {
         end(state, &key);
@@ -103,18 +103,18 @@
     further.map(|ran| StageReply { ran })
 }
 
-/// Gives a stage that was not seen before its place.
-pub(crate) fn sit(state: &State, key: &StageKey, seat: Seat) -> Result<(), Refused> {
+/// Begins a stage that was not received before, with its slot.
+pub(crate) fn begin_stage(state: &State, key: &StageKey, slot: Slot) -> Result<(), Refused> {
     let mut inner = state.lock();
     let token = state.token.child_token();
-    let begun = inner.attempts.begin(key.clone(), seat, token);
+    let begun = inner.attempts.begin(key.clone(), slot, token);
     begun.map_err(|_| refused(state, RefusedCode::Stale))
 }
 
-/// Gives a stage's place back.
+/// Ends a stage and releases its slot.
 pub(crate) fn end(state: &State, key: &StageKey) {
-    let seat = state.lock().attempts.end(key);
-    drop(seat);
+    let slot = state.lock().attempts.end(key);
+    drop(slot);
 }
 
 /// Runs one token, or a prefill, through the rest of the route.
@@ -173,10 +173,10 @@
     } else {
         before + 1
     };
-    inner.kv.hold(&req.request, &req.model, layers, held);
+    inner.kv.store(&req.request, &req.model, layers, held);
 }
 
-/// Calls the next stage, where there is one.
+/// Calls the next stage, if there is one.
 pub(crate) async fn call_next(
     state: &State,
     req: &StageRequest,
@@ -217,15 +217,15 @@
     Duration::from_micros(base * u64::from(factor))
 }
 
-/// A stage fault between runners.
+/// Wire form of a stage fault.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum StageFaultBody {
-    /// A stage refused it.
+    /// A stage refused the call.
     Refused(Refused),
-    /// A stage further down was lost.
+    /// A later stage could not be reached, or its call failed.
     Lost {
-        /// The stage that was lost.
+        /// The runner of that stage.
         runner: Name,
         /// Cause.
         cause: String,
--- a/testkit/src/runner/witness.rs
+++ b/testkit/src/runner/witness.rs
@@ -1,4 +1,4 @@
-//! What a runner saw and did, for checkers.
+//! Record of what a runner received and executed, for the history checks.
 
 use jacinthweir_policy::prelude::*;
 use jacinthweir_wire::runner::{LayerRange, Order};
@@ -6,20 +6,20 @@
 
 use crate::http::unix_ms;
 
-/// What was received and what ran.
+/// Attempts and orders received, and tokens executed, by one runner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Witness {
-    /// Runner's name.
+    /// Runner name.
     pub runner: Name,
-    /// Every attempt that arrived, refused ones too, here or as a later stage.
+    /// Every attempt received, including refused ones, as first or later stage.
     pub received: Vec<Received>,
-    /// Every token that ran here.
+    /// Every token executed here.
     pub ran: Vec<RanToken>,
-    /// Every order that arrived.
+    /// Every order received.
     pub orders: Vec<SeenOrder>,
 }
 
-/// One attempt that arrived.
+/// One received attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Received {
     /// Request id.
@@ -32,7 +32,7 @@
     pub at_ms: u64,
 }
 
-/// One token that ran: written down as it enters its first step.
+/// One executed token, recorded when it enters its first step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RanToken {
     /// Request id.
@@ -43,25 +43,25 @@
     pub index: u32,
     /// Layers.
     pub layers: LayerRange,
-    /// Tokens run: 1, or those of the prefill that no cache held.
+    /// Tokens executed: 1, or the uncached tokens of a prefill.
     pub tokens: u32,
     /// Unix time, in milliseconds.
     pub at_ms: u64,
 }
 
-/// One order that arrived.
+/// One received order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeenOrder {
     /// The order.
     pub order: Order,
-    /// Whether it was obeyed.
+    /// Whether the order was accepted.
     pub obeyed: bool,
     /// Unix time, in milliseconds.
     pub at_ms: u64,
 }
 
 impl Witness {
-    /// An empty witness.
+    /// Creates an empty log.
     #[must_use]
     pub fn new(runner: Name) -> Self {
         Self {
@@ -81,7 +81,7 @@
         });
     }
 
-    /// All of it; nothing is left behind.
+    /// Returns the whole log and clears it.
     pub(crate) fn take(&mut self) -> Self {
         let empty = Self::new(self.runner.clone());
         std::mem::replace(self, empty)
