--- a/testkit/src/admin.rs
+++ b/testkit/src/admin.rs
@@ -9,8 +9,8 @@
 use crate::platform::admin::{Counts, InstancesChange};
 use crate::platform::fault::Fault;
 use crate::platform::rate::Rates;
-use crate::runner::knobs::Knobs as RunnerKnobs;
-use crate::runner::witness::Witness;
+use crate::runner::knobs::Overrides as RunnerOverrides;
+use crate::runner::witness::ExecutionLog;
 use crate::service::{Knobs as ServiceKnobs, RanCall};
 use crate::{Error, Result};
 
@@ -134,7 +134,7 @@
     /// # Errors
     ///
     /// Where the call fails.
-    pub async fn set(&self, knobs: &RunnerKnobs) -> Result<()> {
+    pub async fn set(&self, knobs: &RunnerOverrides) -> Result<()> {
         self.0.post("set", knobs).await
     }
 
@@ -143,7 +143,7 @@
     /// # Errors
     ///
     /// Where the call fails.
-    pub async fn witness(&self) -> Result<Witness> {
+    pub async fn witness(&self) -> Result<ExecutionLog> {
         self.0.get("ran").await
     }
 
@@ -152,7 +152,7 @@
     /// # Errors
     ///
     /// Where the call fails.
-    pub async fn take_witness(&self) -> Result<Witness> {
+    pub async fn take_witness(&self) -> Result<ExecutionLog> {
         self.0.get("ran?take=true").await
     }
 }
--- a/testkit/src/campaign/faults.rs
+++ b/testkit/src/campaign/faults.rs
@@ -14,7 +14,7 @@
 use crate::operator::{Applied, Operator};
 use crate::platform::fault::Fault as PlatformFault;
 use crate::relay::Link;
-use crate::runner::knobs::Knobs as RunnerKnobs;
+use crate::runner::knobs::Overrides as RunnerOverrides;
 use crate::service::Knobs as ServiceKnobs;
 use crate::{Fleet, Result};
 
@@ -168,23 +168,23 @@
             Ok(())
         }
         Fault::Late(i) => {
-            let knobs = RunnerKnobs {
+            let knobs = RunnerOverrides {
                 ignore_cancel: Some(false),
-                ..RunnerKnobs::default()
+                ..RunnerOverrides::default()
             };
             knob(fleet, i, &knobs).await
         }
         Fault::Refuse(i) => {
-            let knobs = RunnerKnobs {
+            let knobs = RunnerOverrides {
                 refuse: Some(false),
-                ..RunnerKnobs::default()
+                ..RunnerOverrides::default()
             };
             knob(fleet, i, &knobs).await
         }
         Fault::SlowLink(i) => {
-            let knobs = RunnerKnobs {
+            let knobs = RunnerOverrides {
                 link_factor: Some(1),
-                ..RunnerKnobs::default()
+                ..RunnerOverrides::default()
             };
             knob(fleet, i, &knobs).await
         }
@@ -215,7 +215,7 @@
 }
 
 /// A runner may be frozen or dead by another fault: its knobs then stay.
-async fn knob(fleet: &Fleet, i: usize, knobs: &RunnerKnobs) -> Result<()> {
+async fn knob(fleet: &Fleet, i: usize, knobs: &RunnerOverrides) -> Result<()> {
     let set = fleet.runner_admin(i);
     let set = tokio::time::timeout(Duration::from_secs(1), set.set(knobs));
     if !matches!(set.await, Ok(Ok(()))) {
@@ -224,36 +224,36 @@
     Ok(())
 }
 
-fn runner_knobs(fault: Fault) -> RunnerKnobs {
-    let none = RunnerKnobs::default();
+fn runner_knobs(fault: Fault) -> RunnerOverrides {
+    let none = RunnerOverrides::default();
     let spoilt = Some(SPOILT);
     match fault {
-        Fault::Crossed(_) => RunnerKnobs {
+        Fault::Crossed(_) => RunnerOverrides {
             crossed: spoilt,
             ..none
         },
-        Fault::Truncated(_) => RunnerKnobs {
+        Fault::Truncated(_) => RunnerOverrides {
             truncated: spoilt,
             ..none
         },
-        Fault::CutAnswers(_) => RunnerKnobs {
+        Fault::CutAnswers(_) => RunnerOverrides {
             cut: spoilt,
             ..none
         },
-        Fault::Doubled(_) => RunnerKnobs {
+        Fault::Doubled(_) => RunnerOverrides {
             duplicate: spoilt,
             ..none
         },
-        Fault::Late(_) => RunnerKnobs {
+        Fault::Late(_) => RunnerOverrides {
             late: spoilt,
             ignore_cancel: Some(true),
             ..none
         },
-        Fault::Refuse(_) => RunnerKnobs {
+        Fault::Refuse(_) => RunnerOverrides {
             refuse: Some(true),
             ..none
         },
-        Fault::SlowLink(_) => RunnerKnobs {
+        Fault::SlowLink(_) => RunnerOverrides {
             link_factor: Some(100),
             ..none
         },
@@ -345,10 +345,10 @@
         return Ok(());
     }
     signalled(runner.process.wake())?;
-    let still = RunnerKnobs {
+    let still = RunnerOverrides {
         freeze: Some(true),
         refuse: Some(true),
-        ..RunnerKnobs::default()
+        ..RunnerOverrides::default()
     };
     knob(fleet, i, &still).await?;
     if !take_witness(fleet, recorder, i).await {
@@ -365,7 +365,7 @@
     let Ok(Ok(witness)) = asked.await else {
         return false;
     };
-    recorder.history().add_witness(witness);
+    recorder.history().add_execution_log(witness);
     true
 }
 
@@ -375,9 +375,9 @@
     // By its own word, or by the list's.
     let by_list = !salt.is_multiple_of(2);
     if !by_list {
-        let knobs = RunnerKnobs {
+        let knobs = RunnerOverrides {
             leaving: Some(true),
-            ..RunnerKnobs::default()
+            ..RunnerOverrides::default()
         };
         knob(fleet, i, &knobs).await?;
     } else {
@@ -460,7 +460,7 @@
 pub async fn collect(fleet: &Fleet, recorder: &Arc<Recorder>) -> Result<()> {
     for i in 0..fleet.runners.len() {
         let witness = fleet.runner_admin(i).witness().await?;
-        recorder.history().add_witness(witness);
+        recorder.history().add_execution_log(witness);
     }
     for i in 0..fleet.services.len() {
         let ran = fleet.service_admin(i).ran().await?;
--- a/testkit/src/history/record.rs
+++ b/testkit/src/history/record.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::caller::Seen;
-use crate::runner::witness::Witness;
+use crate::runner::witness::ExecutionLog;
 use crate::service::RanCall;
 
 /// A history of one run.
@@ -179,7 +179,7 @@
 
 impl History {
     /// Adds what a runner saw and did.
-    pub fn add_witness(&mut self, witness: Witness) {
+    pub fn add_execution_log(&mut self, witness: ExecutionLog) {
         let runner = witness.runner;
         for r in witness.received {
             self.arrived.push(Arrived {
--- a/testkit/src/matrix/rig.rs
+++ b/testkit/src/matrix/rig.rs
@@ -149,7 +149,7 @@
         for i in 0..self.fleet.runners.len() {
             let mut witness = self.fleet.runner_admin(i).take_witness().await?;
             witness.ran.retain(|r| !self.archived.contains(&r.request));
-            self.recorder.history().add_witness(witness);
+            self.recorder.history().add_execution_log(witness);
         }
         let mut ran = self.ran_before.clone();
         for i in 0..self.fleet.services.len() {
--- a/testkit/src/recovery/scenario.rs
+++ b/testkit/src/recovery/scenario.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::platform::fault::Fault;
-use crate::runner::knobs::Knobs;
+use crate::runner::knobs::Overrides;
 use crate::{Error, Fleet, Result};
 
 /// Factor of a degraded link.
@@ -95,9 +95,9 @@
         }
         Scenario::OneHolder => leave_one_holder(fleet, pick).await?,
         Scenario::LinkSlow => {
-            let knobs = Knobs {
+            let knobs = Overrides {
                 link_factor: Some(SLOW_LINK),
-                ..Knobs::default()
+                ..Overrides::default()
             };
             fleet.runner_admin(runner).set(&knobs).await?;
             vec![fleet.runners[runner].listing.name.to_string()]
--- a/testkit/src/runner.rs
+++ b/testkit/src/runner.rs
@@ -24,8 +24,8 @@
 //!
 //! | call | meaning |
 //! |---|---|
-//! | `POST /admin/set` | body [`knobs::Knobs`]: fields that are present are set |
-//! | `GET /admin/ran?take=BOOL` | [`witness::Witness`]; `take` also clears it |
+//! | `POST /admin/set` | body [`knobs::Overrides`]: fields that are present are set |
+//! | `GET /admin/ran?take=BOOL` | [`witness::ExecutionLog`]; `take` also clears it |
 
 pub mod attempts;
 pub mod batch;
@@ -54,12 +54,12 @@
 use attempts::Attempts;
 use batch::Batch;
 use cache::PrefixCache;
-use knobs::Knobs;
+use knobs::Overrides;
 use kv::KvCache;
 use load::Reports;
 use orders::Orders;
 use seats::Slots;
-use witness::Witness;
+use witness::ExecutionLog;
 
 /// Load sampling interval, in milliseconds.
 const SAMPLE_MS: u64 = 20;
@@ -116,7 +116,8 @@
     /// Seed of the random number generator.
     pub seed: u64,
     /// Behaviour overrides at startup.
-    pub knobs: Knobs,
+    #[serde(rename = "knobs")]
+    pub overrides: Overrides,
 }
 
 impl Default for RunnerCfg {
@@ -145,7 +146,7 @@
             load_ms_per_layer: 50,
             max_layers: 64,
             seed: 1,
-            knobs: Knobs::default(),
+            overrides: Overrides::default(),
         }
     }
 }
@@ -175,8 +176,8 @@
     }
 
     /// Applies behaviour overrides.
-    pub fn set(&self, knobs: &Knobs) {
-        self.state.set(knobs);
+    pub fn set(&self, overrides: &Overrides) {
+        self.state.set(overrides);
     }
 
     /// Returns the current numbers of attempts that hold a slot and that wait for one, without lag.
@@ -187,8 +188,8 @@
 
     /// Returns the record of what was received and executed.
     #[must_use]
-    pub fn witness(&self) -> Witness {
-        self.state.lock().witness.clone()
+    pub fn execution_log(&self) -> ExecutionLog {
+        self.state.lock().execution_log.clone()
     }
 }
 
@@ -204,9 +205,9 @@
 
 /// State guarded by the mutex.
 pub(crate) struct Inner {
-    knobs: Knobs,
+    overrides: Overrides,
     attempts: Attempts,
-    witness: Witness,
+    execution_log: ExecutionLog,
     cache: PrefixCache,
     kv: KvCache,
     reports: Reports,
@@ -226,9 +227,9 @@
             .timeout(Duration::from_millis(cfg.stage_timeout_ms))
             .build()?;
         let inner = Inner {
-            knobs: cfg.knobs.clone(),
+            overrides: cfg.overrides.clone(),
             attempts: Attempts::default(),
-            witness: Witness::new(cfg.name.clone()),
+            execution_log: ExecutionLog::new(cfg.name.clone()),
             cache: PrefixCache::new(&cfg),
             kv: KvCache::default(),
             reports: Reports::default(),
@@ -249,9 +250,9 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn set(&self, knobs: &Knobs) {
-        log::info!("{}: set {knobs:?}", self.cfg.name);
-        self.lock().knobs.merge(knobs);
+    fn set(&self, overrides: &Overrides) {
+        log::info!("{}: set {overrides:?}", self.cfg.name);
+        self.lock().overrides.merge(overrides);
         self.batch.wake();
     }
 
--- a/testkit/src/runner/batch.rs
+++ b/testkit/src/runner/batch.rs
@@ -75,7 +75,7 @@
 pub(crate) async fn run(state: Arc<State>, token: CancellationToken) {
     let mut ready_at = Instant::now();
     loop {
-        let frozen = state.lock().knobs.freeze == Some(true);
+        let frozen = state.lock().overrides.freeze == Some(true);
         let step = if frozen {
             Vec::new()
         } else {
@@ -124,7 +124,7 @@
         if !unit.started {
             unit.started = true;
             unit.token.at_ms = unix_ms();
-            state.lock().witness.ran.push(unit.token.clone());
+            state.lock().execution_log.ran.push(unit.token.clone());
         }
         let tokens = unit.remaining.min(state.cfg.prefill_chunk.max(1));
         step.push(Part {
@@ -148,7 +148,7 @@
 }
 
 fn step_time(state: &State, step: &[Part]) -> Duration {
-    let speed = state.lock().knobs.speed;
+    let speed = state.lock().overrides.speed;
     let speed = speed.unwrap_or(state.cfg.token_layers_per_s).max(1.0);
     let total: f64 = step.iter().map(|part| cost(state, part)).sum();
     Duration::from_micros(state.cfg.step_us) + Duration::from_secs_f64(total / speed)
--- a/testkit/src/runner/drive.rs
+++ b/testkit/src/runner/drive.rs
@@ -88,7 +88,7 @@
     let key = stage::key(&req.request, req.attempt, &req.route);
     state
         .lock()
-        .witness
+        .execution_log
         .received(&req.request, req.attempt, true);
     stage::check(&state, &key, &req.model, &req.route)?;
     let slot = state.slots.take(req.priority).await;
@@ -103,7 +103,7 @@
     taken.map_err(|fault| begin_refused(&state, fault))?;
     let step = state.lock().attempts.token(&key);
     let token = step.map_err(|_| refused(&state, RefusedCode::Stale))?;
-    let faults = state.lock().knobs.take_frame_faults();
+    let faults = state.lock().overrides.take_frame_faults();
     Ok(Drive {
         deadline: arrived + Duration::from_millis(req.deadline_ms),
         state,
--- a/testkit/src/runner/knobs.rs
+++ b/testkit/src/runner/knobs.rs
@@ -5,7 +5,7 @@
 /// Overrides of a runner's behaviour; absent fields leave it unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Knobs {
+pub struct Overrides {
     /// Whether it drains: it refuses new attempts and reports `leaving` in its load report.
     pub leaving: Option<bool>,
     /// Whether it refuses new attempts as busy.
@@ -32,7 +32,7 @@
     pub ignore_cancel: Option<bool>,
 }
 
-impl Knobs {
+impl Overrides {
     /// Applies the fields that `other` sets.
     pub(crate) fn merge(&mut self, other: &Self) {
         self.leaving = other.leaving.or(self.leaving);
--- a/testkit/src/runner/load.rs
+++ b/testkit/src/runner/load.rs
@@ -73,9 +73,12 @@
         holds: inner.orders.held(),
         running,
         queued,
-        token_layers_per_s: inner.knobs.speed.unwrap_or(state.cfg.token_layers_per_s),
+        token_layers_per_s: inner
+            .overrides
+            .speed
+            .unwrap_or(state.cfg.token_layers_per_s),
         busy_token_layers_per_s: inner.reports.busy(inner.done),
-        leaving: inner.knobs.leaving == Some(true),
+        leaving: inner.overrides.leaving == Some(true),
         checks_fencing: state.cfg.checks_fencing,
         fencing: inner.orders.fencing(),
     }
--- a/testkit/src/runner/routes.rs
+++ b/testkit/src/runner/routes.rs
@@ -7,10 +7,10 @@
 use salvo::prelude::*;
 
 use super::State;
-use super::knobs::Knobs;
+use super::knobs::Overrides;
 use super::orders::OrderRefused;
 use super::stage::{StageFault, StageFaultBody};
-use super::witness::SeenOrder;
+use super::witness::ReceivedOrder;
 use super::{drive, load, stage};
 use crate::http::{body, json, state, unix_ms};
 
@@ -77,7 +77,7 @@
     let Some(cancel) = body::<CancelRequest>(req, res).await else {
         return;
     };
-    if state.lock().knobs.ignore_cancel == Some(true) {
+    if state.lock().overrides.ignore_cancel == Some(true) {
         return;
     }
     let slots = state
@@ -140,7 +140,7 @@
     let applied = {
         let mut inner = state.lock();
         let applied = inner.orders.apply(&order, &state.cfg);
-        inner.witness.orders.push(SeenOrder {
+        inner.execution_log.orders.push(ReceivedOrder {
             order,
             obeyed: applied.is_ok(),
             at_ms: unix_ms(),
@@ -158,8 +158,8 @@
 
 #[handler]
 async fn admin_set(req: &mut Request, depot: &mut Depot, res: &mut Response) {
-    if let Some(knobs) = body::<Knobs>(req, res).await {
-        state::<State>(depot).set(&knobs);
+    if let Some(overrides) = body::<Overrides>(req, res).await {
+        state::<State>(depot).set(&overrides);
     }
 }
 
@@ -167,13 +167,13 @@
 async fn admin_ran(req: &mut Request, depot: &mut Depot, res: &mut Response) {
     let take = req.query::<bool>("take").unwrap_or(false);
     let state = state::<State>(depot);
-    let witness = {
+    let execution_log = {
         let mut inner = state.lock();
         if take {
-            inner.witness.take()
+            inner.execution_log.take()
         } else {
-            inner.witness.clone()
+            inner.execution_log.clone()
         }
     };
-    json(res, StatusCode::OK, &witness);
+    json(res, StatusCode::OK, &execution_log);
 }
--- a/testkit/src/runner/stage.rs
+++ b/testkit/src/runner/stage.rs
@@ -48,9 +48,9 @@
     };
     let held = state.holds(model, own.layers);
     let inner = state.lock();
-    let code = if inner.knobs.leaving == Some(true) {
+    let code = if inner.overrides.leaving == Some(true) {
         RefusedCode::Leaving
-    } else if inner.knobs.refuse == Some(true) {
+    } else if inner.overrides.refuse == Some(true) {
         RefusedCode::Busy
     } else if !held {
         RefusedCode::NotHeld
@@ -90,7 +90,7 @@
     let key = key(&req.request, req.attempt, &req.route);
     state
         .lock()
-        .witness
+        .execution_log
         .received(&req.request, req.attempt, false);
     check(state, &key, &req.model, &req.route).map_err(StageFault::Refused)?;
     let busy = |_| StageFault::Refused(refused(state, RefusedCode::Busy));
@@ -212,8 +212,11 @@
 
 fn link_delay(state: &State) -> Duration {
     let inner = state.lock();
-    let base = inner.knobs.link_delay_us.unwrap_or(state.cfg.link_delay_us);
-    let factor = inner.knobs.link_factor.unwrap_or(1);
+    let base = inner
+        .overrides
+        .link_delay_us
+        .unwrap_or(state.cfg.link_delay_us);
+    let factor = inner.overrides.link_factor.unwrap_or(1);
     Duration::from_micros(base * u64::from(factor))
 }
 
--- a/testkit/src/runner/witness.rs
+++ b/testkit/src/runner/witness.rs
@@ -8,7 +8,7 @@
 
 /// Attempts and orders received, and tokens executed, by one runner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Witness {
+pub struct ExecutionLog {
     /// Runner name.
     pub runner: Name,
     /// Every attempt received, including refused ones, as first or later stage.
@@ -16,7 +16,7 @@
     /// Every token executed here.
     pub ran: Vec<RanToken>,
     /// Every order received.
-    pub orders: Vec<SeenOrder>,
+    pub orders: Vec<ReceivedOrder>,
 }
 
 /// One received attempt.
@@ -51,7 +51,7 @@
 
 /// One received order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SeenOrder {
+pub struct ReceivedOrder {
     /// The order.
     pub order: Order,
     /// Whether the order was accepted.
@@ -60,7 +60,7 @@
     pub at_ms: u64,
 }
 
-impl Witness {
+impl ExecutionLog {
     /// Creates an empty log.
     #[must_use]
     pub fn new(runner: Name) -> Self {
--- a/testkit/tests/runner.rs
+++ b/testkit/tests/runner.rs
@@ -1,7 +1,7 @@
 //! The stand-in runner: answers, places, cancels and faults of frames.
 
 use googletest::prelude::*;
-use jacinthweir_testkit::runner::knobs::Knobs;
+use jacinthweir_testkit::runner::knobs::Overrides;
 use jacinthweir_testkit::{Runner, RunnerCfg, text};
 use jacinthweir_wire::runner::{
     CacheEvents, CancelRequest, Fenced, Frame, HeldLayers, LayerRange, Order, Refused, RefusedCode,
@@ -94,7 +94,10 @@
     }
 
     fn ran(&self) -> usize {
-        self.runners.iter().map(|r| r.witness().ran.len()).sum()
+        self.runners
+            .iter()
+            .map(|r| r.execution_log().ran.len())
+            .sum()
     }
 }
 
@@ -161,9 +164,9 @@
 #[tokio::test]
 async fn a_refusal_by_a_later_stage_comes_before_anything_ran() {
     let chain = chain().await;
-    chain.runners[2].set(&Knobs {
+    chain.runners[2].set(&Overrides {
         leaving: Some(true),
-        ..Knobs::default()
+        ..Overrides::default()
     });
     let refused = chain.refused(&chain.request("q1", 1)).await;
     expect_that!(refused.code, eq(RefusedCode::Leaving));
@@ -239,19 +242,19 @@
 async fn faults_of_frames_strike_as_asked() {
     let chain = chain().await;
     let one = Some(1);
-    chain.runners[0].set(&Knobs {
+    chain.runners[0].set(&Overrides {
         crossed: one,
         duplicate: one,
         late: one,
-        ..Knobs::default()
+        ..Overrides::default()
     });
     let clean = chain.request("q1", 1).prompt;
     let (tokens, _) = text::length(&clean, 10);
     let frames = chain.frames(&chain.request("q1", 2)).await;
     expect_that!(frames.len(), eq(tokens as usize + 1 + 3));
-    chain.runners[0].set(&Knobs {
+    chain.runners[0].set(&Overrides {
         truncated: one,
-        ..Knobs::default()
+        ..Overrides::default()
     });
     let frames = chain.frames(&chain.request("q1", 3)).await;
     expect_that!(frames.last(), some(matches_pattern!(Frame::Token(_))));
@@ -286,7 +289,12 @@
         } else {
             expect_that!(old.status().as_u16(), eq(200));
         }
-        let obeyed: Vec<_> = runner.witness().orders.iter().map(|o| o.obeyed).collect();
+        let obeyed: Vec<_> = runner
+            .execution_log()
+            .orders
+            .iter()
+            .map(|o| o.obeyed)
+            .collect();
         expect_that!(obeyed, eq(&vec![true, !checks_fencing]));
     }
 }
