--- a/testkit/src/admin.rs
+++ b/testkit/src/admin.rs
@@ -9,8 +9,8 @@
 use crate::platform::admin::{Counts, InstancesChange};
 use crate::platform::fault::Fault;
 use crate::platform::rate::Rates;
-use crate::runner::knobs::Overrides as RunnerOverrides;
-use crate::runner::witness::ExecutionLog;
+use crate::runner::execution_log::ExecutionLog;
+use crate::runner::overrides::Overrides as RunnerOverrides;
 use crate::service::{Knobs as ServiceKnobs, RanCall};
 use crate::{Error, Result};
 
--- a/testkit/src/campaign/faults.rs
+++ b/testkit/src/campaign/faults.rs
@@ -14,7 +14,7 @@
 use crate::operator::{Applied, Operator};
 use crate::platform::fault::Fault as PlatformFault;
 use crate::relay::Link;
-use crate::runner::knobs::Overrides as RunnerOverrides;
+use crate::runner::overrides::Overrides as RunnerOverrides;
 use crate::service::Knobs as ServiceKnobs;
 use crate::{Fleet, Result};
 
--- a/testkit/src/history/record.rs
+++ b/testkit/src/history/record.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::caller::Seen;
-use crate::runner::witness::ExecutionLog;
+use crate::runner::execution_log::ExecutionLog;
 use crate::service::RanCall;
 
 /// A history of one run.
--- a/testkit/src/recovery/scenario.rs
+++ b/testkit/src/recovery/scenario.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::platform::fault::Fault;
-use crate::runner::knobs::Overrides;
+use crate::runner::overrides::Overrides;
 use crate::{Error, Fleet, Result};
 
 /// Factor of a degraded link.
--- a/testkit/src/runner.rs
+++ b/testkit/src/runner.rs
@@ -3,7 +3,7 @@
 //! Implements the interface of [`jacinthweir_wire::runner`]. The answer to a prompt is the pure
 //! function of [`crate::text`]; computation is simulated by delays.
 //!
-//! - **Slots** ([`seats`]): an attempt holds one slot at each stage of its route from its start
+//! - **Slots** ([`slots`]): an attempt holds one slot at each stage of its route from its start
 //!   to its end. At the first stage it may wait for one, in order of priority, in a queue of
 //!   bounded length; a later stage without a free slot refuses at once, since waiting there while
 //!   holding a slot elsewhere can deadlock.
@@ -11,7 +11,8 @@
 //!   attempt in it advances by one token (a prefill by one chunk).
 //! - **Route** ([`drive`], [`stage`]): before anything runs, a call with no tokens traverses the
 //!   whole route and reserves the slots. A refusal or an unreachable stage in this phase
-//!   results in [`jacinthweir_wire::runner::Refused`]; after it an attempt can only break.
+//!   results in [`jacinthweir_wire::runner::Refused`], which guarantees that nothing ran; after
+//!   this phase an attempt can only break.
 //! - **Attempts** ([`attempts`]): an attempt that was received or cancelled before is `Stale`, and
 //!   each token index runs once in an attempt.
 //! - **Caches**: prefixes, with delayed and lossy events ([`cache`]); KV of recent requests, for
@@ -24,21 +25,21 @@
 //!
 //! | call | meaning |
 //! |---|---|
-//! | `POST /admin/set` | body [`knobs::Overrides`]: fields that are present are set |
-//! | `GET /admin/ran?take=BOOL` | [`witness::ExecutionLog`]; `take` also clears it |
+//! | `POST /admin/set` | body [`overrides::Overrides`]: fields that are present are set |
+//! | `GET /admin/ran?take=BOOL` | [`execution_log::ExecutionLog`]; `take` also clears it |
 
 pub mod attempts;
 pub mod batch;
 pub mod cache;
 mod drive;
-pub mod knobs;
+pub mod execution_log;
 pub mod kv;
 pub mod load;
 pub mod orders;
+pub mod overrides;
 mod routes;
-pub mod seats;
+pub mod slots;
 mod stage;
-pub mod witness;
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -54,12 +55,12 @@
 use attempts::Attempts;
 use batch::Batch;
 use cache::PrefixCache;
-use knobs::Overrides;
+use execution_log::ExecutionLog;
 use kv::KvCache;
 use load::Reports;
 use orders::Orders;
-use seats::Slots;
-use witness::ExecutionLog;
+use overrides::Overrides;
+use slots::Slots;
 
 /// Load sampling interval, in milliseconds.
 const SAMPLE_MS: u64 = 20;
--- a/testkit/src/runner/attempts.rs
+++ b/testkit/src/runner/attempts.rs
@@ -9,7 +9,7 @@
 use jacinthweir_policy::prelude::*;
 use tokio_util::sync::CancellationToken;
 
-use super::seats::Slot;
+use super::slots::Slot;
 
 /// Idle time without a token after which the slot of a later stage is released, in seconds.
 const IDLE_S: u64 = 15;
--- a/testkit/src/runner/batch.rs
+++ b/testkit/src/runner/batch.rs
@@ -12,7 +12,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::State;
-use super::witness::RanToken;
+use super::execution_log::RanToken;
 use crate::http::unix_ms;
 
 /// Maximum lag that the loop may catch up on, in milliseconds.
--- a/testkit/src/runner/drive.rs
+++ b/testkit/src/runner/drive.rs
@@ -14,7 +14,7 @@
 
 use super::State;
 use super::attempts::StageKey;
-use super::knobs::FrameFaults;
+use super::overrides::FrameFaults;
 use super::stage::{self, StageFault, refused};
 use crate::text;
 
--- a/testkit/src/runner/routes.rs
+++ b/testkit/src/runner/routes.rs
@@ -7,10 +7,10 @@
 use salvo::prelude::*;
 
 use super::State;
-use super::knobs::Overrides;
+use super::execution_log::ReceivedOrder;
 use super::orders::OrderRefused;
+use super::overrides::Overrides;
 use super::stage::{StageFault, StageFaultBody};
-use super::witness::ReceivedOrder;
 use super::{drive, load, stage};
 use crate::http::{body, json, state, unix_ms};
 
--- a/testkit/src/runner/stage.rs
+++ b/testkit/src/runner/stage.rs
@@ -9,9 +9,9 @@
 
 use super::State;
 use super::attempts::StageKey;
+use super::execution_log::RanToken;
 use super::kv::{Prefill, missing_tokens};
-use super::seats::Slot;
-use super::witness::RanToken;
+use super::slots::Slot;
 use crate::http::unix_ms;
 
 /// Delay after which a refused attempt may be retried, in milliseconds.
--- a/testkit/tests/runner.rs
+++ b/testkit/tests/runner.rs
@@ -1,7 +1,7 @@
 //! The stand-in runner: answers, places, cancels and faults of frames.
 
 use googletest::prelude::*;
-use jacinthweir_testkit::runner::knobs::Overrides;
+use jacinthweir_testkit::runner::overrides::Overrides;
 use jacinthweir_testkit::{Runner, RunnerCfg, text};
 use jacinthweir_wire::runner::{
     CacheEvents, CancelRequest, Fenced, Frame, HeldLayers, LayerRange, Order, Refused, RefusedCode,
