--- a/testkit/src/bin/jw-standin.rs
+++ b/testkit/src/bin/jw-standin.rs
@@ -1,7 +1,7 @@
-//! `jw-standin`: one stand-in as a process of its own.
+//! `jw-standin`: runs one simulated service of the test kit as a separate process.
 //!
-//! Prints one line, `listening ADDRESS`, when it is bound; logs to standard error; ends on
-//! SIGTERM.
+//! Prints one line, `listening ADDRESS`, once the socket is bound; logs to standard error; exits on
+//! SIGTERM or SIGINT.
 
 use std::io::Write as _;
 use std::net::SocketAddr;
@@ -11,10 +11,10 @@
 use serde::de::DeserializeOwned;
 use tokio_util::sync::CancellationToken;
 
-/// A stand-in of the test kit.
+/// Runs a simulated service of the test kit.
 #[derive(FromArgs)]
 struct Args {
-    /// which one
+    /// kind of service
     #[argh(subcommand)]
     kind: Kind,
 }
@@ -27,34 +27,34 @@
     Service(ServiceArgs),
 }
 
-/// The platform's service.
+/// Simulated platform API.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "platform")]
 struct PlatformArgs {
-    /// settings as one JSON object; {} takes the defaults
+    /// settings as one JSON object; {} selects the defaults
     #[argh(positional)]
     cfg: String,
 }
 
-/// A model runner.
+/// Simulated model runner.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "runner")]
 struct RunnerArgs {
-    /// settings as one JSON object; {} takes the defaults
+    /// settings as one JSON object; {} selects the defaults
     #[argh(positional)]
     cfg: String,
 }
 
-/// A plain service.
+/// Simulated plain service.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "service")]
 struct ServiceArgs {
-    /// settings as one JSON object; {} takes the defaults
+    /// settings as one JSON object; {} selects the defaults
     #[argh(positional)]
     cfg: String,
 }
 
-// Two threads: a fleet has dozens of stand-ins on one machine.
+// Two threads, since a fleet runs dozens of these processes on one machine.
 #[tokio::main(worker_threads = 2)]
 async fn main() -> eyre::Result<()> {
     let args: Args = argh::from_env();
--- a/testkit/src/history.rs
+++ b/testkit/src/history.rs
@@ -1,9 +1,9 @@
-//! Histories of concurrent runs, and what must hold of them.
+//! Histories of concurrent runs, and checks of the system's guarantees against them.
 //!
-//! A history is put together from outside the system: what callers saw, what the stand-ins ran,
-//! what operators were told. Nothing in it comes from the instances' own account of a request,
-//! so a fault in that account cannot hide another. [`check`] is a pure function over a history:
-//! one check a promise of the brief, each naming what it found.
+//! A history is recorded outside the system: what callers saw, what the simulated upstreams ran,
+//! what operators were answered. Nothing in it comes from the instances' own records of a request,
+//! so a fault in those records cannot mask another. [`check`] is a pure function over a history:
+//! one check per guarantee, each reporting the violations that it finds.
 
 mod answers;
 mod calls;
@@ -16,13 +16,14 @@
 pub use record::History;
 pub use violation::Violation;
 
-/// How long what must happen "within seconds" may take, in milliseconds. Limits of the promises,
-/// far above what is measured, so that a slow machine fails none.
+/// Time limits, in milliseconds, of the guarantees that hold "within seconds".
+///
+/// Generous compared with normal latencies, so that a slow machine causes no violation.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// From an upstream's word that it leaves to the last new work that reaches it.
+    /// From an upstream's leaving notice to the last new work that may reach it.
     pub leaving_ms: u64,
-    /// From a commit's acceptance to its being in force on every instance that runs.
+    /// From a commit's acceptance to its revision being in force on every running instance.
     pub in_force_ms: u64,
 }
 
@@ -35,7 +36,7 @@
     }
 }
 
-/// Every violation in a history, in the order of the promises.
+/// Returns every violation in a history, ordered by guarantee.
 #[must_use]
 pub fn check(history: &History, limits: &Limits) -> Vec<Violation> {
     let mut found = Vec::new();
--- a/testkit/src/history/answers.rs
+++ b/testkit/src/history/answers.rs
@@ -1,5 +1,5 @@
-//! A caller gets the whole answer to its own request; "not run" is true; a graceful shutdown cuts
-//! nothing.
+//! Checks that a caller gets the complete answer to its own request, that an outcome of "not run"
+//! is correct, and that a graceful shutdown interrupts no request.
 
 use std::collections::BTreeMap;
 
@@ -8,11 +8,11 @@
 use super::record::{History, Shutdown, Submission, Work};
 use super::violation::Violation;
 
-/// Status of an answer or of a stream that has begun; with another, the text is an error's.
+/// Status of an answer or of a started stream; with any other status, the text is an error message.
 const OK: u16 = 200;
 
 pub(super) fn check(history: &History, found: &mut Vec<Violation>) {
-    let ran = where_it_ran(history);
+    let ran = upstream_by_request(history);
     for s in &history.submissions {
         let request = s.seen.request.clone().unwrap_or_else(|| "no id".into());
         check_text(s, &request, found);
@@ -31,7 +31,7 @@
     }
 }
 
-fn where_it_ran(history: &History) -> BTreeMap<Name, Name> {
+fn upstream_by_request(history: &History) -> BTreeMap<Name, Name> {
     let models = history
         .ran
         .iter()
@@ -58,24 +58,28 @@
     }
 }
 
-/// Submissions that an instance had accepted before its end and that lost their connection.
+/// Checks the exit code of a shutdown, and that no submission accepted by the instance before its
+/// exit lost its connection.
 fn check_shutdown(history: &History, shutdown: &Shutdown, found: &mut Vec<Violation>) {
     let instance = shutdown.instance.clone();
     if shutdown.code != Some(0) {
-        let what = format!("it ended with {:?}", shutdown.code);
+        let what = format!("the exit code was {:?}", shutdown.code);
         found.push(Violation::CutByShutdown {
             instance: instance.clone(),
             what,
         });
     }
-    let cut = history.submissions.iter().filter(|s| {
+    let interrupted = history.submissions.iter().filter(|s| {
         s.instance == instance
             && s.sent_ms < shutdown.ended_ms
             && s.ended_ms >= shutdown.signal_ms
             && s.seen.broken.is_some()
     });
-    for s in cut {
-        let what = format!("submission {} was cut: {:?}", s.number, s.seen.broken);
+    for s in interrupted {
+        let what = format!(
+            "submission {} was interrupted: {:?}",
+            s.number, s.seen.broken
+        );
         found.push(Violation::CutByShutdown {
             instance: instance.clone(),
             what,
--- a/testkit/src/history/calls.rs
+++ b/testkit/src/history/calls.rs
@@ -1,4 +1,4 @@
-//! A call marked as not repeatable runs at most once.
+//! Checks that a non-idempotent call runs at most once.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
         };
         let times = runs.get(body.as_str()).copied().unwrap_or(0);
         let name = key.as_deref().unwrap_or(body);
-        if s.seen.outcome == Some(Outcome::Answered) && answered_well(s) && times == 0 {
+        if s.seen.outcome == Some(Outcome::Answered) && has_success_status(s) && times == 0 {
             let key = name.to_owned();
             found.push(Violation::AnsweredButNeverRan {
                 number: s.number,
@@ -37,12 +37,12 @@
         }
     }
     for (key, submissions) in by_key {
-        check_same(key, &submissions, found);
+        check_same_answer(key, &submissions, found);
     }
 }
 
-/// Runs by the body: unlike every other key's, so it names the call even where an instance would
-/// have sent a wrong key on.
+/// Counts runs by request body. The body is unique for each key, so it identifies the call even if
+/// an instance forwarded a wrong key.
 fn runs_by_body(history: &History) -> BTreeMap<&str, usize> {
     let mut runs = BTreeMap::new();
     for call in &history.calls {
@@ -51,11 +51,11 @@
     runs
 }
 
-fn answered_well(s: &Submission) -> bool {
+fn has_success_status(s: &Submission) -> bool {
     s.seen.status.is_some_and(|status| status < 300)
 }
 
-fn check_same(key: &str, submissions: &[&Submission], found: &mut Vec<Violation>) {
+fn check_same_answer(key: &str, submissions: &[&Submission], found: &mut Vec<Violation>) {
     let answered = submissions
         .iter()
         .filter(|s| s.seen.outcome == Some(Outcome::Answered));
--- a/testkit/src/history/configuration.rs
+++ b/testkit/src/history/configuration.rs
@@ -1,4 +1,4 @@
-//! A configuration, once accepted, is in force everywhere within seconds and never reverts.
+//! Checks that an accepted configuration is in force everywhere within the limit and never reverts.
 
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
             });
         }
         *known = seen.revision.max(*known);
-        if let Some(commit) = missing(history, limits, seen) {
+        if let Some(commit) = overdue_commit(history, limits, seen) {
             found.push(Violation::NotInForce {
                 instance: seen.instance.clone(),
                 revision: commit.revision,
@@ -51,9 +51,9 @@
     }
 }
 
-/// A commit that should have been in force where and when `seen` was. An instance that stood
-/// still gets the time anew from its waking.
-fn missing<'a>(
+/// Returns a commit that should have been in force on the instance when `seen` was observed. For
+/// an instance that was frozen, the limit restarts when it resumes.
+fn overdue_commit<'a>(
     history: &'a History,
     limits: &Limits,
     seen: &InForceSeen,
@@ -61,17 +61,17 @@
     if !seen.serving {
         return None;
     }
-    let woken = history
+    let resumed = history
         .frozen
         .iter()
         .filter(|f| f.instance == seen.instance);
-    let woken = woken
+    let resumed = resumed
         .map(|f| f.woken_ms)
         .filter(|at| *at <= seen.at_ms)
         .max()
         .unwrap_or(0);
     let due = |c: &&CommitSeen| {
-        let from = c.at_ms.max(woken).max(seen.incarnation);
+        let from = c.at_ms.max(resumed).max(seen.incarnation);
         seen.at_ms > from.saturating_add(limits.in_force_ms) && c.revision > seen.revision
     };
     history.commits.iter().find(due)
--- a/testkit/src/history/layers.rs
+++ b/testkit/src/history/layers.rs
@@ -1,4 +1,4 @@
-//! Every layer of the model runs exactly once for each token, in order.
+//! Checks that every layer of the model runs exactly once for each token, in order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -32,9 +32,9 @@
             check_disjoint(token, parts, found);
             continue;
         }
-        // Within a millisecond the witness times do not tell the order; the layers then do.
+        // Timestamps have millisecond resolution; equal ones are ordered by layers.
         parts.sort_by_key(|r| (r.at_ms, r.layers));
-        match run_through(token, parts) {
+        match check_contiguous(token, parts) {
             Ok(end) if end == history.layers => {
                 covered.insert((&token.request, token.index));
             }
@@ -45,8 +45,8 @@
     check_delivered(history, &covered, &lost, found);
 }
 
-/// Follows the parts of one token in the order of time; returns the last layer's end.
-fn run_through(token: &Token, parts: &[&Ran]) -> Result<u32, Violation> {
+/// Checks that the ranges of one token are contiguous in time order; returns the last layer's end.
+fn check_contiguous(token: &Token, parts: &[&Ran]) -> Result<u32, Violation> {
     let mut next = 0;
     for part in parts {
         if part.layers.start != next {
@@ -62,14 +62,14 @@
     Ok(next)
 }
 
-/// Requests that reached a runner which was killed: its last words are lost with it.
+/// Returns the requests that reached a killed runner, whose last log entries are lost.
 fn lost_requests(history: &History) -> BTreeSet<&Name> {
     let lost = history.arrived.iter();
     let lost = lost.filter(|a| history.killed_runners.contains(&a.upstream));
     lost.map(|a| &a.request).collect()
 }
 
-/// What is known of a token with gaps in its witness: no layer ran twice.
+/// Checks a token whose log may have gaps: only that no layer ran twice.
 fn check_disjoint(token: &Token, parts: &mut [&Ran], found: &mut Vec<Violation>) {
     parts.sort_by_key(|r| r.layers);
     for pair in parts.windows(2) {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Every token that a caller has ran whole in some attempt.
+/// Checks that every token delivered to a caller ran through all layers in some attempt.
 fn check_delivered(
     history: &History,
     covered: &BTreeSet<(&Name, u32)>,
--- a/testkit/src/history/leaving.rs
+++ b/testkit/src/history/leaving.rs
@@ -1,23 +1,24 @@
-//! An upstream that is leaving gets no new work after a few seconds.
+//! Checks that an upstream that is leaving gets no new work after the limit.
 //!
-//! The time runs from the word that anybody could hear. What only the platform's list says can't
-//! be heard while the platform answers nobody; the time then runs from its first answer.
+//! The limit runs from the time at which the leaving notice was first readable. A notice that only
+//! the platform's list carries is unreadable during a platform outage; the limit then runs from the
+//! end of the outage.
 
 use super::Limits;
 use super::record::{Arrived, History, Left};
 use super::violation::Violation;
 
-/// Lag of the stand-in's list and period of its readers: a word that is younger than this when
-/// the platform falls silent may have been read by nobody, in milliseconds.
-const LIST_READ_MS: u64 = 3_500;
+/// Lag of the simulated platform's list plus the poll interval of its readers, in milliseconds: a
+/// notice younger than this at the start of an outage may not have been read by any instance.
+const LIST_LAG_MS: u64 = 3_500;
 
 pub(super) fn check(history: &History, limits: &Limits, found: &mut Vec<Violation>) {
     for left in &history.left {
-        let heard_ms = heard_ms(history, left);
+        let readable_ms = readable_ms(history, left);
         let late = |a: &&Arrived| {
             a.first
                 && a.upstream == left.upstream
-                && heard_ms.is_some_and(|at| a.at_ms > at.saturating_add(limits.leaving_ms))
+                && readable_ms.is_some_and(|at| a.at_ms > at.saturating_add(limits.leaving_ms))
                 && left.until_ms.is_none_or(|until| a.at_ms < until)
         };
         for arrived in history.arrived.iter().filter(late) {
@@ -30,15 +31,16 @@
     }
 }
 
-/// Unix time at which the word could be heard, in milliseconds; `None`: it could not.
-fn heard_ms(history: &History, left: &Left) -> Option<u64> {
+/// Returns the Unix time from which the notice was readable, in milliseconds, or `None` if it never
+/// was.
+fn readable_ms(history: &History, left: &Left) -> Option<u64> {
     let mut at_ms = left.at_ms;
     if !left.by_list {
         return Some(at_ms);
     }
     for gap in &history.unreadable {
         let until_ms = gap.until_ms?;
-        if gap.from_ms <= at_ms.saturating_add(LIST_READ_MS) && at_ms < until_ms {
+        if gap.from_ms <= at_ms.saturating_add(LIST_LAG_MS) && at_ms < until_ms {
             at_ms = until_ms;
         }
     }
--- a/testkit/src/history/record.rs
+++ b/testkit/src/history/record.rs
@@ -1,4 +1,4 @@
-//! What a history is made of.
+//! Records that make up a history.
 
 use std::collections::BTreeSet;
 
@@ -10,72 +10,72 @@
 use crate::runner::execution_log::ExecutionLog;
 use crate::service::RanCall;
 
-/// A history of one run.
+/// History of one run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct History {
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: u32,
-    /// What callers sent and saw.
+    /// Submissions of callers, with what they received.
     pub submissions: Vec<Submission>,
-    /// What runners ran.
+    /// Layer ranges that runners executed.
     pub ran: Vec<Ran>,
-    /// Attempts that reached an upstream.
+    /// Attempts received by upstreams.
     pub arrived: Vec<Arrived>,
-    /// What plain services ran.
+    /// Calls that plain services ran.
     pub calls: Vec<RanCall>,
-    /// Upstreams that said that they leave.
+    /// Leaving notices of upstreams.
     pub left: Vec<Left>,
-    /// Times at which nobody could read the platform's list.
+    /// Outages of the platform's list.
     pub unreadable: Vec<Unreadable>,
-    /// Commits that operators were told of.
+    /// Commits that were acknowledged to operators.
     pub commits: Vec<CommitSeen>,
-    /// Revisions seen in force.
+    /// Revisions observed in force.
     pub in_force: Vec<InForceSeen>,
-    /// Instances that stood still.
+    /// Instances that were frozen and resumed.
     pub frozen: Vec<Frozen>,
     /// Graceful shutdowns.
     pub shutdowns: Vec<Shutdown>,
-    /// Runners that were killed: what they ran last may be missing.
+    /// Runners that were killed; their last executed ranges may be missing.
     pub killed_runners: BTreeSet<Name>,
 }
 
-/// One submission of a caller.
+/// Submission of a caller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Submission {
-    /// Number in the run.
+    /// Sequence number in the run.
     pub number: u64,
     /// Instance it was sent to.
     pub instance: Name,
     /// Unix time of sending, in milliseconds.
     pub sent_ms: u64,
-    /// Unix time of the end, in milliseconds.
+    /// Unix time of completion, in milliseconds.
     pub ended_ms: u64,
-    /// What was asked for.
+    /// Requested work.
     pub work: Work,
-    /// What the caller saw.
+    /// Response as the caller received it.
     pub seen: Seen,
 }
 
-/// What was asked for.
+/// Requested work.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Work {
-    /// A model's answer.
+    /// Model completion.
     Model {
-        /// The whole right answer.
+        /// The complete expected answer.
         expected: String,
     },
-    /// A call of a plain service.
+    /// Call of a plain service.
     Call {
-        /// Whether it may be repeated.
+        /// Whether the call may be repeated.
         idempotent: bool,
         /// Idempotency key.
         key: Option<String>,
-        /// Body, unlike that of every other key.
+        /// Body, unique for each key.
         body: String,
     },
 }
 
-/// One part of a token that ran.
+/// Layer range executed for one token.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ran {
     /// Request id.
@@ -92,7 +92,7 @@
     pub at_ms: u64,
 }
 
-/// An attempt that reached an upstream.
+/// Attempt received by an upstream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Arrived {
     /// Upstream.
@@ -101,87 +101,87 @@
     pub request: Name,
     /// Attempt number.
     pub attempt: u32,
-    /// Whether an instance sent it, and not a runner before it in the route.
+    /// Whether an instance sent it, rather than the previous runner of the route.
     pub first: bool,
     /// Unix time, in milliseconds.
     pub at_ms: u64,
 }
 
-/// An upstream said that it leaves.
+/// Notice that an upstream is leaving.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Left {
     /// Upstream.
     pub upstream: Name,
-    /// Unix time at which it said so, in milliseconds.
+    /// Unix time of the notice, in milliseconds.
     pub at_ms: u64,
-    /// Whether only the platform's list says so, and not the upstream itself.
+    /// Whether only the platform's list carries the notice, and not the upstream itself.
     pub by_list: bool,
-    /// Unix time at which its next incarnation started, in milliseconds.
+    /// Unix time at which the upstream's next incarnation started, in milliseconds.
     pub until_ms: Option<u64>,
 }
 
-/// The platform answered no reads.
+/// Period in which the platform answered no reads.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Unreadable {
-    /// Unix time of its beginning, in milliseconds.
+    /// Unix time of the start, in milliseconds.
     pub from_ms: u64,
-    /// Unix time of its end, in milliseconds; `None`: it lasts.
+    /// Unix time of the end, in milliseconds; `None` while it lasts.
     pub until_ms: Option<u64>,
 }
 
-/// A commit that an operator was told of.
+/// Commit that was acknowledged to an operator.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CommitSeen {
     /// Revision.
     pub revision: u64,
     /// Change id.
     pub change: Name,
-    /// Unix time of the answer, in milliseconds.
+    /// Unix time of the acknowledgement, in milliseconds.
     pub at_ms: u64,
 }
 
-/// An instance said which revision is in force there.
+/// Revision that an instance reported as in force.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct InForceSeen {
     /// Instance.
     pub instance: Name,
-    /// Its incarnation.
+    /// Incarnation of the instance.
     pub incarnation: u64,
-    /// Whether it serves callers.
+    /// Whether the instance serves callers.
     pub serving: bool,
     /// Revision.
     pub revision: u64,
-    /// Unix time of the question, in milliseconds.
+    /// Unix time of the query, in milliseconds.
     pub at_ms: u64,
 }
 
-/// An instance stood still.
+/// Instance that was frozen and resumed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Frozen {
     /// Instance.
     pub instance: Name,
-    /// Unix time of waking, in milliseconds.
+    /// Unix time at which it resumed, in milliseconds.
     pub woken_ms: u64,
 }
 
-/// A graceful shutdown.
+/// Graceful shutdown of an instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Shutdown {
     /// Instance.
     pub instance: Name,
     /// Unix time of the signal, in milliseconds.
     pub signal_ms: u64,
-    /// Unix time of its end, in milliseconds.
+    /// Unix time at which the process exited, in milliseconds.
     pub ended_ms: u64,
-    /// Exit code; `None`: it was killed meanwhile.
+    /// Exit code; `None` if the process was killed meanwhile.
     pub code: Option<i32>,
 }
 
 impl History {
-    /// Adds what a runner saw and did.
-    pub fn add_execution_log(&mut self, witness: ExecutionLog) {
-        let runner = witness.runner;
-        for r in witness.received {
+    /// Adds the attempts and executed ranges of a runner's log.
+    pub fn add_execution_log(&mut self, log: ExecutionLog) {
+        let runner = log.runner;
+        for r in log.received {
             self.arrived.push(Arrived {
                 upstream: runner.clone(),
                 request: r.request,
@@ -190,7 +190,7 @@
                 at_ms: r.at_ms,
             });
         }
-        for r in witness.ran {
+        for r in log.ran {
             self.ran.push(Ran {
                 request: r.request,
                 attempt: r.attempt,
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Number of events, for reports.
+    /// Returns the number of events, for reports.
     #[must_use]
     pub fn events(&self) -> usize {
         self.submissions.len()
--- a/testkit/src/history/violation.rs
+++ b/testkit/src/history/violation.rs
@@ -1,13 +1,13 @@
-//! What a check can find.
+//! Violations that the checks report.
 
 use derive_more::Display;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_wire::runner::LayerRange;
 
-/// One violation of a promise.
+/// Violation of a guarantee.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Violation {
-    /// Layers of one token ran twice in one attempt.
+    /// Layers of one token ran twice or out of order in one attempt.
     #[display("{request} attempt {attempt} token {index}: {layers} ran twice or out of order")]
     LayersOverlap {
         /// Request id.
@@ -19,7 +19,7 @@
         /// Layers.
         layers: LayerRange,
     },
-    /// No attempt ran all layers of a token that the caller has.
+    /// No attempt ran all layers of a token that the caller received.
     #[display("{request} token {index}: no attempt ran every layer once")]
     TokenNotCovered {
         /// Request id.
@@ -27,7 +27,7 @@
         /// Token index.
         index: u32,
     },
-    /// An answer told as whole is not the right one.
+    /// An answer reported as complete is not the expected one.
     #[display("submission {number} ({request}): answered with the wrong text")]
     WrongAnswer {
         /// Submission.
@@ -35,16 +35,16 @@
         /// Request id.
         request: Name,
     },
-    /// A part of an answer is not the beginning of the right one.
-    #[display("submission {number} ({request}): got a part of something else")]
+    /// A partial answer is not a prefix of the expected one.
+    #[display("submission {number} ({request}): received text of another answer")]
     ForeignPart {
         /// Submission.
         number: u64,
         /// Request id.
         request: Name,
     },
-    /// A request told as not run ran.
-    #[display("submission {number} ({request}): told not run, but it ran at {upstream}")]
+    /// A request reported as not run did run.
+    #[display("submission {number} ({request}): reported as not run, but ran on {upstream}")]
     RanThoughNotRun {
         /// Submission.
         number: u64,
@@ -56,36 +56,36 @@
     /// A non-idempotent call ran more than once.
     #[display("call {name}: ran {times} times")]
     RanTwice {
-        /// Key, or request id where the caller gave none.
+        /// Idempotency key, or the body if the caller gave none.
         name: String,
-        /// How often.
+        /// Number of runs.
         times: usize,
     },
-    /// Two submissions with one key got different answers.
+    /// Submissions with the same key got different answers.
     #[display("key {key}: submissions got different answers")]
     AnswersDiffer {
         /// Key.
         key: String,
     },
-    /// A call told as answered did not run.
-    #[display("submission {number}: told answered, but key {key} never ran")]
+    /// A call reported as answered did not run.
+    #[display("submission {number}: reported as answered, but key {key} never ran")]
     AnsweredButNeverRan {
         /// Submission.
         number: u64,
         /// Key.
         key: String,
     },
-    /// New work reached an upstream long after it said that it leaves.
-    #[display("{upstream}: {request} arrived {late_ms} ms after it said that it leaves")]
+    /// New work reached an upstream too long after its leaving notice.
+    #[display("{upstream}: {request} arrived {late_ms} ms after the leaving notice")]
     NewWorkAfterLeaving {
         /// Upstream.
         upstream: Name,
         /// Request id.
         request: Name,
-        /// How late, in milliseconds.
+        /// Time since the notice, in milliseconds.
         late_ms: u64,
     },
-    /// A graceful shutdown cut a request, or ended with another exit code than 0.
+    /// A graceful shutdown interrupted a request or did not exit with code 0.
     #[display("{instance}: graceful shutdown, but {what}")]
     CutByShutdown {
         /// Instance.
@@ -93,8 +93,8 @@
         /// What happened.
         what: String,
     },
-    /// The revision in force on an instance went back.
-    #[display("{instance}: revision went back from {from} to {to}")]
+    /// The revision in force on an instance decreased.
+    #[display("{instance}: revision decreased from {from} to {to}")]
     RevisionWentBack {
         /// Instance.
         instance: Name,
@@ -113,14 +113,14 @@
         /// Time since it was accepted, in milliseconds.
         late_ms: u64,
     },
-    /// Two changes were told the same revision.
-    #[display("revision {revision} was told to changes {one} and {other}")]
+    /// Two changes were acknowledged with the same revision.
+    #[display("revision {revision} was acknowledged for changes {one} and {other}")]
     RevisionTwice {
         /// Revision.
         revision: u64,
         /// One change id.
         one: Name,
-        /// The other.
+        /// The other change id.
         other: Name,
     },
 }
