--- a/testkit/src/campaign/faults.rs
+++ b/testkit/src/campaign/faults.rs
@@ -9,7 +9,7 @@
 use super::fault::{Fault, Sizes, draw};
 use super::recorder::Recorder;
 use crate::fleet::process::Process;
-use crate::history::record::{CommitSeen, Frozen, Left, Shutdown, Unreadable};
+use crate::history::record::{CommitSeen, Frozen, LeavingNotice, ListOutage, Shutdown};
 use crate::http::unix_ms;
 use crate::operator::{Applied, Operator};
 use crate::platform::fault::Fault as PlatformFault;
@@ -305,7 +305,7 @@
 fn platform_becomes(recorder: &Recorder, fault: Fault) {
     platform_is_readable(recorder);
     if matches!(fault, Fault::PlatformOut | Fault::PlatformHangs) {
-        let gap = Unreadable {
+        let gap = ListOutage {
             from_ms: unix_ms(),
             until_ms: None,
         };
@@ -384,7 +384,7 @@
         fleet.list_leaving(listing).await?;
     }
     let at_ms = unix_ms();
-    recorder.history().left.push(Left {
+    recorder.history().left.push(LeavingNotice {
         upstream,
         at_ms,
         by_list,
--- a/testkit/src/history/answers.rs
+++ b/testkit/src/history/answers.rs
@@ -19,7 +19,7 @@
         if s.seen.outcome == Some(Outcome::NotRun)
             && let Some(upstream) = ran.get(&request)
         {
-            found.push(Violation::RanThoughNotRun {
+            found.push(Violation::RanDespiteNotRun {
                 number: s.number,
                 request,
                 upstream: upstream.clone(),
@@ -54,7 +54,7 @@
             found.push(Violation::WrongAnswer { number, request });
         }
     } else if s.seen.status == Some(OK) && !expected.starts_with(&s.seen.text) {
-        found.push(Violation::ForeignPart { number, request });
+        found.push(Violation::MismatchedPrefix { number, request });
     }
 }
 
@@ -64,7 +64,7 @@
     let instance = shutdown.instance.clone();
     if shutdown.code != Some(0) {
         let what = format!("the exit code was {:?}", shutdown.code);
-        found.push(Violation::CutByShutdown {
+        found.push(Violation::InterruptedByShutdown {
             instance: instance.clone(),
             what,
         });
@@ -80,7 +80,7 @@
             "submission {} was interrupted: {:?}",
             s.number, s.seen.broken
         );
-        found.push(Violation::CutByShutdown {
+        found.push(Violation::InterruptedByShutdown {
             instance: instance.clone(),
             what,
         });
--- a/testkit/src/history/configuration.rs
+++ b/testkit/src/history/configuration.rs
@@ -16,7 +16,7 @@
             .entry((&seen.instance, seen.incarnation))
             .or_default();
         if seen.revision < *known {
-            found.push(Violation::RevisionWentBack {
+            found.push(Violation::RevisionDecreased {
                 instance: seen.instance.clone(),
                 from: *known,
                 to: seen.revision,
@@ -38,7 +38,7 @@
     for commit in &history.commits {
         match by_revision.get(&commit.revision) {
             Some(other) if other.change != commit.change => {
-                found.push(Violation::RevisionTwice {
+                found.push(Violation::DuplicateRevision {
                     revision: commit.revision,
                     one: other.change.clone(),
                     other: commit.change.clone(),
--- a/testkit/src/history/layers.rs
+++ b/testkit/src/history/layers.rs
@@ -4,7 +4,7 @@
 
 use jacinthweir_policy::prelude::*;
 
-use super::record::{History, Ran, Work};
+use super::record::{ExecutedRange, History, Work};
 use super::violation::Violation;
 
 /// One token of one attempt.
@@ -16,7 +16,7 @@
 }
 
 pub(super) fn check(history: &History, found: &mut Vec<Violation>) {
-    let mut parts = BTreeMap::<Token, Vec<&Ran>>::new();
+    let mut parts = BTreeMap::<Token, Vec<&ExecutedRange>>::new();
     for ran in &history.ran {
         let token = Token {
             request: ran.request.clone(),
@@ -46,7 +46,7 @@
 }
 
 /// Checks that the ranges of one token are contiguous in time order; returns the last layer's end.
-fn check_contiguous(token: &Token, parts: &[&Ran]) -> Result<u32, Violation> {
+fn check_contiguous(token: &Token, parts: &[&ExecutedRange]) -> Result<u32, Violation> {
     let mut next = 0;
     for part in parts {
         if part.layers.start != next {
@@ -70,7 +70,7 @@
 }
 
 /// Checks a token whose log may have gaps: only that no layer ran twice.
-fn check_disjoint(token: &Token, parts: &mut [&Ran], found: &mut Vec<Violation>) {
+fn check_disjoint(token: &Token, parts: &mut [&ExecutedRange], found: &mut Vec<Violation>) {
     parts.sort_by_key(|r| r.layers);
     for pair in parts.windows(2) {
         if pair[1].layers.start < pair[0].layers.end {
--- a/testkit/src/history/leaving.rs
+++ b/testkit/src/history/leaving.rs
@@ -5,7 +5,7 @@
 //! end of the outage.
 
 use super::Limits;
-use super::record::{Arrived, History, Left};
+use super::record::{History, LeavingNotice, ReceivedAttempt};
 use super::violation::Violation;
 
 /// Lag of the simulated platform's list plus the poll interval of its readers, in milliseconds: a
@@ -15,7 +15,7 @@
 pub(super) fn check(history: &History, limits: &Limits, found: &mut Vec<Violation>) {
     for left in &history.left {
         let readable_ms = readable_ms(history, left);
-        let late = |a: &&Arrived| {
+        let late = |a: &&ReceivedAttempt| {
             a.first
                 && a.upstream == left.upstream
                 && readable_ms.is_some_and(|at| a.at_ms > at.saturating_add(limits.leaving_ms))
@@ -33,7 +33,7 @@
 
 /// Returns the Unix time from which the notice was readable, in milliseconds, or `None` if it never
 /// was.
-fn readable_ms(history: &History, left: &Left) -> Option<u64> {
+fn readable_ms(history: &History, left: &LeavingNotice) -> Option<u64> {
     let mut at_ms = left.at_ms;
     if !left.by_list {
         return Some(at_ms);
--- a/testkit/src/history/record.rs
+++ b/testkit/src/history/record.rs
@@ -18,15 +18,15 @@
     /// Submissions of callers, with what they received.
     pub submissions: Vec<Submission>,
     /// Layer ranges that runners executed.
-    pub ran: Vec<Ran>,
+    pub ran: Vec<ExecutedRange>,
     /// Attempts received by upstreams.
-    pub arrived: Vec<Arrived>,
+    pub arrived: Vec<ReceivedAttempt>,
     /// Calls that plain services ran.
     pub calls: Vec<RanCall>,
     /// Leaving notices of upstreams.
-    pub left: Vec<Left>,
+    pub left: Vec<LeavingNotice>,
     /// Outages of the platform's list.
-    pub unreadable: Vec<Unreadable>,
+    pub unreadable: Vec<ListOutage>,
     /// Commits that were acknowledged to operators.
     pub commits: Vec<CommitSeen>,
     /// Revisions observed in force.
@@ -77,7 +77,7 @@
 
 /// Layer range executed for one token.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Ran {
+pub struct ExecutedRange {
     /// Request id.
     pub request: Name,
     /// Attempt number.
@@ -94,7 +94,7 @@
 
 /// Attempt received by an upstream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Arrived {
+pub struct ReceivedAttempt {
     /// Upstream.
     pub upstream: Name,
     /// Request id.
@@ -109,7 +109,7 @@
 
 /// Notice that an upstream is leaving.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Left {
+pub struct LeavingNotice {
     /// Upstream.
     pub upstream: Name,
     /// Unix time of the notice, in milliseconds.
@@ -122,7 +122,7 @@
 
 /// Period in which the platform answered no reads.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Unreadable {
+pub struct ListOutage {
     /// Unix time of the start, in milliseconds.
     pub from_ms: u64,
     /// Unix time of the end, in milliseconds; `None` while it lasts.
@@ -182,7 +182,7 @@
     pub fn add_execution_log(&mut self, log: ExecutionLog) {
         let runner = log.runner;
         for r in log.received {
-            self.arrived.push(Arrived {
+            self.arrived.push(ReceivedAttempt {
                 upstream: runner.clone(),
                 request: r.request,
                 attempt: r.attempt,
@@ -191,7 +191,7 @@
             });
         }
         for r in log.ran {
-            self.ran.push(Ran {
+            self.ran.push(ExecutedRange {
                 request: r.request,
                 attempt: r.attempt,
                 index: r.index,
--- a/testkit/src/history/violation.rs
+++ b/testkit/src/history/violation.rs
@@ -37,7 +37,7 @@
     },
     /// A partial answer is not a prefix of the expected one.
     #[display("submission {number} ({request}): received text of another answer")]
-    ForeignPart {
+    MismatchedPrefix {
         /// Submission.
         number: u64,
         /// Request id.
@@ -45,7 +45,7 @@
     },
     /// A request reported as not run did run.
     #[display("submission {number} ({request}): reported as not run, but ran on {upstream}")]
-    RanThoughNotRun {
+    RanDespiteNotRun {
         /// Submission.
         number: u64,
         /// Request id.
@@ -87,7 +87,7 @@
     },
     /// A graceful shutdown interrupted a request or did not exit with code 0.
     #[display("{instance}: graceful shutdown, but {what}")]
-    CutByShutdown {
+    InterruptedByShutdown {
         /// Instance.
         instance: Name,
         /// What happened.
@@ -95,7 +95,7 @@
     },
     /// The revision in force on an instance decreased.
     #[display("{instance}: revision decreased from {from} to {to}")]
-    RevisionWentBack {
+    RevisionDecreased {
         /// Instance.
         instance: Name,
         /// Earlier revision.
@@ -115,7 +115,7 @@
     },
     /// Two changes were acknowledged with the same revision.
     #[display("revision {revision} was acknowledged for changes {one} and {other}")]
-    RevisionTwice {
+    DuplicateRevision {
         /// Revision.
         revision: u64,
         /// One change id.
--- a/testkit/tests/history.rs
+++ b/testkit/tests/history.rs
@@ -11,8 +11,8 @@
 
 const LAYERS: u32 = 8;
 
-fn ran(request: &str, attempt: u32, index: u32, start: u32, end: u32, at_ms: u64) -> Ran {
-    Ran {
+fn ran(request: &str, attempt: u32, index: u32, start: u32, end: u32, at_ms: u64) -> ExecutedRange {
+    ExecutedRange {
         request: request.into(),
         attempt,
         index,
@@ -175,7 +175,7 @@
     history.submissions[0].seen = broken;
     expect_that!(
         found(&history),
-        contains(matches_pattern!(Violation::ForeignPart { .. }))
+        contains(matches_pattern!(Violation::MismatchedPrefix { .. }))
     );
     history.submissions[0].seen.text = "x".to_owned();
     expect_that!(found(&history), is_empty());
@@ -188,7 +188,7 @@
     history.submissions[1].seen = seen("a.2", Outcome::NotRun, "", 0);
     let violations = found(&history);
     let untrue = violations.iter();
-    let untrue = untrue.filter(|v| matches!(v, Violation::RanThoughNotRun { .. }));
+    let untrue = untrue.filter(|v| matches!(v, Violation::RanDespiteNotRun { .. }));
     expect_that!(untrue.count(), eq(2));
 }
 
@@ -221,8 +221,8 @@
     );
 }
 
-fn arrived(at_ms: u64) -> Arrived {
-    Arrived {
+fn arrived(at_ms: u64) -> ReceivedAttempt {
+    ReceivedAttempt {
         upstream: "runner-0".into(),
         request: "a.9".into(),
         attempt: 1,
@@ -234,7 +234,7 @@
 #[gtest]
 fn new_work_long_after_leaving_is_found() {
     let mut history = good();
-    history.left.push(Left {
+    history.left.push(LeavingNotice {
         upstream: "runner-0".into(),
         at_ms: 10_000,
         by_list: false,
@@ -258,13 +258,13 @@
 #[gtest]
 fn a_word_of_the_list_counts_from_when_it_could_be_read() {
     let mut history = good();
-    history.left.push(Left {
+    history.left.push(LeavingNotice {
         upstream: "runner-0".into(),
         at_ms: 10_000,
         by_list: true,
         until_ms: None,
     });
-    history.unreadable.push(Unreadable {
+    history.unreadable.push(ListOutage {
         from_ms: 9_000,
         until_ms: Some(20_000),
     });
@@ -287,7 +287,7 @@
     history.submissions[0].seen.broken = Some("connection reset".to_owned());
     expect_that!(
         found(&history),
-        contains(matches_pattern!(Violation::CutByShutdown { .. }))
+        contains(matches_pattern!(Violation::InterruptedByShutdown { .. }))
     );
     let mut history = good();
     history.shutdowns.push(Shutdown {
@@ -323,7 +323,7 @@
     history.in_force = vec![in_force(2, 100), in_force(3, 200), in_force(2, 300)];
     expect_that!(
         found(&history),
-        elements_are![matches_pattern!(Violation::RevisionWentBack {
+        elements_are![matches_pattern!(Violation::RevisionDecreased {
             from: &3,
             to: &2,
             ..
@@ -355,6 +355,6 @@
     history.commits = vec![commit(3, "c3", 1_000), commit(3, "other", 1_100)];
     expect_that!(
         found(&history),
-        elements_are![matches_pattern!(Violation::RevisionTwice { .. })]
+        elements_are![matches_pattern!(Violation::DuplicateRevision { .. })]
     );
 }
