--- a/testkit/tests/history.rs
+++ b/testkit/tests/history.rs
@@ -1,5 +1,5 @@
-//! Twin tests of the history checks: each rejects a history with its violation, and takes the
-//! same history without it. A check that can't fail proves nothing.
+//! Tests of the history checks: each check reports a history with its violation and accepts the
+//! same history without it, so that no check passes vacuously.
 
 use googletest::prelude::*;
 use jacinthweir_policy::layers::LayerRange;
@@ -75,8 +75,8 @@
     }
 }
 
-/// One answered request of two tokens over two stages, and one answered call.
-fn good() -> History {
+/// Returns a history of one answered request, two tokens over two stages, and one answered call.
+fn valid_history() -> History {
     let mut history = History {
         layers: LAYERS,
         ..History::default()
@@ -101,13 +101,13 @@
 }
 
 #[gtest]
-fn a_good_history_passes() {
-    expect_that!(found(&good()), is_empty());
+fn a_valid_history_passes() {
+    expect_that!(found(&valid_history()), is_empty());
 }
 
 #[gtest]
-fn layers_that_ran_twice_are_found() {
-    let mut history = good();
+fn layers_that_ran_twice_are_reported() {
+    let mut history = valid_history();
     history.ran.push(ran("a.1", 1, 1, 4, 8, 1_115));
     expect_that!(
         found(&history),
@@ -116,8 +116,8 @@
 }
 
 #[gtest]
-fn stages_out_of_order_are_found() {
-    let mut history = good();
+fn stages_out_of_order_are_reported() {
+    let mut history = valid_history();
     for r in &mut history.ran {
         r.at_ms = if r.layers.start == 0 { 1_300 } else { 1_200 };
     }
@@ -128,8 +128,8 @@
 }
 
 #[gtest]
-fn a_token_that_no_attempt_ran_whole_is_found() {
-    let mut history = good();
+fn a_token_that_no_attempt_ran_completely_is_reported() {
+    let mut history = valid_history();
     history
         .ran
         .retain(|r| !(r.index == 1 && r.layers.start == 4));
@@ -142,11 +142,11 @@
     );
 }
 
-// A stage dies in the middle of token 1; attempt 2 runs that token anew, whole. Allowed: within
-// an attempt each layer ran once, and the token that the caller has ran whole.
+// A stage dies during token 1, and attempt 2 runs that token again completely. This is valid:
+// within each attempt no layer ran twice, and one attempt ran all layers of the delivered token.
 #[gtest]
 fn a_resumed_token_is_allowed() {
-    let mut history = good();
+    let mut history = valid_history();
     history
         .ran
         .retain(|r| !(r.index == 1 && r.layers.start == 4));
@@ -156,9 +156,9 @@
 }
 
 #[gtest]
-fn a_wrong_or_truncated_answer_is_found() {
+fn a_wrong_or_truncated_answer_is_reported() {
     for text in ["x", "x z", ""] {
-        let mut history = good();
+        let mut history = valid_history();
         history.submissions[0].seen.text = text.to_owned();
         expect_that!(
             found(&history),
@@ -168,8 +168,8 @@
 }
 
 #[gtest]
-fn a_part_of_another_answer_is_found() {
-    let mut history = good();
+fn a_partial_answer_of_another_request_is_reported() {
+    let mut history = valid_history();
     let mut broken = seen("a.1", Outcome::Failed, "q", 1);
     broken.status = Some(200);
     history.submissions[0].seen = broken;
@@ -182,19 +182,19 @@
 }
 
 #[gtest]
-fn work_that_ran_though_told_not_run_is_found() {
-    let mut history = good();
+fn work_that_ran_despite_an_outcome_of_not_run_is_reported() {
+    let mut history = valid_history();
     history.submissions[0].seen = seen("a.1", Outcome::NotRun, "", 0);
     history.submissions[1].seen = seen("a.2", Outcome::NotRun, "", 0);
     let violations = found(&history);
-    let untrue = violations.iter();
-    let untrue = untrue.filter(|v| matches!(v, Violation::RanDespiteNotRun { .. }));
-    expect_that!(untrue.count(), eq(2));
+    let violated = violations.iter();
+    let violated = violated.filter(|v| matches!(v, Violation::RanDespiteNotRun { .. }));
+    expect_that!(violated.count(), eq(2));
 }
 
 #[gtest]
-fn a_call_that_ran_twice_is_found_once() {
-    let mut history = good();
+fn a_call_that_ran_twice_is_reported_once() {
+    let mut history = valid_history();
     history.calls.push(ran_call("b.7", "k1", 2));
     let again = seen("b.7", Outcome::Unknown, "", 0);
     history.submissions.push(submission(2, call("k1"), again));
@@ -205,15 +205,15 @@
 }
 
 #[gtest]
-fn answers_that_differ_or_come_from_nowhere_are_found() {
-    let mut history = good();
+fn answers_that_differ_or_come_from_no_run_are_reported() {
+    let mut history = valid_history();
     let other = seen("b.7", Outcome::Answered, "refused", 0);
     history.submissions.push(submission(2, call("k1"), other));
     expect_that!(
         found(&history),
         contains(matches_pattern!(Violation::AnswersDiffer { .. }))
     );
-    let mut history = good();
+    let mut history = valid_history();
     history.calls.clear();
     expect_that!(
         found(&history),
@@ -232,8 +232,8 @@
 }
 
 #[gtest]
-fn new_work_long_after_leaving_is_found() {
-    let mut history = good();
+fn new_work_long_after_leaving_is_reported() {
+    let mut history = valid_history();
     history.left.push(LeavingNotice {
         upstream: "runner-0".into(),
         at_ms: 10_000,
@@ -253,11 +253,11 @@
     );
 }
 
-// The list alone says that the runner leaves, and the platform is out: nobody can know before it
-// answers again at 20 s. Work at 24 s is in time, at 26 s it is not.
+// Only the platform's list carries the leaving notice, and the platform is unavailable until 20 s:
+// no instance can know before. Work at 24 s is within the limit, work at 26 s is not.
 #[gtest]
-fn a_word_of_the_list_counts_from_when_it_could_be_read() {
-    let mut history = good();
+fn a_leaving_notice_of_the_list_counts_from_when_it_was_readable() {
+    let mut history = valid_history();
     history.left.push(LeavingNotice {
         upstream: "runner-0".into(),
         at_ms: 10_000,
@@ -275,8 +275,8 @@
 }
 
 #[gtest]
-fn a_shutdown_that_cuts_is_found() {
-    let mut history = good();
+fn a_shutdown_that_interrupts_requests_is_reported() {
+    let mut history = valid_history();
     history.shutdowns.push(Shutdown {
         instance: "entry-0".into(),
         signal_ms: 1_500,
@@ -289,7 +289,7 @@
         found(&history),
         contains(matches_pattern!(Violation::InterruptedByShutdown { .. }))
     );
-    let mut history = good();
+    let mut history = valid_history();
     history.shutdowns.push(Shutdown {
         instance: "entry-0".into(),
         signal_ms: 3_000,
@@ -318,8 +318,8 @@
 }
 
 #[gtest]
-fn a_revision_that_goes_back_is_found() {
-    let mut history = good();
+fn a_revision_that_decreases_is_reported() {
+    let mut history = valid_history();
     history.in_force = vec![in_force(2, 100), in_force(3, 200), in_force(2, 300)];
     expect_that!(
         found(&history),
@@ -332,8 +332,8 @@
 }
 
 #[gtest]
-fn a_revision_not_in_force_in_time_is_found() {
-    let mut history = good();
+fn a_revision_not_in_force_in_time_is_reported() {
+    let mut history = valid_history();
     history.commits.push(commit(3, "c3", 1_000));
     history.in_force = vec![in_force(2, 13_000), in_force(3, 13_500)];
     expect_that!(found(&history), is_empty());
@@ -350,8 +350,8 @@
 }
 
 #[gtest]
-fn two_changes_with_one_revision_are_found() {
-    let mut history = good();
+fn two_changes_with_one_revision_are_reported() {
+    let mut history = valid_history();
     history.commits = vec![commit(3, "c3", 1_000), commit(3, "other", 1_100)];
     expect_that!(
         found(&history),
--- a/testkit/tests/runner.rs
+++ b/testkit/tests/runner.rs
@@ -1,4 +1,4 @@
-//! The stand-in runner: answers, places, cancels and faults of frames.
+//! Tests of the simulated runner: answers, slots, cancellation and frame faults.
 
 use googletest::prelude::*;
 use jacinthweir_testkit::runner::overrides::Overrides;
@@ -93,7 +93,7 @@
         answer.json().await.expect("a refusal")
     }
 
-    fn ran(&self) -> usize {
+    fn executed_tokens(&self) -> usize {
         self.runners
             .iter()
             .map(|r| r.execution_log().ran.len())
@@ -124,12 +124,12 @@
         }
     }
     let (tokens, _) = text::length(&req.prompt, 10);
-    expect_that!(chain.ran(), eq(tokens as usize * LAYERS.len()));
+    expect_that!(chain.executed_tokens(), eq(tokens as usize * LAYERS.len()));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_resumed_attempt_goes_on_after_the_tokens_that_the_caller_has() {
+async fn a_resumed_attempt_continues_after_the_delivered_tokens() {
     let chain = chain().await;
     let mut req = chain.request("q1", 2);
     req.resume = (0..4).map(|i| text::token(&req.prompt, i)).collect();
@@ -140,7 +140,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn an_attempt_runs_once_and_not_after_its_cancel() {
+async fn an_attempt_runs_once_and_not_after_cancellation() {
     let chain = chain().await;
     let req = chain.request("q1", 1);
     chain.frames(&req).await;
@@ -158,8 +158,8 @@
     chain.frames(&chain.request("q2", 4)).await;
 }
 
-// The caller sees a refusal that names the later stage. The first stage has taken its place when
-// the last one says that it is leaving (or is dead): no token may have run by then.
+// The caller gets a refusal that names the later stage. The first stage already holds its slot when
+// the last one refuses as leaving (or is dead); no token may have run by then.
 #[gtest]
 #[tokio::test]
 async fn a_refusal_by_a_later_stage_comes_before_anything_ran() {
@@ -175,14 +175,14 @@
     tokio::task::yield_now().await;
     let refused = chain.refused(&chain.request("q2", 1)).await;
     expect_that!(refused.runner.as_deref(), some(eq("r2")));
-    expect_that!(chain.ran(), eq(0));
+    expect_that!(chain.executed_tokens(), eq(0));
 }
 
-// The caller sees a few tokens and then a broken frame that names the lost stage: the last stage
+// The caller gets a few tokens and then a broken frame that names the lost stage: the last stage
 // dies after the first token was sent.
 #[gtest]
 #[tokio::test]
-async fn a_stage_that_dies_in_the_stream_breaks_the_attempt() {
+async fn a_stage_that_dies_during_the_stream_breaks_the_attempt() {
     let chain = chain().await;
     let mut req = chain.request("#len=100000 q1", 1);
     req.max_tokens = 100_000;
@@ -207,7 +207,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_full_queue_refuses_and_a_caller_that_leaves_gives_its_place_back() {
+async fn a_full_queue_refuses_and_a_disconnected_caller_releases_its_slot() {
     let chain = chain().await;
     let mut long = chain.request("#len=100000 q1", 1);
     long.max_tokens = 100_000;
@@ -224,7 +224,7 @@
         }
     };
     let third = async {
-        // The second has to be in the queue before: its own place shows in the load.
+        // The second must be in the queue first; the load shows when it is.
         while chain.runners[0].load().1 == 0 {
             tokio::task::yield_now().await;
         }
@@ -239,7 +239,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn faults_of_frames_strike_as_asked() {
+async fn requested_frame_faults_are_injected() {
     let chain = chain().await;
     let one = Some(1);
     chain.runners[0].set(&Overrides {
@@ -262,7 +262,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn an_old_fencing_number_is_refused_only_where_it_is_checked() {
+async fn a_stale_fencing_token_is_refused_only_if_checked() {
     for checks_fencing in [true, false] {
         let token = CancellationToken::new();
         let checking = RunnerCfg {
@@ -271,7 +271,7 @@
         };
         let runner = Runner::bind(checking, token).await.expect("binds");
         let url = format!("http://{}/v1/orders", runner.address);
-        let give = async |fencing, layers| {
+        let send_order = async |fencing, layers| {
             let wanted = Wanted::Hold(HeldLayers {
                 model: "m".into(),
                 layers,
@@ -280,11 +280,11 @@
             let sent = Client::new().post(&url).json(&order).send().await;
             sent.expect("the runner answers")
         };
-        expect_that!(give(7, LAYERS[1]).await.status().as_u16(), eq(200));
-        let old = give(6, LAYERS[2]).await;
+        expect_that!(send_order(7, LAYERS[1]).await.status().as_u16(), eq(200));
+        let old = send_order(6, LAYERS[2]).await;
         if checks_fencing {
             expect_that!(old.status().as_u16(), eq(409));
-            let fenced: Fenced = old.json().await.expect("the number seen");
+            let fenced: Fenced = old.json().await.expect("the newest token");
             expect_that!(fenced.fencing, eq(7));
         } else {
             expect_that!(old.status().as_u16(), eq(200));
@@ -304,13 +304,13 @@
 async fn cache_events_have_the_same_gaps_for_the_same_seed() {
     let numbers = async |seed| {
         let token = CancellationToken::new();
-        let gappy = RunnerCfg {
+        let lossy = RunnerCfg {
             cache_gap_percent: 50,
             cache_lag_ms: 0,
             seed,
             ..cfg(0)
         };
-        let runner = Runner::bind(gappy, token.clone()).await.expect("binds");
+        let runner = Runner::bind(lossy, token.clone()).await.expect("binds");
         let single = Chain {
             runners: vec![runner],
             tokens: vec![token],
