--- a/testkit/examples/measure_capacity.rs
+++ b/testkit/examples/measure_capacity.rs
@@ -1,5 +1,5 @@
-//! Slopes for docs/CAPACITY.md that no other measurement gives: configuration, admission and
-//! records by size, and what a live instance spends a request and a token.
+//! Measures the scaling factors of docs/CAPACITY.md that no other benchmark covers: configuration,
+//! admission and records by size, and the cost of a request and of a token on a live instance.
 //!
 //! `cargo run --release -p jacinthweir-testkit --example measure_capacity [-- --json FILE]`
 
@@ -23,33 +23,33 @@
 use std::sync::Arc;
 
 #[global_allocator]
-static ALLOCATOR: counting::Counting = counting::Counting;
+static ALLOCATOR: counting::CountingAllocator = counting::CountingAllocator;
 
-/// Organisations, four sizes and the target's.
+/// Numbers of organisations: four sizes, and the target size.
 const ORGANISATIONS: [usize; 5] = [10, 1_000, 5_000, 10_000, 19_000];
-/// Finished requests whose records are kept.
+/// Numbers of retained records of finished requests.
 const RECORDS: [usize; 4] = [1_000, 2_500, 5_000, 10_000];
-/// Streams at once on a live instance.
+/// Numbers of concurrent streams on a live instance.
 const STREAMS: [usize; 4] = [8, 32, 64, 128];
-/// Requests of each organisation size in the admission run.
-const OFFERS: u64 = 200_000;
-/// One-token requests at once.
-const SHORT_AT_ONCE: [usize; 4] = [1, 4, 8, 16];
-/// One-token requests of each row.
+/// Requests per number of organisations in the admission benchmark.
+const ADMISSION_REQUESTS: u64 = 200_000;
+/// Concurrency levels of one-token requests.
+const SHORT_CONCURRENCY: [usize; 4] = [1, 4, 8, 16];
+/// One-token requests per row.
 const SHORT_REQUESTS: usize = 2_000;
-/// Tokens of each stream.
+/// Tokens per stream.
 const STREAM_TOKENS: u32 = 100;
-/// Changes applied of each schema size.
-const APPLIES: usize = 4;
-/// Ticks of processor time in a second, as `/proc` counts them.
+/// Changes applied per schema size.
+const CHANGES_PER_SIZE: usize = 4;
+/// Clock ticks per second of the CPU times in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
-/// Bytes of a page, as `/proc` counts memory.
+/// Page size of the memory figures in `/proc`, in bytes.
 const PAGE_BYTES: f64 = 4096.0;
 
-/// Measure what an instance costs by size.
+/// Measure the resource cost of an instance by size.
 #[derive(FromArgs)]
 struct Args {
-    /// file for the results as JSON
+    /// output file for the results as JSON
     #[argh(option)]
     json: Option<std::path::PathBuf>,
 }
@@ -88,7 +88,7 @@
     bytes_each: f64,
 }
 
-/// Requests of one token each: what a request costs beside its tokens.
+/// Cost of one-token requests: the cost of a request apart from its tokens.
 #[derive(Debug, Serialize)]
 struct ShortRow {
     at_once: usize,
@@ -98,7 +98,7 @@
     requests_per_s_and_core: f64,
 }
 
-/// Memory of live instances after a schema of a size was put in force.
+/// Memory of live instances after a schema of the given size came into force.
 #[derive(Debug, Serialize)]
 struct InForceRow {
     organisations: usize,
@@ -123,9 +123,9 @@
         configuration: ORGANISATIONS.into_iter().map(configuration).collect(),
         admission: ORGANISATIONS.into_iter().map(admission).collect(),
         records: RECORDS.into_iter().map(records).collect(),
-        live: live().await?,
-        short: short().await?,
-        in_force: in_force().await?,
+        live: measure_streams().await?,
+        short: measure_short_requests().await?,
+        in_force: measure_in_force().await?,
     };
     results.configuration.iter().for_each(|r| println!("{r:?}"));
     results.admission.iter().for_each(|r| println!("{r:?}"));
@@ -186,7 +186,7 @@
     let pipeline = PipelineId::from_u32(0);
     admission.set_capacity(0, pipeline, 1e6, 100_000);
     let started = Instant::now();
-    for n in 0..OFFERS {
+    for n in 0..ADMISSION_REQUESTS {
         let slot = Slot(n);
         let ticket = Ticket {
             slot,
@@ -205,7 +205,7 @@
         };
         admission.release(n / 1_000, slot, measurement);
     }
-    let offer_and_release_ns = started.elapsed().as_secs_f64() * 1e9 / OFFERS as f64;
+    let offer_and_release_ns = started.elapsed().as_secs_f64() * 1e9 / ADMISSION_REQUESTS as f64;
     let bytes = counting::live_bytes().saturating_sub(before);
     AdmissionRow {
         organisations,
@@ -216,16 +216,16 @@
 
 fn records(count: usize) -> RecordsRow {
     let before = counting::live_bytes();
-    let kept: Vec<Journal> = (0..count).map(journal).collect();
+    let retained: Vec<Journal> = (0..count).map(journal).collect();
     let bytes = counting::live_bytes().saturating_sub(before);
-    drop(kept);
+    drop(retained);
     RecordsRow {
         records: count,
         bytes_each: bytes as f64 / count as f64,
     }
 }
 
-/// The journal of an ordinary answered request over four stages.
+/// Returns the journal of a typical answered request over four stages.
 fn journal(i: usize) -> Journal {
     let mut journal = Journal::open(
         format!("recife-1.{i:032x}").into(),
@@ -251,8 +251,8 @@
     journal
 }
 
-/// One instance before fast runners; streams at once, their tokens and what the instance spent.
-async fn live() -> eyre::Result<Vec<LiveRow>> {
+/// Runs concurrent streams on one instance with fast runners; measures tokens, CPU time and memory.
+async fn measure_streams() -> eyre::Result<Vec<LiveRow>> {
     let mut cfg = FleetCfg::small(Deployment::Associacao);
     cfg.instances = 1;
     cfg.speed = 20.0;
@@ -261,21 +261,21 @@
     tokio::time::sleep(Duration::from_secs(2)).await;
     let mut rows = Vec::new();
     for streams in STREAMS {
-        rows.push(live_row(&fleet, streams).await?);
+        rows.push(streams_row(&fleet, streams).await?);
     }
     fleet.stop().await?;
     Ok(rows)
 }
 
-/// One instance before fast runners; one-token requests, some at once.
-async fn short() -> eyre::Result<Vec<ShortRow>> {
+/// Runs concurrent one-token requests on one instance with fast runners.
+async fn measure_short_requests() -> eyre::Result<Vec<ShortRow>> {
     let mut cfg = FleetCfg::small(Deployment::Associacao);
     cfg.instances = 1;
     cfg.speed = 20.0;
     let fleet = Fleet::start(cfg).await?;
     fleet.apply().await?;
     let mut rows = Vec::new();
-    for at_once in SHORT_AT_ONCE {
+    for at_once in SHORT_CONCURRENCY {
         rows.push(short_row(&fleet, at_once).await?);
     }
     fleet.stop().await?;
@@ -309,7 +309,7 @@
     })
 }
 
-async fn live_row(fleet: &Fleet, streams: usize) -> eyre::Result<LiveRow> {
+async fn streams_row(fleet: &Fleet, streams: usize) -> eyre::Result<LiveRow> {
     let pid = fleet.instances[0].process.id().unwrap_or_default();
     let caller = fleet.caller(Deployment::Associacao.organisations()[0])?;
     let at = fleet.entries()[0];
@@ -344,8 +344,8 @@
     })
 }
 
-/// Two instances; a schema of each size is applied at the first, several times.
-async fn in_force() -> eyre::Result<Vec<InForceRow>> {
+/// Applies a schema of each size several times at the first of two instances.
+async fn measure_in_force() -> eyre::Result<Vec<InForceRow>> {
     let mut cfg = FleetCfg::small(Deployment::Associacao);
     cfg.instances = 2;
     cfg.runners = 0;
@@ -367,7 +367,7 @@
     ];
     let mut schema = schema(organisations);
     let mut revision = operators[0].schema().await?.revision;
-    for i in 0..APPLIES {
+    for i in 0..CHANGES_PER_SIZE {
         schema.organisations[0].weight = 100 + i as u32;
         let text = serde_json::to_string(&schema)?;
         let change = format!("size-{organisations}-{i}");
@@ -382,13 +382,13 @@
     let resident = |i: usize| resident_mb(fleet.instances[i].process.id().unwrap_or_default());
     Ok(InForceRow {
         organisations,
-        applies: APPLIES,
+        applies: CHANGES_PER_SIZE,
         applying_mb: resident(0)?,
         following_mb: resident(1)?,
     })
 }
 
-/// Processor time of a process, in seconds.
+/// Returns the CPU time of a process, in seconds.
 fn cpu_s(pid: u32) -> eyre::Result<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let fields = stat.rsplit(')').next().unwrap_or_default();
@@ -402,7 +402,7 @@
     Ok((ticks(11) + ticks(12)) / TICKS_PER_S)
 }
 
-/// Resident memory of a process, in megabytes.
+/// Returns the resident memory of a process, in megabytes.
 fn resident_mb(pid: u32) -> eyre::Result<f64> {
     let statm = std::fs::read_to_string(format!("/proc/{pid}/statm"))?;
     let pages = statm.split_whitespace().nth(1).unwrap_or("0");
--- a/testkit/examples/measure_decisions.rs
+++ b/testkit/examples/measure_decisions.rs
@@ -1,4 +1,4 @@
-//! Measures the cost of one pick, one report and one plan by size of the fleet.
+//! Measures the cost of a route pick, a load report and a plan by fleet size.
 
 use argh::FromArgs;
 use jacinthweir_policy::prelude::*;
@@ -12,28 +12,27 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Counts allocations.
 #[global_allocator]
-static ALLOCATOR: counting::Counting = counting::Counting;
+static ALLOCATOR: counting::CountingAllocator = counting::CountingAllocator;
 
-/// Measure the cost of decisions by size.
+/// Measure the cost of routing decisions by fleet size.
 #[derive(FromArgs)]
 struct Args {
-    /// seed of the fleets
+    /// seed of the generated fleets
     #[argh(option, default = "1")]
     seed: u64,
-    /// picks and reports timed at each size
+    /// number of picks and reports timed at each size
     #[argh(option, default = "200_000")]
     calls: u32,
-    /// plans timed at each size
+    /// number of plans timed at each size
     #[argh(option, default = "20")]
     plans: u32,
-    /// file for the rows as JSON
+    /// output file for the rows as JSON
     #[argh(option)]
     json: Option<String>,
 }
 
-/// Costs at one size.
+/// Costs at one fleet size.
 #[derive(Serialize)]
 struct Row {
     runners: usize,
@@ -55,7 +54,7 @@
 }
 
 const SIZES: [FleetSize; 6] = [
-    FleetSize::TODAY,
+    FleetSize::CURRENT,
     FleetSize {
         runners: 150,
         models: 3,
@@ -92,7 +91,7 @@
     let rows: Vec<Row> = SIZES.iter().map(|&size| measure(&args, size)).collect();
     println!(
         "| runners | models | chains | planned of bound | stages (domain changes) | pick ns (allocations) | with prefix ns | \
-         report ns (allocations) | all plans ms (most) | plans after one runner left ms (most) | router KiB |\n\
+         report ns (allocations) | all plans ms (max) | plans after one runner left ms (max) | router KiB |\n\
          |---|---|---|---|---|---|---|---|---|---|---|"
     );
     for r in &rows {
@@ -191,7 +190,7 @@
     black_box(router.pick(u64::from(i), &pick, rng)).expect("the fleet covers each model");
 }
 
-/// Tells the router of 64 prefixes, each in an eighth of the caches.
+/// Reports 64 prefixes to the router, each cached by an eighth of the runners.
 fn fill_caches(router: &mut Router, fleet: &Fleet) {
     for (i, seen) in fleet.runners.iter().enumerate() {
         let prefixes = (0..64_u64).filter(|prefix| (prefix + i as u64).is_multiple_of(8));
@@ -210,7 +209,7 @@
     }
 }
 
-/// Mean time of a call in nanoseconds, and mean number of allocations.
+/// Returns the mean time of a call in nanoseconds, and its mean number of allocations.
 fn time(calls: u32, mut call: impl FnMut(u32)) -> (f64, f64) {
     for i in 0..calls / 10 {
         call(i);
@@ -227,7 +226,7 @@
     )
 }
 
-/// Mean and greatest time of a plan, in milliseconds.
+/// Returns the mean and maximum time of a plan, in milliseconds.
 fn plan_times(plans: u32, mut make: impl FnMut(u32) -> Router) -> (f64, f64) {
     let mut times = Vec::new();
     for i in 0..plans {
--- a/testkit/examples/measure_routes.rs
+++ b/testkit/examples/measure_routes.rs
@@ -1,7 +1,8 @@
-//! Measures route policies against the bound: `--seeds N --instances 1,3,6 --load 0.5,0.95`.
+//! Measures route policies against the throughput bound, for example with
+//! `--seeds N --instances 1,3,6 --load 0.5,0.95`.
 
 use argh::FromArgs;
-use jacinthweir_testkit::bench::baseline::Choice;
+use jacinthweir_testkit::bench::baseline::RoutePolicy;
 use jacinthweir_testkit::bench::fleet::{Fleet, FleetSize};
 use jacinthweir_testkit::bench::route_run::{RunConfig, RunResult, run};
 use jacinthweir_testkit::bench::route_table::{Row, markdown, plot};
@@ -13,50 +14,50 @@
 /// Measure route policies by offered load and number of instances.
 #[derive(FromArgs)]
 struct Args {
-    /// number of seeds, from 1 on; each makes its own fleet and arrivals
+    /// number of seeds, starting at 1; each generates its own fleet and arrivals
     #[argh(option, default = "5")]
     seeds: u64,
-    /// entry instances, separated by commas
+    /// numbers of entry instances, separated by commas
     #[argh(option, default = "List(vec![1, 3, 6])")]
     instances: List<usize>,
-    /// offered load as shares of the bound, separated by commas
+    /// offered loads as fractions of the throughput bound, separated by commas
     #[argh(option, default = "List(vec![0.5, 0.9, 0.95, 1.2, 2.0])")]
     load: List<f64>,
-    /// policies, separated by commas: flow-N (N chains drawn), flow-N-unscaled, random,
+    /// policies, separated by commas: flow-N (N chains sampled), flow-N-unscaled, random,
     /// round-robin, least-loaded, least-wait
     #[argh(option, default = "default_policies()")]
-    policies: List<Choice>,
-    /// time simulated, in milliseconds
+    policies: List<RoutePolicy>,
+    /// simulated time, in milliseconds
     #[argh(option, default = "40_000")]
     run_ms: u64,
     /// interval of load reports, in milliseconds
     #[argh(option, default = "500")]
     report_ms: u64,
-    /// longest delay of a load report, in milliseconds
+    /// maximum delay of a load report, in milliseconds
     #[argh(option, default = "700")]
     delay_ms: u64,
-    /// limit in flight, as the time between tokens at which it gives the bound, in milliseconds;
-    /// the product plans with 36
+    /// limit of requests in flight, expressed as the inter-token gap at which it reaches the bound,
+    /// in milliseconds; the product plans with 36
     #[argh(option, default = "36.0")]
     window_ms: f64,
-    /// share of the runners that work at half the speed they report
+    /// fraction of the runners that work at half the speed that they report
     #[argh(option, default = "0.0")]
     slowed: f64,
-    /// make all links between domains equal, so that none is slow
+    /// make the slow links between domains as fast as the others
     #[argh(switch)]
     even_links: bool,
-    /// threads
+    /// number of threads
     #[argh(option, default = "4")]
     threads: usize,
-    /// file for the rows as JSON
+    /// output file for the rows as JSON
     #[argh(option)]
     json: Option<String>,
-    /// file for the plot as SVG
+    /// output file for the plot as SVG
     #[argh(option)]
     plot: Option<String>,
 }
 
-/// Values separated by commas.
+/// Comma-separated values.
 struct List<T>(Vec<T>);
 
 impl<T: FromStr<Err: std::fmt::Display>> FromStr for List<T> {
@@ -70,24 +71,24 @@
     }
 }
 
-fn default_policies() -> List<Choice> {
+fn default_policies() -> List<RoutePolicy> {
     List(vec![
-        Choice::Flow(jacinthweir_policy::route::RouterConfig::default().draws),
-        Choice::LeastWait,
-        Choice::LeastLoaded,
-        Choice::RoundRobin,
-        Choice::Random,
+        RoutePolicy::Flow(jacinthweir_policy::route::RouterConfig::default().draws),
+        RoutePolicy::LeastWait,
+        RoutePolicy::LeastLoaded,
+        RoutePolicy::RoundRobin,
+        RoutePolicy::Random,
     ])
 }
 
 fn main() -> eyre::Result<()> {
     let args: Args = argh::from_env();
     let mut configs = Vec::new();
-    for &choice in &args.policies.0 {
+    for &policy in &args.policies.0 {
         for &instances in &args.instances.0 {
             for &load in &args.load.0 {
                 configs.extend(
-                    (1..=args.seeds).map(|seed| config(&args, choice, instances, load, seed)),
+                    (1..=args.seeds).map(|seed| config(&args, policy, instances, load, seed)),
                 );
             }
         }
@@ -97,7 +98,7 @@
     let rows: Vec<Row> = configs
         .chunks(seeds)
         .zip(results.chunks(seeds))
-        .map(|(c, r)| Row::of(c[0].choice, c[0].instances, c[0].load, r))
+        .map(|(c, r)| Row::of(c[0].policy, c[0].instances, c[0].load, r))
         .collect();
     print!("{}", markdown(&rows));
     let events: u64 = results.iter().map(|r| r.events).sum();
@@ -111,9 +112,9 @@
     Ok(())
 }
 
-fn config(args: &Args, choice: Choice, instances: usize, load: f64, seed: u64) -> RunConfig {
+fn config(args: &Args, policy: RoutePolicy, instances: usize, load: f64, seed: u64) -> RunConfig {
     RunConfig {
-        choice,
+        policy,
         instances,
         load,
         seed,
@@ -136,9 +137,9 @@
                 return done;
             };
             let mut rng = ChaCha8Rng::seed_from_u64(cfg.seed);
-            let mut fleet = Fleet::generate(FleetSize::TODAY, &mut rng);
+            let mut fleet = Fleet::generate(FleetSize::CURRENT, &mut rng);
             if even_links {
-                fleet.even_links();
+                fleet.equalize_links();
             }
             done.push((i, run(&fleet, *cfg)));
         }
--- a/testkit/src/bench.rs
+++ b/testkit/src/bench.rs
@@ -1,7 +1,7 @@
-//! Measurements of the policy: small event-driven models around its public interface.
+//! Benchmarks of the routing policy: small discrete-event models around its public interface.
 //!
-//! These are queues with service times and late reports, enough to compare decisions with each
-//! other; they are not a simulation of a cluster.
+//! The models are queues with service times and delayed load reports, sufficient to compare
+//! policies with each other; they do not simulate a cluster.
 
 pub mod baseline;
 pub mod counting;
--- a/testkit/src/bench/baseline.rs
+++ b/testkit/src/bench/baseline.rs
@@ -1,40 +1,43 @@
-//! Policies to compare the router with. Each walks through the layers: from the first layer not
-//! yet covered it chooses among the open runners that hold it, and runs to the end of what that
-//! runner holds.
+//! Baseline policies to compare the router with. Each builds a route greedily: from the first layer
+//! not yet covered it chooses among the open runners that hold it, and covers the rest of the range
+//! that this runner holds.
 
 use jacinthweir_policy::layers::LayerRange;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::route::{Fleet, Route, RouteStage};
 use rand::{Rng, RngExt};
 
-/// How a request's runners are chosen.
+/// Policy that chooses the runners of a request.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Choice {
-    /// The router, drawing this many chains.
+pub enum RoutePolicy {
+    /// The router, sampling this many chains.
     #[display("flow-{_0}")]
     Flow(u32),
-    /// The router, without scaling own sends by the number of instances.
+    /// The router, without scaling its own dispatches by the number of instances.
     #[display("flow-{_0}-unscaled")]
     FlowUnscaled(u32),
-    /// Any holder.
+    /// A random holder.
     #[display("random")]
     Random,
-    /// Holders in turn.
+    /// Holders in rotation.
     #[display("round-robin")]
     RoundRobin,
-    /// The holder with the fewest requests as last reported.
+    /// The holder with the fewest requests in its last report.
     #[display("least-loaded")]
     LeastLoaded,
-    /// The holder with the fewest requests for its speed, corrected by own sends.
+    /// The holder with the fewest requests relative to its speed, including own dispatches.
     #[display("least-wait")]
     LeastWait,
 }
 
-impl std::str::FromStr for Choice {
+impl std::str::FromStr for RoutePolicy {
     type Err = String;
 
     fn from_str(s: &str) -> Result<Self, String> {
-        let draws = |n: &str| n.parse().map_err(|_| format!("no number of draws: {n}"));
+        let draws = |n: &str| {
+            n.parse()
+                .map_err(|_| format!("invalid number of draws: {n}"))
+        };
         match s {
             "random" => Ok(Self::Random),
             "round-robin" => Ok(Self::RoundRobin),
@@ -45,18 +48,19 @@
                     Ok(Self::FlowUnscaled(draws(n.trim_end_matches("-unscaled"))?))
                 }
                 Some(n) => Ok(Self::Flow(draws(n)?)),
-                None => Err(format!("no such policy: {s}")),
+                None => Err(format!("unknown policy: {s}")),
             },
         }
     }
 }
 
-/// Walks through the layers of a model by a baseline policy; `turn` counts for round robin.
+/// Builds a route through the layers of a model by a baseline policy; `turn` is the round-robin
+/// counter.
 ///
 /// # Panics
-/// Panics where a layer has no open holder, or the policy is the router.
-pub fn walk(
-    choice: Choice,
+/// Panics if a layer has no open holder, or if the policy is the router.
+pub fn baseline_route(
+    policy: RoutePolicy,
     fleet: &Fleet,
     model: ModelId,
     turn: &mut usize,
@@ -76,7 +80,7 @@
             })
             .collect();
         assert!(!holders.is_empty(), "no open holder of layer {next}");
-        let (id, end) = holders[choose(choice, fleet, &holders, turn, rng)];
+        let (id, end) = holders[choose_holder(policy, fleet, &holders, turn, rng)];
         let runner = &fleet.runners[id];
         stages.push(RouteStage {
             runner: id,
@@ -95,15 +99,15 @@
     }
 }
 
-fn choose(
-    choice: Choice,
+fn choose_holder(
+    policy: RoutePolicy,
     fleet: &Fleet,
     holders: &[(RunnerId, u32)],
     turn: &mut usize,
     rng: &mut impl Rng,
 ) -> usize {
     let mut least = |cost: &dyn Fn(RunnerId, f64) -> f64| {
-        // The random part only decides between equals.
+        // The random term breaks ties.
         let costs = holders.iter().map(|&(id, _)| cost(id, rng.random::<f64>()));
         let (i, _) = costs
             .enumerate()
@@ -111,17 +115,19 @@
             .expect("not empty");
         i
     };
-    match choice {
-        Choice::LeastLoaded => least(&|id, tie| f64::from(fleet.runners[id].reported) + tie),
-        Choice::LeastWait => least(&|id, tie| {
+    match policy {
+        RoutePolicy::LeastLoaded => least(&|id, tie| f64::from(fleet.runners[id].reported) + tie),
+        RoutePolicy::LeastWait => least(&|id, tie| {
             let runner = &fleet.runners[id];
             (runner.load(1.0) + tie) / runner.speed
         }),
-        Choice::Random => rng.random_range(0..holders.len()),
-        Choice::RoundRobin => {
+        RoutePolicy::Random => rng.random_range(0..holders.len()),
+        RoutePolicy::RoundRobin => {
             *turn += 1;
             *turn % holders.len()
         }
-        Choice::Flow(_) | Choice::FlowUnscaled(_) => panic!("the router is no baseline"),
+        RoutePolicy::Flow(_) | RoutePolicy::FlowUnscaled(_) => {
+            panic!("the router is not a baseline policy")
+        }
     }
 }
--- a/testkit/src/bench/counting.rs
+++ b/testkit/src/bench/counting.rs
@@ -1,4 +1,4 @@
-//! A global allocator that counts, for measurements of memory and allocations.
+//! Global allocator that counts allocations and live bytes, for benchmarks.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,13 +6,13 @@
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
 static LIVE_BYTES: AtomicU64 = AtomicU64::new(0);
 
-/// Passes every call on to the system's allocator, and counts.
-pub struct Counting;
+/// Forwards every call to the system allocator and counts allocations and live bytes.
+pub struct CountingAllocator;
 
-// The global allocator can only be replaced through this unsafe trait; all calls are passed on
+// The global allocator can only be replaced through this unsafe trait; all calls are forwarded
 // unchanged.
 #[allow(unsafe_code)]
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATIONS.fetch_add(1, Ordering::Relaxed);
         LIVE_BYTES.fetch_add(layout.size() as u64, Ordering::Relaxed);
@@ -25,13 +25,13 @@
     }
 }
 
-/// Bytes allocated and not freed.
+/// Returns the number of bytes allocated and not freed.
 #[must_use]
 pub fn live_bytes() -> u64 {
     LIVE_BYTES.load(Ordering::Relaxed)
 }
 
-/// Allocations since the start.
+/// Returns the number of allocations since the process started.
 #[must_use]
 pub fn allocations() -> u64 {
     ALLOCATIONS.load(Ordering::Relaxed)
--- a/testkit/src/bench/fleet.rs
+++ b/testkit/src/bench/fleet.rs
@@ -1,8 +1,9 @@
-//! Made-up fleets of model runners, by seed.
+//! Synthetic fleets of model runners, generated from a seed.
 //!
-//! Runners are of several accelerator kinds that differ in speed and memory; each holds a range of
-//! layers of one model, ranges overlap in part, and every layer has holders. The links between
-//! domains differ: the pair of the first two domains is a hundred times slower than the rest.
+//! Runners have several accelerator kinds that differ in speed and memory; each holds a range of
+//! layers of one model, ranges overlap partially, and every layer has holders. The links between
+//! domains differ: the first two domains are linked with a hundredth of the bandwidth and ten times
+//! the latency of the others.
 
 use jacinthweir_policy::layers::LayerRange;
 use jacinthweir_policy::prelude::*;
@@ -13,9 +14,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Kind {
     name: &'static str,
-    /// Against the reference kind, in percent.
+    /// Speed relative to the reference kind, in percent.
     speed_percent: u32,
-    /// Layers that fit, in percent of the model's.
+    /// Layers that fit in memory, in percent of the model's layers.
     layers_percent: u32,
 }
 
@@ -62,39 +63,39 @@
     },
 ];
 
-/// Token-layers a second of the reference kind.
+/// Throughput of the reference kind, in token-layers per second.
 const REFERENCE_SPEED: f64 = 40_000.0;
 /// Size of one token's activations, in bytes.
 const ACTIVATION_BYTES: u64 = 16_384;
 
-/// Latency in microseconds and bytes a second of the faster links between domains.
-const FAST: (u64, f64) = (300, 1.25e9);
+/// Latency in microseconds and bandwidth in bytes per second of a fast link between domains.
+const FAST_LINK: (u64, f64) = (300, 1.25e9);
 
 /// Size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
-    /// Model runners.
+    /// Number of model runners.
     pub runners: usize,
-    /// Models; runners are dealt out to them in turn.
+    /// Number of models; runners are assigned to them in rotation.
     pub models: usize,
-    /// Failure domains.
+    /// Number of failure domains.
     pub domains: usize,
-    /// Accelerator kinds, 8 at most.
+    /// Number of accelerator kinds, at most 8.
     pub kinds: usize,
-    /// Layers of each model.
+    /// Number of layers of each model.
     pub layers: u32,
 }
 
 impl FleetSize {
-    /// Today's size of one deployment.
-    pub const TODAY: Self = Self {
+    /// Current size of one deployment.
+    pub const CURRENT: Self = Self {
         runners: 40,
         models: 1,
         domains: 3,
         kinds: 4,
         layers: 48,
     };
-    /// The size of the target.
+    /// Target size.
     pub const TARGET: Self = Self {
         runners: 1_200,
         models: 18,
@@ -104,7 +105,7 @@
     };
 }
 
-/// A fleet.
+/// Synthetic fleet.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     /// Models.
@@ -116,7 +117,7 @@
 }
 
 impl Fleet {
-    /// Makes a fleet.
+    /// Generates a fleet.
     pub fn generate(size: FleetSize, rng: &mut impl Rng) -> Self {
         let model = |i| ModelSpec {
             name: format!("model{i}").into(),
@@ -125,12 +126,12 @@
             activation_bytes: ACTIVATION_BYTES,
         };
         let models: Vec<ModelSpec> = (0..size.models).map(model).collect();
-        let mut reach = vec![0; size.models];
+        let mut covered_to = vec![0; size.models];
         let mut runners = Vec::new();
         for i in 0..size.runners {
             let kind = KINDS[rng.random_range(0..size.kinds)];
             let model = i % size.models;
-            let layers = next_range(kind, size.layers, &mut reach[model], rng);
+            let layers = next_range(kind, size.layers, &mut covered_to[model], rng);
             let domain = rng.random_range(0..size.domains);
             let held = HeldRange {
                 model: models[model].name.clone(),
@@ -145,28 +146,30 @@
         }
     }
 
-    /// Makes all links between domains as the faster ones.
-    pub fn even_links(&mut self) {
+    /// Makes all slow links between domains as fast as the others.
+    pub fn equalize_links(&mut self) {
         for link in &mut self.links {
-            if link.latency_us > FAST.0 {
-                (link.latency_us, link.bytes_per_s) = FAST;
+            if link.latency_us > FAST_LINK.0 {
+                (link.latency_us, link.bytes_per_s) = FAST_LINK;
             }
         }
     }
 }
 
-/// Ranges go round the model, each from where the one before it ended, moved back by a random
-/// overlap; so each layer has about as many holders as any other.
-fn next_range(kind: Kind, layers: u32, reach: &mut u32, rng: &mut impl Rng) -> LayerRange {
+/// Returns the next range of a model.
+///
+/// Ranges cycle through the model: each starts where the previous one ended, moved back by a random
+/// overlap, so all layers have about the same number of holders.
+fn next_range(kind: Kind, layers: u32, covered_to: &mut u32, rng: &mut impl Rng) -> LayerRange {
     let count = (layers * kind.layers_percent / 100).max(1);
-    let back = rng.random_range(0..=count / 3);
-    let start = if *reach >= layers {
+    let overlap = rng.random_range(0..=count / 3);
+    let start = if *covered_to >= layers {
         0
     } else {
-        reach.saturating_sub(back)
+        covered_to.saturating_sub(overlap)
     };
     let end = (start + count).min(layers);
-    *reach = end;
+    *covered_to = end;
     LayerRange::new(start, end)
 }
 
@@ -198,7 +201,7 @@
             let (latency_us, bytes_per_s) = match (a, b) {
                 (a, b) if a == b => (100, 1.25e9),
                 (0, 1) => (3_000, 1.25e7),
-                _ => FAST,
+                _ => FAST_LINK,
             };
             let ends = LinkEnds::Domains(domain_name(a), domain_name(b));
             links.push(LinkObservation {
--- a/testkit/src/bench/route_run.rs
+++ b/testkit/src/bench/route_run.rs
@@ -1,13 +1,13 @@
-//! One run of a route policy against queues.
+//! Discrete-event model of one run of a route policy against queues.
 //!
-//! Each runner serves its queue one piece of work after the other, at its speed in token-layers a
-//! second; each link between two domains serves in the same way. A request prefills through its
-//! route and then generates one token after another, each through the whole route. Runners report
-//! their number of requests at intervals, and the reports come late. Requests arrive in an open
-//! loop at a share of the bound; each instance refuses what is over its part of a fixed limit in
-//! flight, so that delays stay finite above the bound.
+//! Each runner serves its queue sequentially, at its speed in token-layers per second; each link
+//! between two domains is a queue of the same kind. A request is prefilled through its
+//! route and then generates its tokens sequentially, each through the whole route. Runners report
+//! their number of requests periodically, and the reports are delayed. Requests arrive in an open
+//! loop at a fraction of the throughput bound; each instance refuses requests beyond its share of a
+//! fixed limit of requests in flight, so that delays stay finite above the bound.
 
-use super::baseline::{self, Choice};
+use super::baseline::{self, RoutePolicy};
 use super::fleet::Fleet;
 use hdrhistogram::Histogram;
 use jacinthweir_policy::prelude::*;
@@ -17,96 +17,96 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// Work of a prompt token against a generated one.
+/// Cost of a prompt token relative to a generated one.
 pub const PREFILL_WEIGHT: f64 = 0.1;
 const NANOS_PER_S: f64 = 1e9;
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// What is run.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct RunConfig {
-    /// Policy.
-    pub choice: Choice,
-    /// Entry instances.
+    /// Route policy.
+    pub policy: RoutePolicy,
+    /// Number of entry instances.
     pub instances: usize,
-    /// Offered load as a share of the bound.
+    /// Offered load as a fraction of the throughput bound.
     pub load: f64,
-    /// Seed of arrivals, sizes and choices.
+    /// Seed of arrivals, request sizes and choices.
     pub seed: u64,
-    /// Time simulated, in milliseconds.
+    /// Simulated time, in milliseconds.
     pub run_ms: u64,
-    /// Part of it at the start that is not measured, in milliseconds.
+    /// Warm-up at the start that is not measured, in milliseconds.
     pub warmup_ms: u64,
     /// Interval of load reports, in milliseconds.
     pub report_every_ms: u64,
-    /// Longest delay of a report, in milliseconds; the shortest is a quarter of it.
+    /// Maximum delay of a report, in milliseconds; the minimum is a quarter of it.
     pub report_delay_ms: u64,
-    /// Requests in flight over all instances, as the time between tokens at which that many
-    /// give the bound, in milliseconds.
+    /// Limit of requests in flight over all instances, expressed as the inter-token gap at which
+    /// that many requests reach the bound, in milliseconds.
     pub window_ms: f64,
-    /// Share of the runners that work at half the speed they report.
+    /// Fraction of the runners that work at half the speed that they report.
     pub slowed: f64,
 }
 
-/// What came out of it.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct RunResult {
-    /// Work done as a share of the bound.
-    pub held: f64,
-    /// Work offered as a share of the bound, as it came out.
+    /// Work done as a fraction of the bound.
+    pub throughput: f64,
+    /// Work actually offered as a fraction of the bound.
     pub offered: f64,
-    /// Requests refused as a share of those offered.
+    /// Fraction of the offered requests that were refused.
     pub refused: f64,
-    /// Time to the first token, in microseconds.
+    /// Time-to-first-token, in microseconds.
     pub first_us: Histogram<u64>,
-    /// Time between tokens, in microseconds.
-    pub between_us: Histogram<u64>,
-    /// Events simulated.
+    /// Inter-token gap, in microseconds.
+    pub inter_token_us: Histogram<u64>,
+    /// Number of simulated events.
     pub events: u64,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive,
-    /// A server finished its first piece of work.
+    /// A server finished the work at the head of its queue.
     Served(u32),
-    /// A piece of work arrives at the next server of its request.
-    Reach(u32),
-    /// Runners take their figures.
-    Figures,
-    /// Figures come to an instance.
+    /// A request arrives at the next server of its path.
+    Enqueue(u32),
+    /// All runners sample their load.
+    SampleLoad,
+    /// A load report reaches an instance.
     Report {
         instance: u32,
         runner: u32,
-        figures: u32,
+        requests: u32,
         taken_ms: u64,
     },
 }
 
 struct Server {
-    /// Requests with work here.
+    /// Requests waiting for or in service here.
     queue: VecDeque<u32>,
 }
 
-/// A request in flight.
-struct Flight {
+/// Request in flight.
+struct InFlight {
     instance: u32,
     route: Route,
-    /// Servers on the way: runners and links in turn, with the time one token takes, in ns.
+    /// Servers of the path, runners and links alternating, with the service time per token, in ns.
     path: Vec<(u32, f64)>,
-    /// Latency before each, in ns.
+    /// Latency before each server, in ns.
     delay: Vec<u64>,
-    at: usize,
-    /// Tokens still to generate; the prefill comes first.
-    left: u32,
-    /// Token-equivalents of the present pass.
+    position: usize,
+    /// Tokens still to generate, after the prefill.
+    tokens_left: u32,
+    /// Cost of the current pass, in token equivalents.
     pass: f64,
     arrived: u64,
     last_token: u64,
     prefilled: bool,
 }
 
-/// A run in progress.
+/// State of a run.
 struct Run<'a> {
     cfg: RunConfig,
     fleet: &'a Fleet,
@@ -114,15 +114,15 @@
     seq: u64,
     heap: BinaryHeap<Reverse<(u64, u64, Event)>>,
     servers: Vec<Server>,
-    flights: Vec<Option<Flight>>,
-    free: Vec<u32>,
+    flights: Vec<Option<InFlight>>,
+    free_slots: Vec<u32>,
     routers: Vec<Router>,
     turns: Vec<usize>,
-    own: Vec<usize>,
+    in_flight: Vec<usize>,
     limit: usize,
-    on_runner: Vec<u32>,
+    runner_requests: Vec<u32>,
     rng: ChaCha8Rng,
-    gap_ns: f64,
+    interarrival_ns: f64,
     bound: f64,
     work: f64,
     offered_work: f64,
@@ -131,16 +131,16 @@
     out: RunResult,
 }
 
-/// Tokens of a prompt, drawn evenly from 16 to 240.
+/// Mean prompt length, in tokens; lengths are uniform from 16 to 240.
 const MEAN_PROMPT: f64 = 128.0;
 /// Mean number of generated tokens.
 const MEAN_TOKENS: f64 = 64.0;
 
-/// Runs the model of a fleet's first model.
+/// Simulates requests for the fleet's first model.
 pub fn run(fleet: &Fleet, cfg: RunConfig) -> RunResult {
     let mut run = Run::new(fleet, cfg);
     run.schedule(0, Event::Arrive);
-    run.schedule(cfg.report_every_ms * NANOS_PER_MS, Event::Figures);
+    run.schedule(cfg.report_every_ms * NANOS_PER_MS, Event::SampleLoad);
     let end = cfg.run_ms * NANOS_PER_MS;
     while let Some(Reverse((at, _, event))) = run.heap.pop() {
         if at >= end {
@@ -151,13 +151,13 @@
         run.step(event);
     }
     let measured_s = (cfg.run_ms - cfg.warmup_ms) as f64 / 1e3;
-    run.out.held = run.work / measured_s / run.bound;
+    run.out.throughput = run.work / measured_s / run.bound;
     run.out.offered = run.offered_work / measured_s / run.bound;
     run.out.refused = run.refused as f64 / run.offered.max(1) as f64;
     run.out
 }
 
-/// A router that knows the fleet.
+/// Returns a router that has observed the fleet and computed its plans.
 pub fn router(fleet: &Fleet, cfg: RouterConfig) -> Router {
     let mut router = Router::new(cfg);
     router.set_models(&fleet.models);
@@ -179,9 +179,9 @@
             instances: cfg.instances as u32,
             ..Default::default()
         };
-        match cfg.choice {
-            Choice::Flow(draws) => config.draws = draws,
-            Choice::FlowUnscaled(draws) => {
+        match cfg.policy {
+            RoutePolicy::Flow(draws) => config.draws = draws,
+            RoutePolicy::FlowUnscaled(draws) => {
                 config.draws = draws;
                 config.instances = 1;
             }
@@ -205,25 +205,25 @@
                 })
                 .collect(),
             flights: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             routers: vec![first; cfg.instances],
             turns: vec![0; cfg.instances],
-            own: vec![0; cfg.instances],
+            in_flight: vec![0; cfg.instances],
             limit: (bound * cfg.window_ms / 1e3 / cfg.instances as f64).ceil() as usize,
-            on_runner: vec![0; fleet.runners.len()],
+            runner_requests: vec![0; fleet.runners.len()],
             rng: ChaCha8Rng::seed_from_u64(cfg.seed),
-            gap_ns: work / (bound * cfg.load) * NANOS_PER_S,
+            interarrival_ns: work / (bound * cfg.load) * NANOS_PER_S,
             bound,
             work: 0.0,
             offered_work: 0.0,
             offered: 0,
             refused: 0,
             out: RunResult {
-                held: 0.0,
+                throughput: 0.0,
                 offered: 0.0,
                 refused: 0.0,
                 first_us: histogram(),
-                between_us: histogram(),
+                inter_token_us: histogram(),
                 events: 0,
             },
         }
@@ -246,15 +246,15 @@
         match event {
             Event::Arrive => self.arrive(),
             Event::Served(server) => self.served(server),
-            Event::Reach(flight) => self.reach(flight),
-            Event::Figures => self.figures(),
+            Event::Enqueue(flight) => self.enqueue(flight),
+            Event::SampleLoad => self.sample_load(),
             Event::Report {
                 instance,
                 runner,
-                figures,
+                requests,
                 taken_ms,
             } => {
-                self.report(instance as usize, runner as usize, figures, taken_ms);
+                self.report(instance as usize, runner as usize, requests, taken_ms);
             }
         }
     }
@@ -264,7 +264,7 @@
     }
 
     fn arrive(&mut self) {
-        let gap = self.exponential(self.gap_ns) as u64;
+        let gap = self.exponential(self.interarrival_ns) as u64;
         self.schedule(gap, Event::Arrive);
         let instance = self.rng.random_range(0..self.cfg.instances);
         let prompt = f64::from(self.rng.random_range(16..=240_u32));
@@ -273,21 +273,21 @@
             self.offered += 1;
             self.offered_work += prompt * PREFILL_WEIGHT + f64::from(tokens);
         }
-        if self.own[instance] >= self.limit {
+        if self.in_flight[instance] >= self.limit {
             self.refused += u64::from(self.measured());
             return;
         }
-        let route = self.choose(instance, prompt as u32, tokens);
+        let route = self.choose_route(instance, prompt as u32, tokens);
         let now_ms = self.now_ms();
         self.routers[instance].record_sent(now_ms, &route);
-        self.own[instance] += 1;
+        self.in_flight[instance] += 1;
         self.start(instance, route, prompt, tokens);
     }
 
-    fn choose(&mut self, instance: usize, prompt_tokens: u32, max_tokens: u32) -> Route {
+    fn choose_route(&mut self, instance: usize, prompt_tokens: u32, max_tokens: u32) -> Route {
         let model = ModelId::from_u32(0);
         let router = &self.routers[instance];
-        if let Choice::Flow(_) | Choice::FlowUnscaled(_) = self.cfg.choice {
+        if let RoutePolicy::Flow(_) | RoutePolicy::FlowUnscaled(_) = self.cfg.policy {
             let pick = RouteRequest {
                 model,
                 prefix_hash: None,
@@ -299,27 +299,27 @@
             return route.expect("the fleet covers the model");
         }
         let turn = &mut self.turns[instance];
-        baseline::walk(self.cfg.choice, router.fleet(), model, turn, &mut self.rng)
+        baseline::baseline_route(self.cfg.policy, router.fleet(), model, turn, &mut self.rng)
     }
 
     fn start(&mut self, instance: usize, route: Route, prompt: f64, tokens: u32) {
         let (path, delay) = self.path(&route);
         for stage in &route.stages {
-            self.on_runner[stage.runner.as_u32() as usize] += 1;
+            self.runner_requests[stage.runner.as_u32() as usize] += 1;
         }
-        let flight = Flight {
+        let flight = InFlight {
             instance: instance as u32,
             route,
             path,
             delay,
-            at: 0,
-            left: tokens,
+            position: 0,
+            tokens_left: tokens,
             pass: prompt * PREFILL_WEIGHT,
             arrived: self.now,
             last_token: 0,
             prefilled: false,
         };
-        let slot = match self.free.pop() {
+        let slot = match self.free_slots.pop() {
             Some(slot) => {
                 self.flights[slot as usize] = Some(flight);
                 slot
@@ -329,10 +329,10 @@
                 (self.flights.len() - 1) as u32
             }
         };
-        self.schedule(0, Event::Reach(slot));
+        self.schedule(0, Event::Enqueue(slot));
     }
 
-    /// Servers on a route's way, and the latency before each.
+    /// Returns the servers on a route's path, and the latency before each.
     fn path(&self, route: &Route) -> (Vec<(u32, f64)>, Vec<u64>) {
         let router = &self.routers[0];
         let fleet = router.fleet();
@@ -360,10 +360,10 @@
         (path, delay)
     }
 
-    /// A request's work comes to the server it is at.
-    fn reach(&mut self, slot: u32) {
+    /// Enqueues a request at its current server.
+    fn enqueue(&mut self, slot: u32) {
         let flight = self.flights[slot as usize].as_ref().expect("in flight");
-        let (server, _) = flight.path[flight.at];
+        let (server, _) = flight.path[flight.position];
         let queue = &mut self.servers[server as usize].queue;
         queue.push_back(slot);
         if queue.len() == 1 {
@@ -371,11 +371,11 @@
         }
     }
 
-    /// Starts on the first piece of work of a server.
+    /// Starts service of the request at the head of a server's queue.
     fn serve(&mut self, server: u32) {
         let slot = self.servers[server as usize].queue[0];
         let flight = self.flights[slot as usize].as_ref().expect("in flight");
-        let (_, mut token_ns) = flight.path[flight.at];
+        let (_, mut token_ns) = flight.path[flight.position];
         if (f64::from(server) / self.fleet.runners.len() as f64) < self.cfg.slowed {
             token_ns *= 2.0;
         }
@@ -390,40 +390,40 @@
             self.serve(server);
         }
         let flight = self.flights[slot as usize].as_mut().expect("in flight");
-        flight.at += 1;
-        if flight.at < flight.path.len() {
-            let delay = flight.delay[flight.at];
-            self.schedule(delay, Event::Reach(slot));
+        flight.position += 1;
+        if flight.position < flight.path.len() {
+            let delay = flight.delay[flight.position];
+            self.schedule(delay, Event::Enqueue(slot));
         } else {
-            self.passed(slot);
+            self.complete_pass(slot);
         }
     }
 
-    /// A pass through the whole route is over: the prefill, or one token.
-    fn passed(&mut self, slot: u32) {
+    /// Completes a pass through the whole route: the prefill, or one token.
+    fn complete_pass(&mut self, slot: u32) {
         let (now, measured) = (self.now, self.measured());
         let flight = self.flights[slot as usize].as_mut().expect("in flight");
         if measured {
             self.work += flight.pass;
         }
-        flight.at = 0;
+        flight.position = 0;
         flight.pass = 1.0;
         if !flight.prefilled {
             flight.prefilled = true;
-            self.schedule(0, Event::Reach(slot));
+            self.schedule(0, Event::Enqueue(slot));
             return;
         }
         let (since, histogram) = match flight.last_token {
             0 => (flight.arrived, &mut self.out.first_us),
-            last => (last, &mut self.out.between_us),
+            last => (last, &mut self.out.inter_token_us),
         };
         if measured {
             histogram.saturating_record((now - since) / 1_000);
         }
         flight.last_token = now;
-        flight.left = flight.left.saturating_sub(1);
-        if flight.left > 0 {
-            self.schedule(0, Event::Reach(slot));
+        flight.tokens_left = flight.tokens_left.saturating_sub(1);
+        if flight.tokens_left > 0 {
+            self.schedule(0, Event::Enqueue(slot));
         } else {
             self.finish(slot);
         }
@@ -431,29 +431,29 @@
 
     fn finish(&mut self, slot: u32) {
         let flight = self.flights[slot as usize].take().expect("in flight");
-        self.free.push(slot);
+        self.free_slots.push(slot);
         for stage in &flight.route.stages {
-            self.on_runner[stage.runner.as_u32() as usize] -= 1;
+            self.runner_requests[stage.runner.as_u32() as usize] -= 1;
         }
         let instance = flight.instance as usize;
-        self.own[instance] -= 1;
+        self.in_flight[instance] -= 1;
         let now_ms = self.now_ms();
         self.routers[instance].record_finished(now_ms, &flight.route);
     }
 
-    /// Takes the figures of each runner and sends them to each instance.
-    fn figures(&mut self) {
-        self.schedule(self.cfg.report_every_ms * NANOS_PER_MS, Event::Figures);
-        let longest = self.cfg.report_delay_ms;
+    /// Samples the load of each runner and sends it to each instance.
+    fn sample_load(&mut self) {
+        self.schedule(self.cfg.report_every_ms * NANOS_PER_MS, Event::SampleLoad);
+        let max_delay = self.cfg.report_delay_ms;
         let taken_ms = self.now_ms();
-        for runner in 0..self.on_runner.len() as u32 {
-            let figures = self.on_runner[runner as usize];
+        for runner in 0..self.runner_requests.len() as u32 {
+            let requests = self.runner_requests[runner as usize];
             for instance in 0..self.cfg.instances as u32 {
-                let delay = self.rng.random_range(longest / 4..=longest);
+                let delay = self.rng.random_range(max_delay / 4..=max_delay);
                 let report = Event::Report {
                     instance,
                     runner,
-                    figures,
+                    requests,
                     taken_ms,
                 };
                 self.schedule(delay * NANOS_PER_MS, report);
@@ -461,11 +461,11 @@
         }
     }
 
-    fn report(&mut self, instance: usize, runner: usize, figures: u32, taken_ms: u64) {
+    fn report(&mut self, instance: usize, runner: usize, requests: u32, taken_ms: u64) {
         let now_ms = self.now_ms();
         let seen = RunnerReport {
             number: 1 + taken_ms / self.cfg.report_every_ms,
-            running: figures,
+            running: requests,
             age_ms: now_ms - taken_ms,
             ..self.fleet.runners[runner].clone()
         };
--- a/testkit/src/bench/route_table.rs
+++ b/testkit/src/bench/route_table.rs
@@ -1,74 +1,74 @@
-//! Results of many runs: table, JSON and plot.
+//! Aggregated results of many runs, as a table, JSON and a plot.
 
-use super::baseline::Choice;
+use super::baseline::RoutePolicy;
 use super::route_run::RunResult;
 use serde::Serialize;
 
-/// Runs of one policy at one load and number of instances, over the seeds.
+/// Results of one policy at one load and number of instances, over all seeds.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// Policy.
+    /// Name of the policy.
     pub policy: String,
-    /// Entry instances.
+    /// Number of entry instances.
     pub instances: usize,
-    /// Offered load as a share of the bound.
+    /// Offered load as a fraction of the throughput bound.
     pub load: f64,
-    /// Share of the bound held: least, mean and greatest over the seeds.
+    /// Achieved throughput as a fraction of the bound.
     pub held: Spread,
-    /// Share held of what was offered, or of the bound where more was offered.
+    /// Achieved throughput as a fraction of the offered load, capped at the bound.
     pub held_of_offered: Spread,
-    /// Share of the requests refused.
+    /// Fraction of the requests refused.
     pub refused: Spread,
-    /// p95 of the time to the first token, in milliseconds.
+    /// p95 of the time-to-first-token, in milliseconds.
     pub first_p95_ms: Spread,
-    /// p95 of the time between tokens, in milliseconds.
+    /// p95 of the inter-token gap, in milliseconds.
     pub between_p95_ms: Spread,
 }
 
-/// Spread of a figure over the seeds.
+/// Range and mean of a value over the seeds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Spread {
-    /// Least.
+    /// Minimum.
     pub least: f64,
     /// Mean.
     pub mean: f64,
-    /// Greatest.
+    /// Maximum.
     pub greatest: f64,
 }
 
 impl Spread {
-    /// Of some figures; at least one.
-    pub fn of(figures: impl Iterator<Item = f64> + Clone) -> Self {
-        let count = figures.clone().count() as f64;
+    /// Computes the spread of `values`, which must not be empty.
+    pub fn of(values: impl Iterator<Item = f64> + Clone) -> Self {
+        let count = values.clone().count() as f64;
         Self {
-            least: figures.clone().fold(f64::INFINITY, f64::min),
-            mean: figures.clone().sum::<f64>() / count,
-            greatest: figures.fold(f64::NEG_INFINITY, f64::max),
+            least: values.clone().fold(f64::INFINITY, f64::min),
+            mean: values.clone().sum::<f64>() / count,
+            greatest: values.fold(f64::NEG_INFINITY, f64::max),
         }
     }
 }
 
 impl Row {
-    /// Sums up the runs over the seeds.
-    pub fn of(choice: Choice, instances: usize, load: f64, runs: &[RunResult]) -> Self {
+    /// Aggregates the runs of all seeds.
+    pub fn of(policy: RoutePolicy, instances: usize, load: f64, runs: &[RunResult]) -> Self {
         let p95 = |h: &hdrhistogram::Histogram<u64>| h.value_at_quantile(0.95) as f64 / 1e3;
         Self {
-            policy: choice.to_string(),
+            policy: policy.to_string(),
             instances,
             load,
-            held: Spread::of(runs.iter().map(|r| r.held)),
-            held_of_offered: Spread::of(runs.iter().map(|r| r.held / r.offered.min(1.0))),
+            held: Spread::of(runs.iter().map(|r| r.throughput)),
+            held_of_offered: Spread::of(runs.iter().map(|r| r.throughput / r.offered.min(1.0))),
             refused: Spread::of(runs.iter().map(|r| r.refused)),
             first_p95_ms: Spread::of(runs.iter().map(|r| p95(&r.first_us))),
-            between_p95_ms: Spread::of(runs.iter().map(|r| p95(&r.between_us))),
+            between_p95_ms: Spread::of(runs.iter().map(|r| p95(&r.inter_token_us))),
         }
     }
 }
 
-/// The table as Markdown: mean, with least to greatest in brackets.
+/// Renders the rows as a Markdown table: mean, with minimum and maximum in parentheses.
 pub fn markdown(rows: &[Row]) -> String {
     let mut out = String::from(
-        "| policy | instances | offered | held | of offered, bound at most | refused | first token p95 ms | between tokens p95 ms |\n\
+        "| policy | instances | offered | achieved | of offered (capped at bound) | refused | first token p95 ms | inter-token gap p95 ms |\n\
          |---|---|---|---|---|---|---|---|\n",
     );
     for row in rows {
@@ -95,11 +95,11 @@
     out
 }
 
-/// Draws the share of the bound held over the offered load, a line for each policy, at the
-/// greatest number of instances.
+/// Plots the achieved fraction of the bound against the offered load, one line per policy, at the
+/// largest number of instances.
 ///
 /// # Errors
-/// Those of the drawing library, for instance where the file cannot be written.
+/// Returns errors of the plotting library, for instance if the file cannot be written.
 pub fn plot(rows: &[Row], path: &str) -> eyre::Result<()> {
     use plotters::prelude::*;
     let instances = rows.iter().map(|row| row.instances).max().unwrap_or(1);
@@ -114,9 +114,9 @@
     chart
         .configure_mesh()
         .x_desc(format!(
-            "offered load as a share of the bound ({instances} instances)"
+            "offered load as a fraction of the bound ({instances} instances)"
         ))
-        .y_desc("share of the bound held")
+        .y_desc("achieved fraction of the bound")
         .draw()?;
     let mut policies: Vec<&str> = rows.iter().map(|row| row.policy.as_str()).collect();
     policies.dedup();
