--- a/testkit/examples/measure_capacity.rs
+++ b/testkit/examples/measure_capacity.rs
@@ -12,7 +12,7 @@
 use jacinthweir_policy::journal::{End, Event, Idempotency, Journal};
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::schema::{CompiledSchema, OrgDecl, Schema, parse_schema};
-use jacinthweir_testkit::bench::counting;
+use jacinthweir_testkit::bench::counting_allocator;
 use jacinthweir_testkit::caller::ModelCall;
 use jacinthweir_testkit::fleet::deployment::Deployment;
 use jacinthweir_testkit::operator::Applied;
@@ -23,7 +23,7 @@
 use std::sync::Arc;
 
 #[global_allocator]
-static ALLOCATOR: counting::CountingAllocator = counting::CountingAllocator;
+static ALLOCATOR: counting_allocator::CountingAllocator = counting_allocator::CountingAllocator;
 
 /// Numbers of organisations: four sizes, and the target size.
 const ORGANISATIONS: [usize; 5] = [10, 1_000, 5_000, 10_000, 19_000];
@@ -162,11 +162,11 @@
     let parsed = parse_schema(&text).unwrap_or_default();
     let parse_verify_ms = started.elapsed().as_secs_f64() * 1e3;
     let split = parts::split(&parsed).unwrap_or_default();
-    let before = counting::live_bytes();
+    let before = counting_allocator::live_bytes();
     let started = Instant::now();
     let compiled = CompiledSchema::compile(Arc::new(parsed.clone()));
     let compile_ms = started.elapsed().as_secs_f64() * 1e3;
-    let compiled_bytes = counting::live_bytes().saturating_sub(before);
+    let compiled_bytes = counting_allocator::live_bytes().saturating_sub(before);
     drop(compiled);
     ConfigurationRow {
         organisations,
@@ -181,7 +181,7 @@
 
 fn admission(organisations: usize) -> AdmissionRow {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let before = counting::live_bytes();
+    let before = counting_allocator::live_bytes();
     let mut admission = Admission::new(AdmissionConfig::default());
     let pipeline = PipelineId::from_u32(0);
     admission.set_capacity(0, pipeline, 1e6, 100_000);
@@ -206,7 +206,7 @@
         admission.release(n / 1_000, slot, measurement);
     }
     let offer_and_release_ns = started.elapsed().as_secs_f64() * 1e9 / ADMISSION_REQUESTS as f64;
-    let bytes = counting::live_bytes().saturating_sub(before);
+    let bytes = counting_allocator::live_bytes().saturating_sub(before);
     AdmissionRow {
         organisations,
         offer_and_release_ns,
@@ -215,9 +215,9 @@
 }
 
 fn records(count: usize) -> RecordsRow {
-    let before = counting::live_bytes();
+    let before = counting_allocator::live_bytes();
     let retained: Vec<Journal> = (0..count).map(journal).collect();
-    let bytes = counting::live_bytes().saturating_sub(before);
+    let bytes = counting_allocator::live_bytes().saturating_sub(before);
     drop(retained);
     RecordsRow {
         records: count,
--- a/testkit/examples/measure_decisions.rs
+++ b/testkit/examples/measure_decisions.rs
@@ -3,7 +3,7 @@
 use argh::FromArgs;
 use jacinthweir_policy::prelude::*;
 use jacinthweir_policy::route::{CloseReason, RouteRequest, Router, RouterConfig, RunnerReport};
-use jacinthweir_testkit::bench::counting;
+use jacinthweir_testkit::bench::counting_allocator;
 use jacinthweir_testkit::bench::fleet::{Fleet, FleetSize};
 use jacinthweir_testkit::bench::route_run::router;
 use rand::SeedableRng;
@@ -13,7 +13,7 @@
 use std::time::Instant;
 
 #[global_allocator]
-static ALLOCATOR: counting::CountingAllocator = counting::CountingAllocator;
+static ALLOCATOR: counting_allocator::CountingAllocator = counting_allocator::CountingAllocator;
 
 /// Measure the cost of routing decisions by fleet size.
 #[derive(FromArgs)]
@@ -124,10 +124,10 @@
 fn measure(args: &Args, size: FleetSize) -> Row {
     let mut rng = ChaCha8Rng::seed_from_u64(args.seed);
     let fleet = Fleet::generate(size, &mut rng);
-    let before = counting::live_bytes();
+    let before = counting_allocator::live_bytes();
     let mut first = router(&fleet, RouterConfig::default());
     fill_caches(&mut first, &fleet);
-    let router_kb = (counting::live_bytes() - before) as f64 / 1024.0;
+    let router_kb = (counting_allocator::live_bytes() - before) as f64 / 1024.0;
     let plans: Vec<_> = (0..size.models as u32)
         .map(|m| first.plan(ModelId::from_u32(m)).expect("planned").clone())
         .collect();
@@ -214,7 +214,7 @@
     for i in 0..calls / 10 {
         call(i);
     }
-    let before = counting::allocations();
+    let before = counting_allocator::allocations();
     let start = Instant::now();
     for i in 0..calls {
         call(calls / 10 + i);
@@ -222,7 +222,7 @@
     let ns = start.elapsed().as_nanos() as f64 / f64::from(calls);
     (
         ns,
-        (counting::allocations() - before) as f64 / f64::from(calls),
+        (counting_allocator::allocations() - before) as f64 / f64::from(calls),
     )
 }
 
--- a/testkit/src/bench.rs
+++ b/testkit/src/bench.rs
@@ -4,7 +4,7 @@
 //! policies with each other; they do not simulate a cluster.
 
 pub mod baseline;
-pub mod counting;
+pub mod counting_allocator;
 pub mod fleet;
 pub mod route_run;
 pub mod route_table;
