--- a/plugins/relay/src/peers.rs
+++ b/plugins/relay/src/peers.rs
@@ -60,12 +60,15 @@
     /// message was written.
     confirmed_ms_ago: Option<Millis>,
     /// Failure reports about runners.
+    #[serde(rename = "dead")]
     failure_reports: Vec<FailureReport>,
     /// State of the store as the instance has seen it.
     seen: Seen,
     /// Crash records of quarantined requests, and of those that crashed runners recently.
+    #[serde(rename = "cases")]
     crash_records: Vec<CrashRecord>,
     /// Recent rates that runners announced.
+    #[serde(rename = "limits")]
     rate_reports: Vec<RateReport>,
 }
 
@@ -110,7 +113,9 @@
         from: Name,
         members: MemberDigest,
         view: View,
+        #[serde(rename = "known")]
         load_digest: LoadDigest,
+        #[serde(rename = "told")]
         load_update: LoadUpdate,
     },
     Push {
@@ -136,6 +141,7 @@
         from: Name,
         members: MemberDelta,
         view: View,
+        #[serde(rename = "told")]
         load_update: LoadUpdate,
     },
     Done,
