--- a/testkit/examples/campaign.rs
+++ b/testkit/examples/campaign.rs
@@ -1,13 +1,14 @@
-//! Random campaigns on real processes; see [`jacinthweir_testkit::campaign`].
+//! Runs randomized fault-injection campaigns on real processes; see [`jacinthweir_testkit::campaign`].
 //!
-//! Exit codes: 0 no violation, 1 violations (each is printed, with its seed), 2 wrong use.
+//! Exit count_codes: 0 no violation, 1 violations (each is printed, with its seed) or a failed run, 2
+//! invalid arguments.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
 use argh::FromArgs;
-use jacinthweir_testkit::campaign::{self, CampaignCfg, CampaignEnd};
+use jacinthweir_testkit::campaign::{self, CampaignCfg, CampaignResult};
 use jacinthweir_testkit::fleet::deployment::Deployment;
 
 /// Runs random campaigns of load and faults on real processes, and checks their histories.
@@ -45,7 +46,7 @@
             seed,
             deployment,
             length,
-            per_s: args.per_s,
+            rate_per_s: args.per_s,
         };
         let started = Instant::now();
         match campaign::run(&cfg).await {
@@ -67,7 +68,7 @@
     }
 }
 
-fn report(cfg: &CampaignCfg, end: &CampaignEnd, took: Duration, faults: bool) {
+fn report(cfg: &CampaignCfg, end: &CampaignResult, took: Duration, faults: bool) {
     let h = &end.history;
     let with = |o| {
         h.submissions
@@ -96,7 +97,7 @@
         h.commits.len(),
         end.violations.len(),
     );
-    for (code, count) in codes(end) {
+    for (code, count) in count_codes(end) {
         println!("  {count} x {code}");
     }
     if faults || !end.violations.is_empty() {
@@ -106,12 +107,12 @@
         println!("  VIOLATION {violation}");
     }
     if !end.violations.is_empty() {
-        keep_trace(cfg, end);
+        write_trace(cfg, end);
     }
 }
 
-/// How often each error code was told.
-fn codes(end: &CampaignEnd) -> BTreeMap<String, usize> {
+/// Counts the submissions that ended with each error code.
+fn count_codes(end: &CampaignResult) -> BTreeMap<String, usize> {
     let mut codes = BTreeMap::new();
     for code in end.history.submissions.iter().filter_map(|s| s.seen.code) {
         *codes.entry(code.to_string()).or_default() += 1;
@@ -119,8 +120,8 @@
     codes
 }
 
-/// Writes history and logs of a failed campaign, to be looked at.
-fn keep_trace(cfg: &CampaignCfg, end: &CampaignEnd) {
+/// Writes the history and logs of a campaign with violations for later analysis.
+fn write_trace(cfg: &CampaignCfg, end: &CampaignResult) {
     let dir = std::path::PathBuf::from(format!("out/campaign-{}", cfg.seed));
     let written = std::fs::create_dir_all(&dir).and_then(|()| {
         let history = serde_json::to_vec_pretty(&end.history).unwrap_or_default();
--- a/testkit/src/campaign.rs
+++ b/testkit/src/campaign.rs
@@ -1,8 +1,8 @@
-//! Random campaigns on real processes: load, faults, and the checks of the history they leave.
+//! Randomized fault-injection campaigns on real processes.
 //!
-//! One campaign starts a fleet, keeps a load on it, brings about faults drawn from the seed one
-//! or two at a time, heals, and checks the history. The same seed draws the same load and the same
-//! faults; how processes interleave is the machine's.
+//! A campaign starts a fleet, applies load, injects one or two seeded faults at a time, heals them
+//! and checks the recorded history. The same seed generates the same load and the same faults, but
+//! process interleaving depends on the operating system's scheduler.
 
 pub mod fault;
 pub mod faults;
@@ -22,41 +22,41 @@
 use crate::{Fleet, FleetCfg, Result};
 use recorder::Recorder;
 
-/// What a campaign does.
+/// Parameters of a campaign.
 #[derive(Clone, Debug)]
 pub struct CampaignCfg {
-    /// Seed of load and faults.
+    /// Seed of the load and the fault generator.
     pub seed: u64,
-    /// Deployment.
+    /// Deployment under test.
     pub deployment: Deployment,
-    /// How long faults are brought about.
+    /// Duration of the fault-injection phase.
     pub length: Duration,
-    /// Submissions a second.
-    pub per_s: f64,
+    /// Mean number of submissions per second.
+    pub rate_per_s: f64,
 }
 
-/// What a campaign left.
+/// Result of a campaign.
 #[derive(Debug)]
-pub struct CampaignEnd {
-    /// The whole history.
+pub struct CampaignResult {
+    /// Complete recorded history.
     pub history: History,
-    /// What the checks found.
+    /// Violations found by the history checks.
     pub violations: Vec<Violation>,
-    /// Faults in order, with the time since the start.
+    /// Injected faults in order, each with the time since the start.
     pub faults: Vec<String>,
-    /// The last lines of each instance's log, where something was found.
+    /// Complete log of each instance; empty if no violation was found.
     pub logs: Vec<String>,
 }
 
-/// Time after the last fault in which load goes on: what healed must serve again.
-const QUIET: Duration = Duration::from_secs(3);
+/// Time for which load continues after the last fault, so that healed processes must serve again.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// Runs a campaign.
 ///
 /// # Errors
 ///
-/// Where the fleet does not start or a stand-in does not answer.
-pub async fn run(cfg: &CampaignCfg) -> Result<CampaignEnd> {
+/// Returns an error if the fleet does not start or a stand-in does not answer.
+pub async fn run(cfg: &CampaignCfg) -> Result<CampaignResult> {
     let mut fleet_cfg = FleetCfg::small(cfg.deployment);
     fleet_cfg.runners = 12;
     let mut fleet = Fleet::start(fleet_cfg).await?;
@@ -76,7 +76,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(cfg.seed);
     let until = Instant::now() + cfg.length;
     let faults = faults::run(&mut fleet, &recorder, &mut rng, until).await?;
-    tokio::time::sleep(QUIET).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     stop.cancel();
     let _ = tokio::join!(load, watch);
     faults::collect(&fleet, &recorder).await?;
@@ -88,7 +88,7 @@
     } else {
         logs(&fleet)
     };
-    Ok(CampaignEnd {
+    Ok(CampaignResult {
         history,
         violations,
         faults,
--- a/testkit/src/campaign/fault.rs
+++ b/testkit/src/campaign/fault.rs
@@ -1,15 +1,15 @@
-//! The faults of a campaign.
+//! Fault types of a campaign and their random generation.
 
 use derive_more::Display;
 use rand::{Rng, RngExt};
 
-/// A fault, by what it is done to.
+/// A fault and the index of its target.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
     /// An instance is killed and started again.
     #[display("kill instance {_0}")]
     KillInstance(usize),
-    /// An instance stands still and wakes.
+    /// An instance is suspended and resumed.
     #[display("freeze instance {_0}")]
     FreezeInstance(usize),
     /// An instance is shut down gracefully and started again.
@@ -21,87 +21,87 @@
     /// A runner is killed and started again.
     #[display("kill runner {_0}")]
     KillRunner(usize),
-    /// A runner stands still and wakes.
+    /// A runner is suspended and resumed.
     #[display("freeze runner {_0}")]
     FreezeRunner(usize),
-    /// A runner leaves; another incarnation comes after it.
+    /// A runner leaves and is replaced by a new incarnation.
     #[display("runner {_0} leaves")]
     LeaveRunner(usize),
-    /// A runner's next answers get a frame of another request.
+    /// A runner's next answers contain a frame of another request.
     #[display("crossed frames at runner {_0}")]
-    Crossed(usize),
-    /// A runner's next answers end cleanly in their middle.
+    CrossedFrames(usize),
+    /// A runner's next answers are truncated with a clean end of stream.
     #[display("truncated answers at runner {_0}")]
-    Truncated(usize),
-    /// A runner's next answers break in their middle.
+    TruncatedAnswers(usize),
+    /// A runner's next answers are cut off mid-stream by a connection error.
     #[display("cut answers at runner {_0}")]
     CutAnswers(usize),
-    /// A runner's next answers have a frame twice.
+    /// A runner's next answers contain a duplicate frame.
     #[display("doubled frames at runner {_0}")]
-    Doubled(usize),
-    /// A runner's next answers have a frame of the attempt before, and cancels are ignored.
+    DuplicateFrames(usize),
+    /// A runner's next answers contain a frame of the previous attempt, and cancels are ignored.
     #[display("late frames at runner {_0}")]
-    Late(usize),
-    /// A runner refuses for a while.
+    LateFrames(usize),
+    /// A runner refuses requests until healed.
     #[display("runner {_0} refuses")]
     Refuse(usize),
-    /// A runner's link to the next stage slows a hundredfold.
+    /// A runner's link to the next stage is slowed by a factor of 100.
     #[display("slow link at runner {_0}")]
     SlowLink(usize),
-    /// A service loses its next answers after the calls ran.
+    /// A service drops its next answers after it has run the calls.
     #[display("service {_0} loses answers")]
     LoseAnswers(usize),
-    /// A service cuts its next calls before they run.
+    /// A service closes the connections of its next calls before running them.
     #[display("service {_0} cuts calls")]
     CutCalls(usize),
-    /// A service is slow for a while.
+    /// A service delays its answers until healed.
     #[display("service {_0} is slow")]
     SlowService(usize),
-    /// The platform is out.
+    /// The platform is unavailable.
     #[display("platform out")]
     PlatformOut,
-    /// The platform takes calls and answers none.
+    /// The platform accepts calls but does not answer them.
     #[display("platform hangs")]
     PlatformHangs,
-    /// The platform is slow.
+    /// The platform delays its answers.
     #[display("platform slow")]
     PlatformSlow,
-    /// The platform's next writes take effect, their answers are lost.
+    /// The platform's next writes take effect, but their answers are lost.
     #[display("platform loses answers")]
     PlatformLosesAnswers,
-    /// The platform's next writes take effect late, their answers are lost.
+    /// The platform's next writes take effect late, and their answers are lost.
     #[display("platform writes late")]
     PlatformWritesLate,
-    /// An operator applies a change at an instance.
+    /// An operator applies a configuration change through an instance.
     #[display("apply at instance {_0}")]
     Apply(usize),
-    /// Two operators apply different changes at once.
+    /// Two operators apply different changes concurrently.
     #[display("operators race at instances {_0} and {_1}")]
     Race(usize, usize),
 }
 
-/// Sizes of the fleet, for the drawing of targets.
+/// Number of processes of each kind, from which fault targets are chosen.
 #[derive(Clone, Copy, Debug)]
-pub struct Sizes {
-    /// Instances.
+pub struct FleetSizes {
+    /// Number of instances.
     pub instances: usize,
-    /// Runners.
+    /// Number of runners.
     pub runners: usize,
-    /// Services.
+    /// Number of services.
     pub services: usize,
 }
 
-/// Number of kinds of fault.
-pub const KINDS: usize = 24;
+/// Number of fault kinds.
+pub const KIND_COUNT: usize = 24;
 
-/// Draws a fault.
-pub fn draw(rng: &mut impl Rng, sizes: Sizes) -> Fault {
-    let kind = rng.random_range(0..KINDS);
-    of_kind(kind, rng, sizes)
+/// Generates a fault of a random kind.
+pub fn random_fault(rng: &mut impl Rng, sizes: FleetSizes) -> Fault {
+    let kind = rng.random_range(0..KIND_COUNT);
+    random_fault_of_kind(kind, rng, sizes)
 }
 
-/// A fault of a kind, by number.
-pub fn of_kind(kind: usize, rng: &mut impl Rng, sizes: Sizes) -> Fault {
+/// Generates a fault of the given kind with random targets.
+pub fn random_fault_of_kind(kind: usize, rng: &mut impl Rng, sizes: FleetSizes) -> Fault {
     let instance = rng.random_range(0..sizes.instances);
     let runner = rng.random_range(0..sizes.runners);
     let service = rng.random_range(0..sizes.services);
@@ -114,11 +114,11 @@
         4 => Fault::KillRunner(runner),
         5 => Fault::FreezeRunner(runner),
         6 => Fault::LeaveRunner(runner),
-        7 => Fault::Crossed(runner),
-        8 => Fault::Truncated(runner),
+        7 => Fault::CrossedFrames(runner),
+        8 => Fault::TruncatedAnswers(runner),
         9 => Fault::CutAnswers(runner),
-        10 => Fault::Doubled(runner),
-        11 => Fault::Late(runner),
+        10 => Fault::DuplicateFrames(runner),
+        11 => Fault::LateFrames(runner),
         12 => Fault::Refuse(runner),
         13 => Fault::SlowLink(runner),
         14 => Fault::LoseAnswers(service),
--- a/testkit/src/campaign/faults.rs
+++ b/testkit/src/campaign/faults.rs
@@ -1,4 +1,4 @@
-//! Brings faults about and heals them.
+//! Fault injection and healing.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,7 +6,7 @@
 use jacinthweir_policy::prelude::*;
 use rand::{Rng, RngExt};
 
-use super::fault::{Fault, Sizes, draw};
+use super::fault::{Fault, FleetSizes, random_fault};
 use super::recorder::Recorder;
 use crate::fleet::process::Process;
 use crate::history::record::{CommitSeen, Frozen, Left, Shutdown, Unreadable};
@@ -18,27 +18,27 @@
 use crate::service::Knobs as ServiceKnobs;
 use crate::{Fleet, Result};
 
-/// Share of the steps that bring about two faults at once.
-const PAIRS: f64 = 0.35;
-/// Answers or writes that one fault spoils.
-const SPOILT: u32 = 3;
-/// How late late writes are, in milliseconds.
-const LATE_WRITE_MS: u64 = 700;
-/// Added time of a slow platform, in milliseconds.
-const SLOW_PLATFORM_MS: u64 = 400;
-/// Added time of a slow service, in milliseconds.
-const SLOW_SERVICE_MS: u64 = 1_500;
-/// How long a leaving runner goes on before its next incarnation starts: longer than the promise
-/// takes.
-const LEAVING: Duration = Duration::from_secs(7);
-/// Longest graceful shutdown of an instance.
-const SHUTDOWN: Duration = Duration::from_secs(40);
+/// Probability that a step injects two faults at once.
+const PAIR_PROBABILITY: f64 = 0.35;
+/// Number of answers or writes that one fault affects.
+const AFFECTED_COUNT: u32 = 3;
+/// Delay of late platform writes, in milliseconds.
+const LATE_WRITE_DELAY_MS: u64 = 700;
+/// Latency added by a slow platform, in milliseconds.
+const PLATFORM_DELAY_MS: u64 = 400;
+/// Latency added by a slow service, in milliseconds.
+const SERVICE_DELAY_MS: u64 = 1_500;
+/// Time for which a leaving runner stays up before its next incarnation starts. Longer than
+/// [`Limits::leaving_ms`](crate::history::Limits::leaving_ms), so that late work is seen.
+const LEAVE_HOLD: Duration = Duration::from_secs(7);
+/// Maximum duration of a graceful shutdown of an instance.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Brings faults about until `until`; returns what was done when.
+/// Injects random faults until `until` and returns a list of them with their times.
 ///
 /// # Errors
 ///
-/// Where a stand-in or process can't be reached at all.
+/// Returns an error if a stand-in or process is unreachable.
 pub async fn run(
     fleet: &mut Fleet,
     recorder: &Arc<Recorder>,
@@ -46,38 +46,38 @@
     until: Instant,
 ) -> Result<Vec<String>> {
     let started = Instant::now();
-    let sizes = Sizes {
+    let sizes = FleetSizes {
         instances: fleet.instances.len(),
         runners: fleet.runners.len(),
         services: fleet.services.len(),
     };
     let mut done = Vec::new();
     while Instant::now() < until {
-        let mut step = vec![draw(rng, sizes)];
-        if rng.random_bool(PAIRS) {
-            step.push(draw(rng, sizes));
+        let mut step = vec![random_fault(rng, sizes)];
+        if rng.random_bool(PAIR_PROBABILITY) {
+            step.push(random_fault(rng, sizes));
         }
         let hold = Duration::from_millis(rng.random_range(300..2_500));
         let pause = Duration::from_millis(rng.random_range(200..1_200));
         for fault in &step {
             done.push(format!("{} ms: {fault}", started.elapsed().as_millis()));
-            begin(fleet, recorder, *fault, rng.random()).await?;
+            inject(fleet, recorder, *fault, rng.random()).await?;
         }
         tokio::time::sleep(hold).await;
         for fault in &step {
-            end(fleet, recorder, *fault).await?;
+            heal(fleet, recorder, *fault).await?;
         }
         tokio::time::sleep(pause).await;
     }
     Ok(done)
 }
 
-/// Brings a fault about.
+/// Injects a fault.
 ///
 /// # Errors
 ///
-/// Where a stand-in or process can't be reached.
-pub async fn begin(
+/// Returns an error if a stand-in or process is unreachable.
+pub async fn inject(
     fleet: &mut Fleet,
     recorder: &Arc<Recorder>,
     fault: Fault,
@@ -85,14 +85,14 @@
 ) -> Result<()> {
     match fault {
         Fault::KillInstance(i) => kill(&mut fleet.instances[i].process).await,
-        Fault::FreezeInstance(i) => signalled(fleet.instances[i].process.freeze()),
+        Fault::FreezeInstance(i) => ignore_signal_error(fleet.instances[i].process.freeze()),
         Fault::RestartInstance(i) => shut_down(fleet, recorder, i).await,
         Fault::CutFromPlatform(i) => {
             fleet.platform_links[i].set(Link::Cut);
             Ok(())
         }
         Fault::KillRunner(i) => kill_runner(fleet, recorder, i).await,
-        Fault::FreezeRunner(i) => signalled(fleet.runners[i].process.freeze()),
+        Fault::FreezeRunner(i) => ignore_signal_error(fleet.runners[i].process.freeze()),
         Fault::LeaveRunner(i) => leave(fleet, recorder, i, salt).await,
         Fault::LoseAnswers(i) | Fault::CutCalls(i) | Fault::SlowService(i) => {
             fleet.service_admin(i).set(&service_knobs(fault)).await
@@ -102,7 +102,7 @@
         | Fault::PlatformSlow
         | Fault::PlatformLosesAnswers
         | Fault::PlatformWritesLate => {
-            platform_becomes(recorder, fault);
+            record_platform_fault(recorder, fault);
             fleet.platform_admin().fault(&platform_fault(fault)).await
         }
         Fault::Apply(i) => {
@@ -117,13 +117,13 @@
             }
             Ok(())
         }
-        Fault::Crossed(i)
-        | Fault::Truncated(i)
+        Fault::CrossedFrames(i)
+        | Fault::TruncatedAnswers(i)
         | Fault::CutAnswers(i)
-        | Fault::Doubled(i)
-        | Fault::Late(i)
+        | Fault::DuplicateFrames(i)
+        | Fault::LateFrames(i)
         | Fault::Refuse(i)
-        | Fault::SlowLink(i) => knob(fleet, i, &runner_knobs(fault)).await,
+        | Fault::SlowLink(i) => set_knobs(fleet, i, &runner_knobs(fault)).await,
     }
 }
 
@@ -131,12 +131,12 @@
 ///
 /// # Errors
 ///
-/// Where a process can't be started again.
-pub async fn end(fleet: &mut Fleet, recorder: &Arc<Recorder>, fault: Fault) -> Result<()> {
+/// Returns an error if a process can't be restarted.
+pub async fn heal(fleet: &mut Fleet, recorder: &Arc<Recorder>, fault: Fault) -> Result<()> {
     match fault {
         Fault::KillInstance(i) | Fault::RestartInstance(i) => fleet.restart_instance(i).await,
         Fault::FreezeInstance(i) => {
-            signalled(fleet.instances[i].process.wake())?;
+            ignore_signal_error(fleet.instances[i].process.wake())?;
             let instance = fleet.instances[i].name.clone();
             recorder.history().frozen.push(Frozen {
                 instance,
@@ -149,8 +149,8 @@
             Ok(())
         }
         Fault::KillRunner(i) => fleet.restart_runner(i).await,
-        Fault::FreezeRunner(i) => signalled(fleet.runners[i].process.wake()),
-        Fault::LeaveRunner(i) => come_back(fleet, recorder, i).await,
+        Fault::FreezeRunner(i) => ignore_signal_error(fleet.runners[i].process.wake()),
+        Fault::LeaveRunner(i) => rejoin(fleet, recorder, i).await,
         Fault::SlowService(i) => {
             let knobs = ServiceKnobs {
                 answer_delay_ms: Some(0),
@@ -164,34 +164,34 @@
         | Fault::PlatformLosesAnswers
         | Fault::PlatformWritesLate => {
             fleet.platform_admin().fault(&PlatformFault::None).await?;
-            platform_is_readable(recorder);
+            end_unreadable_periods(recorder);
             Ok(())
         }
-        Fault::Late(i) => {
+        Fault::LateFrames(i) => {
             let knobs = RunnerKnobs {
                 ignore_cancel: Some(false),
                 ..RunnerKnobs::default()
             };
-            knob(fleet, i, &knobs).await
+            set_knobs(fleet, i, &knobs).await
         }
         Fault::Refuse(i) => {
             let knobs = RunnerKnobs {
                 refuse: Some(false),
                 ..RunnerKnobs::default()
             };
-            knob(fleet, i, &knobs).await
+            set_knobs(fleet, i, &knobs).await
         }
         Fault::SlowLink(i) => {
             let knobs = RunnerKnobs {
                 link_factor: Some(1),
                 ..RunnerKnobs::default()
             };
-            knob(fleet, i, &knobs).await
+            set_knobs(fleet, i, &knobs).await
         }
-        Fault::Crossed(_)
-        | Fault::Truncated(_)
+        Fault::CrossedFrames(_)
+        | Fault::TruncatedAnswers(_)
         | Fault::CutAnswers(_)
-        | Fault::Doubled(_)
+        | Fault::DuplicateFrames(_)
         | Fault::LoseAnswers(_)
         | Fault::CutCalls(_)
         | Fault::Apply(_)
@@ -199,10 +199,10 @@
     }
 }
 
-/// A process that a second fault killed meanwhile can't be signalled; that fault stands.
-fn signalled(sent: Result<()>) -> Result<()> {
+/// Logs and ignores a signal error: a second fault may have killed the process in the meantime.
+fn ignore_signal_error(sent: Result<()>) -> Result<()> {
     if let Err(e) = sent {
-        log::debug!("signal: {e}");
+        log::debug!("cannot signal process: {e}");
     }
     Ok(())
 }
@@ -214,38 +214,38 @@
     Ok(())
 }
 
-/// A runner may be frozen or dead by another fault: its knobs then stay.
-async fn knob(fleet: &Fleet, i: usize, knobs: &RunnerKnobs) -> Result<()> {
-    let set = fleet.runner_admin(i);
-    let set = tokio::time::timeout(Duration::from_secs(1), set.set(knobs));
+/// Sets the knobs of a runner. A runner that another fault froze or killed keeps its old knobs.
+async fn set_knobs(fleet: &Fleet, i: usize, knobs: &RunnerKnobs) -> Result<()> {
+    let admin = fleet.runner_admin(i);
+    let set = tokio::time::timeout(Duration::from_secs(1), admin.set(knobs));
     if !matches!(set.await, Ok(Ok(()))) {
-        log::debug!("runner {i} does not take knobs");
+        log::debug!("runner {i} did not accept its knobs within 1 s");
     }
     Ok(())
 }
 
 fn runner_knobs(fault: Fault) -> RunnerKnobs {
     let none = RunnerKnobs::default();
-    let spoilt = Some(SPOILT);
+    let affected = Some(AFFECTED_COUNT);
     match fault {
-        Fault::Crossed(_) => RunnerKnobs {
-            crossed: spoilt,
+        Fault::CrossedFrames(_) => RunnerKnobs {
+            crossed: affected,
             ..none
         },
-        Fault::Truncated(_) => RunnerKnobs {
-            truncated: spoilt,
+        Fault::TruncatedAnswers(_) => RunnerKnobs {
+            truncated: affected,
             ..none
         },
         Fault::CutAnswers(_) => RunnerKnobs {
-            cut: spoilt,
+            cut: affected,
             ..none
         },
-        Fault::Doubled(_) => RunnerKnobs {
-            duplicate: spoilt,
+        Fault::DuplicateFrames(_) => RunnerKnobs {
+            duplicate: affected,
             ..none
         },
-        Fault::Late(_) => RunnerKnobs {
-            late: spoilt,
+        Fault::LateFrames(_) => RunnerKnobs {
+            late: affected,
             ignore_cancel: Some(true),
             ..none
         },
@@ -265,15 +265,15 @@
     let none = ServiceKnobs::default();
     match fault {
         Fault::LoseAnswers(_) => ServiceKnobs {
-            lose_answers: Some(SPOILT),
+            lose_answers: Some(AFFECTED_COUNT),
             ..none
         },
         Fault::CutCalls(_) => ServiceKnobs {
-            cut_before: Some(SPOILT),
+            cut_before: Some(AFFECTED_COUNT),
             ..none
         },
         Fault::SlowService(_) => ServiceKnobs {
-            answer_delay_ms: Some(SLOW_SERVICE_MS),
+            answer_delay_ms: Some(SERVICE_DELAY_MS),
             ..none
         },
         _ => none,
@@ -286,24 +286,24 @@
         Fault::PlatformOut => PlatformFault::Outage,
         Fault::PlatformHangs => PlatformFault::Hang,
         Fault::PlatformSlow => PlatformFault::Slow {
-            ms: SLOW_PLATFORM_MS,
+            ms: PLATFORM_DELAY_MS,
         },
         Fault::PlatformLosesAnswers => PlatformFault::LoseAnswers {
-            next: SPOILT,
+            next: AFFECTED_COUNT,
             prefix,
         },
         Fault::PlatformWritesLate => PlatformFault::LateWrites {
-            next: SPOILT,
-            ms: LATE_WRITE_MS,
+            next: AFFECTED_COUNT,
+            ms: LATE_WRITE_DELAY_MS,
             prefix,
         },
         _ => PlatformFault::None,
     }
 }
 
-/// The newest fault of the platform replaces the one before.
-fn platform_becomes(recorder: &Recorder, fault: Fault) {
-    platform_is_readable(recorder);
+/// Records a platform fault in the history; it replaces the previous platform fault.
+fn record_platform_fault(recorder: &Recorder, fault: Fault) {
+    end_unreadable_periods(recorder);
     if matches!(fault, Fault::PlatformOut | Fault::PlatformHangs) {
         let gap = Unreadable {
             from_ms: unix_ms(),
@@ -313,7 +313,7 @@
     }
 }
 
-fn platform_is_readable(recorder: &Recorder) {
+fn end_unreadable_periods(recorder: &Recorder) {
     for gap in &mut recorder.history().unreadable {
         gap.until_ms.get_or_insert(unix_ms());
     }
@@ -325,9 +325,9 @@
         return Ok(());
     }
     let signal_ms = unix_ms();
-    signalled(instance.process.wake())?;
-    signalled(instance.process.terminate())?;
-    let status = instance.process.ended(SHUTDOWN).await?;
+    ignore_signal_error(instance.process.wake())?;
+    ignore_signal_error(instance.process.terminate())?;
+    let status = instance.process.ended(SHUTDOWN_TIMEOUT).await?;
     recorder.history().shutdowns.push(Shutdown {
         instance: instance.name.clone(),
         signal_ms,
@@ -337,20 +337,20 @@
     Ok(())
 }
 
-/// Kills a runner once its witness is complete: it stands still first, so that nothing runs
-/// between the last of its words and its end.
+/// Kills a runner after taking its witness. The runner is paused first, so that it runs nothing
+/// between the witness and the kill.
 async fn kill_runner(fleet: &mut Fleet, recorder: &Arc<Recorder>, i: usize) -> Result<()> {
     let runner = &mut fleet.runners[i];
     if runner.process.id().is_none() {
         return Ok(());
     }
-    signalled(runner.process.wake())?;
-    let still = RunnerKnobs {
+    ignore_signal_error(runner.process.wake())?;
+    let paused = RunnerKnobs {
         freeze: Some(true),
         refuse: Some(true),
         ..RunnerKnobs::default()
     };
-    knob(fleet, i, &still).await?;
+    set_knobs(fleet, i, &paused).await?;
     if !take_witness(fleet, recorder, i).await {
         let name = fleet.runners[i].listing.name.clone();
         recorder.history().killed_runners.insert(name);
@@ -358,7 +358,7 @@
     kill(&mut fleet.runners[i].process).await
 }
 
-/// Takes what a runner saw so far; returns whether it answered.
+/// Adds the witness of a runner to the history; returns whether the runner answered.
 async fn take_witness(fleet: &Fleet, recorder: &Arc<Recorder>, i: usize) -> bool {
     let admin = fleet.runner_admin(i);
     let asked = tokio::time::timeout(Duration::from_secs(2), admin.take_witness());
@@ -372,14 +372,14 @@
 async fn leave(fleet: &mut Fleet, recorder: &Arc<Recorder>, i: usize, salt: u64) -> Result<()> {
     let listing = fleet.runners[i].listing.clone();
     let upstream = listing.name.clone();
-    // By its own word, or by the list's.
+    // The runner announces that it is leaving, or the platform's list says so.
     let by_list = !salt.is_multiple_of(2);
     if !by_list {
         let knobs = RunnerKnobs {
             leaving: Some(true),
             ..RunnerKnobs::default()
         };
-        knob(fleet, i, &knobs).await?;
+        set_knobs(fleet, i, &knobs).await?;
     } else {
         fleet.list_leaving(listing).await?;
     }
@@ -390,11 +390,11 @@
         by_list,
         until_ms: None,
     });
-    tokio::time::sleep(LEAVING).await;
+    tokio::time::sleep(LEAVE_HOLD).await;
     Ok(())
 }
 
-async fn come_back(fleet: &mut Fleet, recorder: &Arc<Recorder>, i: usize) -> Result<()> {
+async fn rejoin(fleet: &mut Fleet, recorder: &Arc<Recorder>, i: usize) -> Result<()> {
     let name = fleet.runners[i].listing.name.clone();
     kill_runner(fleet, recorder, i).await?;
     for left in &mut recorder.history().left {
@@ -405,10 +405,10 @@
     fleet.restart_runner(i).await
 }
 
-/// Applies a change of one organisation's weight. Asks again with the same change id where the
-/// answer is lost or the commit not confirmed, as an operator would.
+/// Applies a change of one organisation's weight. Retries with the same change id if the answer is
+/// lost or the commit is not confirmed, as an operator would.
 pub(crate) async fn apply(operator: Operator, recorder: Arc<Recorder>, salt: u64) {
-    const TRIES: usize = 5;
+    const MAX_TRIES: usize = 5;
     let Ok(reply) = operator.schema().await else {
         return;
     };
@@ -422,7 +422,7 @@
         return;
     };
     let change = format!("campaign-{salt:016x}");
-    for _ in 0..TRIES {
+    for _ in 0..MAX_TRIES {
         match operator.apply(&text, reply.revision, &change).await {
             Applied::Committed(done) => {
                 let change = Name::from(change);
@@ -452,11 +452,11 @@
     )
 }
 
-/// Collects what the stand-ins ran.
+/// Adds the work that the stand-ins ran to the history.
 ///
 /// # Errors
 ///
-/// Where a stand-in does not answer.
+/// Returns an error if a stand-in does not answer.
 pub async fn collect(fleet: &Fleet, recorder: &Arc<Recorder>) -> Result<()> {
     for i in 0..fleet.runners.len() {
         let witness = fleet.runner_admin(i).witness().await?;
@@ -473,11 +473,11 @@
 ///
 /// # Errors
 ///
-/// Where a process can't be waited for.
+/// Returns an error if waiting for a process fails.
 pub async fn stop_all(fleet: &mut Fleet, recorder: &Arc<Recorder>) -> Result<()> {
     for i in 0..fleet.instances.len() {
         if let Some(_id) = fleet.instances[i].process.id() {
-            signalled(fleet.instances[i].process.terminate())?;
+            ignore_signal_error(fleet.instances[i].process.terminate())?;
         }
     }
     for i in 0..fleet.instances.len() {
--- a/testkit/src/campaign/load.rs
+++ b/testkit/src/campaign/load.rs
@@ -1,5 +1,7 @@
-//! The load of a campaign: streamed answers, and calls that must not repeat, some of them sent to
-//! several instances at once or again after a bad end.
+//! Load generator of a campaign.
+//!
+//! Sends streamed model requests and non-idempotent service calls. Some calls go to several
+//! instances at once or are retried after a failure.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,38 +23,38 @@
 use crate::http::unix_ms;
 use crate::{Caller, Fleet, Result, text};
 
-/// Deadline of a streamed answer, in milliseconds.
+/// Deadline of a model request, in milliseconds.
 const MODEL_DEADLINE_MS: u64 = 15_000;
-/// Deadline of a call, in milliseconds.
+/// Deadline of a service call, in milliseconds.
 const CALL_DEADLINE_MS: u64 = 4_000;
-/// Longest wait for any answer: a frozen instance gives none.
-const PATIENCE: Duration = Duration::from_secs(25);
-/// The most tokens of an answer.
-const MOST_TOKENS: u32 = 48;
-/// Submissions of one call that ended badly, the first counted.
+/// Maximum wait for any answer; a frozen instance does not answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(25);
+/// Exclusive upper bound on the tokens requested for an answer.
+const MAX_TOKENS: u32 = 48;
+/// Maximum submissions of a failing call, with the concurrent first ones counted as one.
 const CALL_TRIES: u32 = 3;
 
-/// What the load needs to know of the fleet.
+/// Parameters of the load generator.
 pub struct LoadCfg {
     seed: u64,
-    per_s: f64,
+    rate_per_s: f64,
     deployment: Deployment,
     instances: BTreeMap<SocketAddr, Name>,
     caller: Caller,
 }
 
 impl LoadCfg {
-    /// The load of a campaign.
+    /// Creates the parameters for a campaign on `fleet`.
     ///
     /// # Errors
     ///
-    /// Where no HTTP client can be made.
+    /// Returns an error if the HTTP client can't be created.
     pub fn new(cfg: &CampaignCfg, fleet: &Fleet) -> Result<Self> {
         let instances = fleet.instances.iter();
         let caller = fleet.caller(cfg.deployment.organisations()[0])?;
         Ok(Self {
             seed: cfg.seed,
-            per_s: cfg.per_s,
+            rate_per_s: cfg.rate_per_s,
             deployment: cfg.deployment,
             instances: instances
                 .map(|i| (i.listen.callers, i.name.clone()))
@@ -68,7 +70,7 @@
     next: AtomicU64,
 }
 
-/// Sends until `stop`, then waits for the answers.
+/// Sends requests until `stop` is cancelled, then waits for the outstanding answers.
 pub async fn run(cfg: LoadCfg, recorder: Arc<Recorder>, stop: CancellationToken) {
     let mut rng = ChaCha8Rng::seed_from_u64(cfg.seed ^ 0x10ad);
     let load = Arc::new(Load {
@@ -78,17 +80,17 @@
     });
     let tasks = TaskTracker::new();
     while !stop.is_cancelled() {
-        let wait = -(1.0 - rng.random::<f64>()).ln() / load.cfg.per_s;
+        let wait = -(1.0 - rng.random::<f64>()).ln() / load.cfg.rate_per_s;
         tokio::time::sleep(Duration::from_secs_f64(wait)).await;
         let load = Arc::clone(&load);
         let rng = ChaCha8Rng::seed_from_u64(rng.random());
-        tasks.spawn(async move { load.one(rng).await });
+        tasks.spawn(async move { load.send_one(rng).await });
     }
     tasks.close();
     tasks.wait().await;
 }
 
-/// A call of a plain service with its key, over all its submissions.
+/// A service call; all its submissions share the idempotency key and the body.
 struct Call {
     idempotent: bool,
     key: Option<String>,
@@ -96,21 +98,21 @@
 }
 
 impl Load {
-    async fn one(&self, mut rng: ChaCha8Rng) {
+    async fn send_one(&self, mut rng: ChaCha8Rng) {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         match rng.random_range(0..10) {
-            0..6 => self.model(number, &mut rng).await,
-            6..9 => self.call(number, true, &mut rng).await,
-            _ => self.call(number, false, &mut rng).await,
+            0..6 => self.send_model_request(number, &mut rng).await,
+            6..9 => self.send_call(number, true, &mut rng).await,
+            _ => self.send_call(number, false, &mut rng).await,
         }
     }
 
-    async fn model(&self, number: u64, rng: &mut ChaCha8Rng) {
+    async fn send_model_request(&self, number: u64, rng: &mut ChaCha8Rng) {
         let prompt = format!(
             "Assess billet {number} of lot {} for a quartet.",
             self.cfg.seed
         );
-        let max_tokens = rng.random_range(4..MOST_TOKENS);
+        let max_tokens = rng.random_range(4..MAX_TOKENS);
         let call = ModelCall {
             pipeline: self.cfg.deployment.pipeline().into(),
             prompt: prompt.clone(),
@@ -120,7 +122,7 @@
         let expected = text::answer(&prompt, max_tokens);
         for at in self.addresses(rng).await {
             let sent_ms = unix_ms();
-            let seen = patient(self.cfg.caller.complete(at, &call)).await;
+            let seen = with_answer_timeout(self.cfg.caller.complete(at, &call)).await;
             if seen.not_connected {
                 continue;
             }
@@ -129,7 +131,7 @@
         }
     }
 
-    async fn call(&self, number: u64, keyed: bool, rng: &mut ChaCha8Rng) {
+    async fn send_call(&self, number: u64, keyed: bool, rng: &mut ChaCha8Rng) {
         let key = keyed.then(|| uuid::Uuid::now_v7().to_string());
         let body = format!(r#"{{"lot":{},"billet":{number}}}"#, self.cfg.seed);
         let call = Call {
@@ -137,9 +139,9 @@
             key,
             body,
         };
-        let at_once = if keyed { rng.random_range(1..4) } else { 1 };
+        let concurrent = if keyed { rng.random_range(1..4) } else { 1 };
         let addresses = self.addresses(rng).await;
-        let first = addresses.iter().take(at_once);
+        let first = addresses.iter().take(concurrent);
         let first = first.map(|at| self.submit(number, *at, &call));
         let seen = futures::future::join_all(first).await;
         if !keyed || seen.iter().any(|s| s.outcome == Some(Outcome::Answered)) {
@@ -148,7 +150,7 @@
         for at in addresses
             .iter()
             .cycle()
-            .skip(at_once)
+            .skip(concurrent)
             .take(CALL_TRIES as usize - 1)
         {
             tokio::time::sleep(Duration::from_millis(rng.random_range(10..800))).await;
@@ -168,7 +170,7 @@
             deadline_ms: Some(CALL_DEADLINE_MS),
         };
         let sent_ms = unix_ms();
-        let seen = patient(self.cfg.caller.call(at, &submission)).await;
+        let seen = with_answer_timeout(self.cfg.caller.call(at, &submission)).await;
         if !seen.not_connected {
             let work = Work::Call {
                 idempotent: call.idempotent,
@@ -180,12 +182,12 @@
         seen
     }
 
-    /// Addresses to use, best first, from whichever instance answers.
+    /// Returns entry addresses, best first, from the first instance that answers.
     async fn addresses(&self, rng: &mut impl Rng) -> Vec<SocketAddr> {
-        let mut asked: Vec<SocketAddr> = self.cfg.instances.keys().copied().collect();
-        let start = rng.random_range(0..asked.len());
-        asked.rotate_left(start);
-        for at in asked {
+        let mut entries: Vec<SocketAddr> = self.cfg.instances.keys().copied().collect();
+        let start = rng.random_range(0..entries.len());
+        entries.rotate_left(start);
+        for at in entries {
             let entry = tokio::time::timeout(Duration::from_secs(1), self.cfg.caller.entry(at));
             if let Ok(Ok(entry)) = entry.await {
                 return entry.addresses.into_iter().map(|a| a.address).collect();
@@ -207,9 +209,9 @@
     }
 }
 
-/// What a caller sees that gives up after a while.
-async fn patient(asked: impl Future<Output = Observation>) -> Observation {
-    let seen = tokio::time::timeout(PATIENCE, asked).await;
+/// Returns the observation of a caller that gives up after [`ANSWER_TIMEOUT`].
+async fn with_answer_timeout(request: impl Future<Output = Observation>) -> Observation {
+    let seen = tokio::time::timeout(ANSWER_TIMEOUT, request).await;
     seen.unwrap_or_else(|_| Observation {
         broken: Some("gave up waiting".into()),
         ..Observation::default()
--- a/testkit/src/campaign/recorder.rs
+++ b/testkit/src/campaign/recorder.rs
@@ -1,17 +1,17 @@
-//! Puts a history together while a run goes on.
+//! Recording of a history during a run.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use crate::history::History;
 
-/// Collects events from all tasks of a run.
+/// Collects the events of all tasks of a run.
 #[derive(Debug, Default)]
 pub struct Recorder {
     history: Mutex<History>,
 }
 
 impl Recorder {
-    /// An empty history of a model with `layers` layers.
+    /// Creates a recorder with an empty history of a model with `layers` layers.
     #[must_use]
     pub fn new(layers: u32) -> Self {
         let history = History {
@@ -23,12 +23,12 @@
         }
     }
 
-    /// The history so far.
+    /// Locks and returns the history recorded so far.
     pub fn history(&self) -> MutexGuard<'_, History> {
         self.history.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The history; nothing is left behind.
+    /// Takes the recorded history and leaves an empty one.
     #[must_use]
     pub fn take(&self) -> History {
         std::mem::take(&mut *self.history())
--- a/testkit/src/campaign/watch.rs
+++ b/testkit/src/campaign/watch.rs
@@ -1,4 +1,4 @@
-//! Asks every instance over and over which revision is in force there.
+//! Polls every instance for the configuration revision in force there.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,27 +13,27 @@
 use crate::operator::Operator;
 use crate::{Fleet, Result};
 
-/// Time between two questions to one instance.
-const PERIOD: Duration = Duration::from_millis(250);
-/// Longest wait for an answer: a frozen instance gives none.
-const TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause between two polls of one instance.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum wait for an answer; a frozen instance does not answer.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An instance to watch.
+/// An instance to poll.
 #[derive(Clone)]
-pub struct Watched {
+pub struct WatchedInstance {
     name: Name,
     operator: Operator,
 }
 
-/// The instances of a fleet.
+/// Returns the instances of a fleet.
 ///
 /// # Errors
 ///
-/// Where no HTTP client can be made.
-pub fn instances(fleet: &Fleet) -> Result<Vec<Watched>> {
+/// Returns an error if an HTTP client can't be created.
+pub fn instances(fleet: &Fleet) -> Result<Vec<WatchedInstance>> {
     let watched = fleet.instances.iter().map(|i| {
         let operator = i.operator()?;
-        Ok(Watched {
+        Ok(WatchedInstance {
             name: i.name.clone(),
             operator,
         })
@@ -41,23 +41,28 @@
     watched.collect()
 }
 
-/// Watches until `stop`.
-pub async fn run(instances: Vec<Watched>, recorder: Arc<Recorder>, stop: CancellationToken) {
+/// Polls until `stop` is cancelled.
+pub async fn run(
+    instances: Vec<WatchedInstance>,
+    recorder: Arc<Recorder>,
+    stop: CancellationToken,
+) {
     let watches = instances.into_iter().map(|w| watch(w, &recorder));
     let all = futures::future::join_all(watches);
     let _ = stop.run_until_cancelled(all).await;
 }
 
-async fn watch(watched: Watched, recorder: &Recorder) {
+async fn watch(watched: WatchedInstance, recorder: &Recorder) {
     loop {
-        ask(&watched, recorder).await;
-        tokio::time::sleep(PERIOD).await;
+        poll_status(&watched, recorder).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn ask(watched: &Watched, recorder: &Recorder) {
+async fn poll_status(watched: &WatchedInstance, recorder: &Recorder) {
     let at_ms = unix_ms();
-    let Ok(Ok(status)) = tokio::time::timeout(TIMEOUT, watched.operator.status()).await else {
+    let Ok(Ok(status)) = tokio::time::timeout(STATUS_TIMEOUT, watched.operator.status()).await
+    else {
         return;
     };
     let own = status
--- a/testkit/src/matrix/script.rs
+++ b/testkit/src/matrix/script.rs
@@ -242,7 +242,7 @@
         let commits = self.recorder.history().commits.len();
         for fault in brought(cell) {
             let salt = self.race_salt();
-            faults::begin(&mut self.fleet, &self.recorder, fault, salt).await?;
+            faults::inject(&mut self.fleet, &self.recorder, fault, salt).await?;
         }
         if kills_service(cell) {
             self.kill_service(DYING_SERVICE).await?;
@@ -305,7 +305,7 @@
     /// Ends what came from outside.
     async fn heal(&mut self, cell: Cell) -> Result<()> {
         for fault in brought(cell) {
-            faults::end(&mut self.fleet, &self.recorder, fault).await?;
+            faults::heal(&mut self.fleet, &self.recorder, fault).await?;
         }
         if kills_service(cell) {
             self.fleet.restart_service(DYING_SERVICE).await?;
