--- a/testkit/examples/fault_matrix.rs
+++ b/testkit/examples/fault_matrix.rs
@@ -1,8 +1,9 @@
-//! The fault matrix on real processes; see [`jacinthweir_testkit::matrix`].
+//! Runs the fault matrix on real processes; see [`jacinthweir_testkit::matrix`].
 //!
 //! Needs the instance with fault points:
 //! `cargo build --locked -p jacinthweir --features failpoints --target-dir target/failpoints`.
-//! Exit codes: 0 no cell is open or not reached, 1 some are or the run failed, 2 wrong use.
+//! Exit codes: 0 no cell is open or not reached, 1 some are or the run failed, 2 invalid
+//! arguments.
 
 use std::process::ExitCode;
 use std::time::Instant;
@@ -10,7 +11,7 @@
 use argh::FromArgs;
 use jacinthweir_testkit::matrix::cell::{Cell, all};
 use jacinthweir_testkit::matrix::report::{PageCfg, page};
-use jacinthweir_testkit::matrix::{self, MatrixCfg, MatrixEnd, Verdict};
+use jacinthweir_testkit::matrix::{self, MatrixCfg, MatrixResult, Verdict};
 
 /// Runs every fault at every step on real processes, and writes the page of the run.
 #[derive(FromArgs)]
@@ -24,10 +25,10 @@
     /// seed (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// another instance with fault points, such as one in which a safeguard was taken out
+    /// another instance binary with fault points, such as one with a safeguard removed
     #[argh(option)]
     program: Option<std::path::PathBuf>,
-    /// fleets side by side (default 3)
+    /// number of fleets that run in parallel (default 3)
     #[argh(option, default = "3")]
     fleets: usize,
 }
@@ -60,28 +61,28 @@
     let page = page(&cfg, &page_cfg(started), &end);
     let Some(out) = &args.out else {
         println!("{page}");
-        return verdict(&end);
+        return exit_code(&end);
     };
     if let Err(e) = std::fs::write(out, page) {
         eprintln!("fault_matrix: {}: {e}", out.display());
         return ExitCode::FAILURE;
     }
-    verdict(&end)
+    exit_code(&end)
 }
 
 fn page_cfg(started: Instant) -> PageCfg {
-    let given: Vec<String> = std::env::args().skip(1).collect();
+    let args: Vec<String> = std::env::args().skip(1).collect();
     let command = format!(
         "cargo run -p jacinthweir-testkit --example fault_matrix -- {}",
-        given.join(" ")
+        args.join(" ")
     );
     let seconds = started.elapsed().as_secs();
     PageCfg { command, seconds }
 }
 
-fn verdict(end: &MatrixEnd) -> ExitCode {
-    let lacks = |v: &Verdict| matches!(v, Verdict::Open(_) | Verdict::NotReached(_));
-    match end.cells.iter().any(|c| lacks(&c.verdict)) {
+fn exit_code(end: &MatrixResult) -> ExitCode {
+    let unproved = |v: &Verdict| matches!(v, Verdict::Open(_) | Verdict::NotReached(_));
+    match end.cells.iter().any(|c| unproved(&c.verdict)) {
         true => ExitCode::FAILURE,
         false => ExitCode::SUCCESS,
     }
--- a/testkit/src/matrix.rs
+++ b/testkit/src/matrix.rs
@@ -1,12 +1,13 @@
-//! The fault matrix: every fault at every step, on real processes.
+//! Fault matrix: injects every fault at every step of the work, on real processes.
 //!
 //! A cell is a short scripted run. The instance under test has fault points
-//! ([`jacinthweir_kernel::fault_point`]); a request, call, change or shutdown takes it to the
-//! step, where the fault comes. The same work is sent to another instance while the fault lasts
-//! and to a third one after it; all is healed, and the history is checked.
+//! ([`jacinthweir_kernel::fault_point`]). A request, call, change or shutdown takes it to the step,
+//! where the fault is injected. The same work is sent to a second instance during the fault and to
+//! a third one after it. All faults are then healed and the history is checked.
 //!
-//! A cell is proved only where the step was seen to be reached with the fault present and the
-//! checks found nothing. A cell that can't occur has its reason in [`cell::impossible`].
+//! A cell counts as proved only if the step was observed to be reached with the fault present and
+//! the checks found no violation. [`cell::impossible`] gives the reason for each cell that can't
+//! occur.
 
 pub mod cell;
 pub mod report;
@@ -21,94 +22,95 @@
 use cell::{Cell, impossible};
 use rig::Rig;
 
-/// What to run.
+/// Parameters of a run of the matrix.
 #[derive(Clone, Debug)]
 pub struct MatrixCfg {
-    /// Seed: number of the first change, call and prompt.
+    /// Seed, used as the number of the first change, call and prompt.
     pub seed: u64,
-    /// Fleets that run cells side by side.
+    /// Number of fleets that run cells in parallel.
     pub fleets: usize,
-    /// The instance with fault points; `None`: the one that [`fault_points::BUILD`] makes.
+    /// Instance binary with fault points; `None` selects the one that [`fault_points::BUILD`] builds.
     pub program: Option<PathBuf>,
-    /// Tells of each cell on standard error as it ends.
+    /// Prints each cell to standard error when it ends.
     pub verbose: bool,
 }
 
-/// What was found of a cell.
+/// Outcome of a cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The step was reached with the fault present, and the checks found nothing.
+    /// The step was reached with the fault present, and the checks found no violation.
     Proved,
-    /// It can't occur, for this reason.
+    /// The cell can't occur, for the given reason.
     Impossible(&'static str),
-    /// The step was not reached, or the fault did not come about: nothing is shown.
+    /// The step was not reached or the fault was not injected, so the cell proves nothing.
     NotReached(String),
-    /// What was seen.
+    /// The run failed or the checks found violations, as described.
     Open(String),
 }
 
-/// A cell with its verdict.
+/// A cell and its verdict.
 #[derive(Clone, Debug)]
-pub struct CellEnd {
+pub struct CellResult {
     /// The cell.
     pub cell: Cell,
-    /// What was found.
+    /// Its verdict.
     pub verdict: Verdict,
 }
 
-/// What a run of the matrix left.
+/// Result of a run of the matrix.
 #[derive(Clone, Debug, Default)]
-pub struct MatrixEnd {
-    /// Cells in order.
-    pub cells: Vec<CellEnd>,
-    /// Events of all histories.
+pub struct MatrixResult {
+    /// Results of the cells, in order.
+    pub cells: Vec<CellResult>,
+    /// Number of events in all histories.
     pub events: usize,
-    /// Submissions of all histories.
+    /// Number of submissions in all histories.
     pub submissions: usize,
 }
 
-/// Runs cells, each on one of several fleets.
+/// Runs cells, distributed over several fleets.
 ///
 /// # Errors
 ///
-/// Where the program with fault points isn't built, or no fleet starts.
-pub async fn run(cfg: &MatrixCfg, cells: &[Cell]) -> Result<MatrixEnd> {
+/// Returns an error if the instance with fault points isn't built or a fleet doesn't start.
+pub async fn run(cfg: &MatrixCfg, cells: &[Cell]) -> Result<MatrixResult> {
     let program = match &cfg.program {
         Some(path) => path.clone(),
         None => fault_points::program()?,
     };
-    let (none, some): (Vec<Cell>, Vec<Cell>) =
+    let (impossible_cells, runnable): (Vec<Cell>, Vec<Cell>) =
         cells.iter().partition(|cell| impossible(**cell).is_some());
-    let fleets = cfg.fleets.clamp(1, some.len().max(1));
+    let fleets = cfg.fleets.clamp(1, runnable.len().max(1));
     let shares = (0..fleets).map(|k| {
-        let share: Vec<Cell> = some.iter().copied().skip(k).step_by(fleets).collect();
+        let share: Vec<Cell> = runnable.iter().copied().skip(k).step_by(fleets).collect();
         let cfg = cfg.clone();
         tokio::spawn(run_share(cfg, program.clone(), k, share))
     });
-    let mut end = MatrixEnd::default();
+    let mut end = MatrixResult::default();
     for share in futures::future::join_all(shares).await {
         let share = share.map_err(|e| Error::Other(e.to_string()))??;
         end.cells.extend(share.cells);
         end.events += share.events;
         end.submissions += share.submissions;
     }
-    end.cells.extend(none.into_iter().filter_map(|cell| {
-        let reason = impossible(cell)?;
-        let verdict = Verdict::Impossible(reason);
-        Some(CellEnd { cell, verdict })
-    }));
+    end.cells
+        .extend(impossible_cells.into_iter().filter_map(|cell| {
+            let reason = impossible(cell)?;
+            let verdict = Verdict::Impossible(reason);
+            Some(CellResult { cell, verdict })
+        }));
     end.cells.sort_by_key(|end| end.cell);
     Ok(end)
 }
 
-/// Runs cells on one fleet; a fleet that does not serve again after a cell is replaced.
+/// Runs cells on one fleet and replaces the fleet if the run of a cell fails.
 async fn run_share(
     cfg: MatrixCfg,
     program: PathBuf,
     k: usize,
     cells: Vec<Cell>,
-) -> Result<MatrixEnd> {
-    let mut end = MatrixEnd::default();
+) -> Result<MatrixResult> {
+    let mut end = MatrixResult::default();
     let mut rig: Option<Rig> = None;
     for (n, cell) in cells.into_iter().enumerate() {
         let started = Instant::now();
@@ -133,7 +135,7 @@
             let took = started.elapsed().as_millis();
             eprintln!("{cell}: {} ({took} ms)", verdict.summary());
         }
-        end.cells.push(CellEnd { cell, verdict });
+        end.cells.push(CellResult { cell, verdict });
     }
     if let Some(rig) = rig {
         let (events, submissions) = rig.counts();
@@ -145,7 +147,7 @@
 }
 
 impl Verdict {
-    /// The verdict with its reason, in one line.
+    /// Formats the verdict with its reason in one line.
     #[must_use]
     pub fn summary(&self) -> String {
         match self {
--- a/testkit/src/matrix/cell.rs
+++ b/testkit/src/matrix/cell.rs
@@ -1,69 +1,69 @@
-//! Rows, columns, and the reasons of cells that can't occur.
+//! Faults (rows) and steps (columns) of the matrix, and the reasons of cells that can't occur.
 
 use derive_more::Display;
 pub use jacinthweir_kernel::fault_point::Step;
 
-/// A fault: a row.
+/// A fault, which is a row of the matrix.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
-    /// The instance ends at the step.
+    /// The instance aborts at the step.
     #[display("kill")]
     Kill,
-    /// It stands still at the step and wakes after the deadline.
+    /// The instance is suspended at the step and resumes after the deadline.
     #[display("freeze and wake")]
     Freeze,
-    /// The task waits at the step.
+    /// The task sleeps at the step.
     #[display("slow")]
     Slow,
     /// The instance's link to the platform is cut at the step.
     #[display("cut from the platform")]
     Cut,
-    /// The platform is out from the step on.
+    /// The platform becomes unavailable at the step.
     #[display("platform out")]
     PlatformOut,
-    /// The next writes take effect; their answers are lost.
+    /// The next writes take effect, but their answers are lost.
     #[display("write's answer lost")]
     AnswerLost,
-    /// The next writes land late; their answers are lost.
+    /// The next writes take effect late, and their answers are lost.
     #[display("write lands late")]
     WriteLate,
-    /// Upstreams die at the step.
+    /// Upstreams are killed at the step.
     #[display("upstreams die")]
     UpstreamsDie,
-    /// Links between runners slow a hundredfold at the step.
+    /// Links between runners are slowed by a factor of 100 at the step.
     #[display("links degrade")]
     LinksDegrade,
     /// An instance joins at the step.
     #[display("instance joins")]
     InstanceJoins,
-    /// Two operators apply different changes at the step.
+    /// Two operators concurrently apply different changes at the step.
     #[display("operators race")]
     OperatorsRace,
-    /// A lease lapses while its holder is paused.
+    /// A lease expires while its holder is paused.
     #[display("lease lapses while paused")]
     LeaseLapses,
-    /// The platform is out, and the instance ends.
+    /// The platform becomes unavailable and the instance is killed.
     #[display("platform out + kill")]
     PlatformOutKill,
-    /// The instance stands still, the platform is out when it wakes.
+    /// The instance is suspended, and the platform is unavailable when it resumes.
     #[display("freeze + platform out")]
     FreezePlatformOut,
-    /// Upstreams die, and the instance ends.
+    /// Upstreams are killed, then the instance.
     #[display("upstreams die + kill")]
     UpstreamsDieKill,
-    /// Upstreams die while the platform is out.
+    /// Upstreams are killed while the platform is unavailable.
     #[display("upstreams die + platform out")]
     UpstreamsDiePlatformOut,
-    /// The instance ends at the step, starts again, and ends there again.
+    /// The instance aborts at the step, restarts and aborts there again.
     #[display("kill twice")]
     KillTwice,
-    /// The instance stands still at the step twice.
+    /// The instance is suspended at the step twice.
     #[display("freeze twice")]
     FreezeTwice,
 }
 
 impl Fault {
-    /// All rows, in order.
+    /// All faults, in row order.
     pub const ALL: [Fault; 18] = [
         Fault::Kill,
         Fault::Freeze,
@@ -99,7 +99,7 @@
         )
     }
 
-    pub(super) fn spoils_writes(self) -> bool {
+    pub(super) fn affects_writes(self) -> bool {
         matches!(self, Fault::AnswerLost | Fault::WriteLate)
     }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    fn needs_upstreams(self) -> bool {
+    fn kills_upstreams(self) -> bool {
         matches!(
             self,
             Fault::UpstreamsDie | Fault::UpstreamsDieKill | Fault::UpstreamsDiePlatformOut
@@ -118,24 +118,24 @@
     }
 }
 
-/// What goes through a step.
+/// Kind of work that passes through a step.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Work {
     /// A model request.
     #[display("model request")]
     Model,
-    /// A call that may not be repeated, with a key.
+    /// A non-idempotent call with an idempotency key.
     #[display("claimed call")]
     Call,
-    /// A change of the schema.
+    /// A schema change.
     #[display("schema change")]
     Change,
-    /// A graceful shutdown, with a model's answer being streamed.
+    /// A graceful shutdown while a model's answer is streamed.
     #[display("drain")]
     Drain,
 }
 
-/// The work that goes through a step.
+/// Returns the kind of work that passes through a step.
 #[must_use]
 pub fn work_of(step: Step) -> Work {
     match step {
@@ -159,13 +159,13 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 #[display("{fault} at {step}")]
 pub struct Cell {
-    /// Column.
+    /// Step (column).
     pub step: Step,
-    /// Row.
+    /// Fault (row).
     pub fault: Fault,
 }
 
-/// Every cell, column by column.
+/// Returns every cell, column by column.
 #[must_use]
 pub fn all() -> Vec<Cell> {
     let cells = Step::ALL.into_iter().flat_map(|step| {
@@ -175,7 +175,7 @@
     cells.collect()
 }
 
-/// Why a cell can't occur; `None`: it can.
+/// Returns why a cell can't occur, or `None` if it can.
 #[must_use]
 pub fn impossible(cell: Cell) -> Option<&'static str> {
     let work = work_of(cell.step);
@@ -196,7 +196,7 @@
             Some("a call is run by one service instance: there is no link between stages")
         }
         (Fault::LinksDegrade, Work::Change) => Some("a change sends nothing to a runner"),
-        (fault, Work::Change) if fault.needs_upstreams() => {
+        (fault, Work::Change) if fault.kills_upstreams() => {
             Some("a change sends nothing to an upstream")
         }
         _ => None,
--- a/testkit/src/matrix/report.rs
+++ b/testkit/src/matrix/report.rs
@@ -1,23 +1,23 @@
-//! The page of a run: `docs/FAULTS.md`.
+//! Report of a run as a Markdown page: `docs/FAULTS.md`.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 use super::cell::{Cell, Fault, Step, work_of};
-use super::{MatrixCfg, MatrixEnd, Verdict};
+use super::{MatrixCfg, MatrixResult, Verdict};
 
-/// What the page is told besides the run.
+/// Facts on the page that are not part of the result.
 #[derive(Clone, Debug)]
 pub struct PageCfg {
-    /// The command of the run.
+    /// Command line of the run.
     pub command: String,
-    /// How long the run took, in seconds.
+    /// Duration of the run, in seconds.
     pub seconds: u64,
 }
 
-/// The page of a run.
+/// Returns the page of a run.
 #[must_use]
-pub fn page(cfg: &MatrixCfg, page: &PageCfg, end: &MatrixEnd) -> String {
+pub fn page(cfg: &MatrixCfg, page: &PageCfg, end: &MatrixResult) -> String {
     let mut out = String::from(INTRO);
     let count = |is: fn(&Verdict) -> bool| end.cells.iter().filter(|c| is(&c.verdict)).count();
     let impossible = count(|v| matches!(v, Verdict::Impossible(_)));
@@ -45,8 +45,8 @@
         cfg.seed, page.seconds
     );
     let _ = writeln!(out, "\nCommand: `{}`\n", page.command);
-    grid(&mut out, end);
-    reasons(&mut out, end);
+    write_grid(&mut out, end);
+    write_reasons(&mut out, end);
     out
 }
 
@@ -72,7 +72,7 @@
 
 ";
 
-fn grid(out: &mut String, end: &MatrixEnd) {
+fn write_grid(out: &mut String, end: &MatrixResult) {
     let verdicts: BTreeMap<Cell, &Verdict> =
         end.cells.iter().map(|c| (c.cell, &c.verdict)).collect();
     let _ = writeln!(
@@ -81,14 +81,14 @@
     );
     let head: Vec<String> = Step::ALL.iter().map(ToString::to_string).collect();
     let _ = writeln!(out, "| | {} |", head.join(" | "));
-    let works: Vec<String> = Step::ALL.iter().map(|s| work_of(*s).to_string()).collect();
+    let work_kinds: Vec<String> = Step::ALL.iter().map(|s| work_of(*s).to_string()).collect();
     let _ = writeln!(out, "|---|{}", "---|".repeat(head.len()));
     let _ = writeln!(
         out,
         "| *{}* |",
         ["of a"]
             .into_iter()
-            .chain(works.iter().map(String::as_str))
+            .chain(work_kinds.iter().map(String::as_str))
             .collect::<Vec<_>>()
             .join("* | *")
     );
@@ -104,9 +104,9 @@
     }
 }
 
-fn reasons(out: &mut String, end: &MatrixEnd) {
+fn write_reasons(out: &mut String, end: &MatrixResult) {
     let mut impossible = BTreeMap::<&str, Vec<String>>::new();
-    let mut rest = Vec::new();
+    let mut unproved = Vec::new();
     for c in &end.cells {
         match &c.verdict {
             Verdict::Proved => {}
@@ -117,7 +117,7 @@
                     .push(c.cell.to_string());
             }
             Verdict::NotReached(_) | Verdict::Open(_) => {
-                rest.push(format!("- {}: {}", c.cell, c.verdict.summary()));
+                unproved.push(format!("- {}: {}", c.cell, c.verdict.summary()));
             }
         }
     }
@@ -126,9 +126,9 @@
         let _ = writeln!(out, "- {reason}: {}", cells.join(", "));
     }
     let _ = writeln!(out, "\n## Open and not reached\n");
-    match rest.is_empty() {
+    match unproved.is_empty() {
         true => out.push_str("None.\n"),
-        false => rest.iter().for_each(|line| {
+        false => unproved.iter().for_each(|line| {
             let _ = writeln!(out, "{line}");
         }),
     }
--- a/testkit/src/matrix/rig.rs
+++ b/testkit/src/matrix/rig.rs
@@ -1,4 +1,4 @@
-//! The fleet of one share of the matrix, its history, and what is sent to it.
+//! Fleet of one share of the matrix, with its history and the work sent to it.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -22,29 +22,30 @@
 
 /// Deployment of the matrix.
 pub(super) const DEPLOYMENT: Deployment = Deployment::Tallinna;
-/// Longest wait until a commit is in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(30);
-/// Period of looking whether it is.
-const LOOK: Duration = Duration::from_millis(20);
-/// Longest wait for any answer.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// How long answers that callers keep are good, in milliseconds: short, for quick shutdowns.
+/// Maximum wait until a commit is in force on every instance.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between checks for that.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum wait for any answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time to live of cached entry answers, in milliseconds; short, so that shutdowns are quick.
 const ENTRY_TTL_MS: u64 = 500;
-/// Speed of the runners against their declarations: a token takes 50 to 110 ms.
+/// Speed of the runners relative to their declarations; a token takes 50 to 110 ms.
 const SPEED: f64 = 0.006;
-/// Salts of races come after this one.
-const RACES: u64 = 1_000_000_000_006;
-/// Time after which a violation is looked at again, with all witnesses complete.
-const COMPLETE: Duration = Duration::from_secs(2);
+/// Base of the salts of operator races.
+const RACE_SALT_BASE: u64 = 1_000_000_000_006;
+/// Delay before violations are checked again, by which time all witnesses are complete.
+const RECHECK_DELAY: Duration = Duration::from_secs(2);
 
-/// A fleet with its history.
+/// A fleet and its recorded history.
 pub(super) struct Rig {
     pub(super) fleet: Fleet,
     pub(super) recorder: Arc<Recorder>,
-    /// What earlier incarnations of the services ran.
+    /// Calls run by earlier incarnations of the services.
     ran_before: Vec<RanCall>,
+    /// Violations that were already attributed to a cell.
     known: Vec<Violation>,
-    /// Requests of cells that were checked: what runners still do for them is left out.
+    /// Requests of cells already checked; later work of the runners for them is ignored.
     archived: BTreeSet<Name>,
     events_before: usize,
     submissions_before: usize,
@@ -91,10 +92,11 @@
         self.fleet.stop().await
     }
 
-    /// Waits until the newest commit that operators were told of is in force on every instance: a
-    /// change over an older revision is rightly refused, and would not reach its step.
+    /// Waits until the newest commit reported to an operator is in force on every instance.
+    ///
+    /// A change based on an older revision is refused and would not reach its step.
     pub(super) async fn wait_in_force(&self) -> Result<()> {
-        let until = Instant::now() + IN_FORCE;
+        let until = Instant::now() + IN_FORCE_TIMEOUT;
         while Instant::now() < until {
             let newest = self.newest_commit();
             let mut behind = false;
@@ -105,7 +107,7 @@
             if !behind {
                 return Ok(());
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         let msg = "a commit is not in force everywhere";
         Err(Error::Other(msg.to_owned()))
@@ -117,21 +119,22 @@
         revisions.max().unwrap_or(0)
     }
 
-    /// Events and submissions of the history.
+    /// Returns the numbers of events and submissions of the history.
     pub(super) fn counts(&self) -> (usize, usize) {
         let history = self.recorder.history();
         let submissions = self.submissions_before + history.submissions.len();
         (self.events_before + history.events(), submissions)
     }
 
-    /// Collects what upstreams ran and gives what the checks newly find. A part that was taken
-    /// from one runner and not yet from the next looks like a gap, so a finding counts only where
-    /// it is still there once all parts are taken.
+    /// Collects the work of the upstreams and returns violations not yet known.
+    ///
+    /// Work collected from one runner but not yet from the next looks like a gap, so a violation
+    /// counts only if it persists once all witnesses are complete.
     pub(super) async fn new_violations(&mut self) -> Result<Vec<Violation>> {
         if self.check().await?.is_empty() {
             return Ok(Vec::new());
         }
-        tokio::time::sleep(COMPLETE).await;
+        tokio::time::sleep(RECHECK_DELAY).await;
         let found = self.check().await?;
         self.known.extend(found.iter().cloned());
         Ok(found)
@@ -144,7 +147,7 @@
         Ok(new.collect())
     }
 
-    /// Takes what the runners and services ran.
+    /// Adds the work that the runners and services ran to the history.
     pub(super) async fn collect(&mut self) -> Result<()> {
         for i in 0..self.fleet.runners.len() {
             let mut witness = self.fleet.runner_admin(i).take_witness().await?;
@@ -159,8 +162,10 @@
         Ok(())
     }
 
-    /// Puts aside the model requests of a checked cell: a runner that was killed in it then
-    /// doesn't soften the checks of the cells after it. Calls and commits stay.
+    /// Removes the model requests of a checked cell from the history.
+    ///
+    /// The checks tolerate missing work of killed runners; without this, a runner killed in one
+    /// cell would weaken the checks of later cells. Calls and commits stay.
     pub(super) fn archive(&mut self) {
         let mut history = self.recorder.history();
         let (events, submissions) = (history.events(), history.submissions.len());
@@ -176,14 +181,16 @@
         self.submissions_before += submissions - history.submissions.len();
     }
 
-    /// Salt of the next race of operators. Its last digit is 6, those of changes' own numbers are
-    /// 0 and 1, so that a race never leaves the very weight that a change is to set.
+    /// Returns the salt of the next operator race.
+    ///
+    /// Its last digit is 6 and those of the numbers of changes are 0 and 1, so that a race never
+    /// sets the weight that a change is about to set.
     pub(super) fn race_salt(&mut self) -> u64 {
         self.races += 10;
-        RACES + self.races
+        RACE_SALT_BASE + self.races
     }
 
-    /// Keeps what a service ran, and kills it.
+    /// Records the calls that a service ran, then kills it.
     pub(super) async fn kill_service(&mut self, i: usize) -> Result<()> {
         let ran = self.fleet.service_admin(i).ran().await?;
         self.ran_before.extend(ran);
@@ -191,42 +198,51 @@
     }
 
     /// Sends a model request to an instance.
-    pub(super) fn model(&self, i: usize, ask: Ask) -> Result<JoinHandle<()>> {
-        let prompt = format!("Signal {} for a run of the matrix.", ask.number);
+    pub(super) fn send_model_request(
+        &self,
+        i: usize,
+        params: SubmissionParams,
+    ) -> Result<JoinHandle<()>> {
+        let prompt = format!("Signal {} for a run of the matrix.", params.number);
         let call = ModelCall {
             pipeline: DEPLOYMENT.pipeline().into(),
             prompt: prompt.clone(),
-            max_tokens: ask.tokens,
-            deadline_ms: Some(ask.deadline_ms),
+            max_tokens: params.tokens,
+            deadline_ms: Some(params.deadline_ms),
         };
-        let expected = text::answer(&prompt, ask.tokens);
-        let sender = self.sender(i, ask.number, Work::Model { expected })?;
+        let expected = text::answer(&prompt, params.tokens);
+        let sender = self.sender(i, params.number, Work::Model { expected })?;
         Ok(tokio::spawn(async move {
             let sent_ms = unix_ms();
-            let seen = patient(sender.caller.complete(sender.at, &call)).await;
+            let seen = with_answer_timeout(sender.caller.complete(sender.at, &call)).await;
             sender.record(sent_ms, seen);
         }))
     }
 
-    /// Sends a call that may not be repeated to an instance.
-    pub(super) fn call(&self, i: usize, ask: Ask, key: &str) -> Result<JoinHandle<()>> {
-        let body = format!(r#"{{"matrix":{}}}"#, ask.number);
+    /// Sends a non-idempotent call to an instance.
+    pub(super) fn send_call(
+        &self,
+        i: usize,
+        params: SubmissionParams,
+        key: &str,
+    ) -> Result<JoinHandle<()>> {
+        let body = format!(r#"{{"matrix":{}}}"#, params.number);
         let call = ServiceCall {
             service: DEPLOYMENT.service().into(),
             call: DEPLOYMENT.non_idempotent_call().into(),
             key: Some(key.to_owned()),
             body: body.clone(),
-            deadline_ms: Some(ask.deadline_ms),
+            deadline_ms: Some(params.deadline_ms),
         };
         let work = Work::Call {
             idempotent: false,
             key: Some(key.to_owned()),
             body,
         };
-        let sender = self.sender(i, ask.number, work)?;
+        let sender = self.sender(i, params.number, work)?;
         Ok(tokio::spawn(async move {
             let sent_ms = unix_ms();
-            let seen = patient(sender.caller.call(sender.at, &call)).await;
+            let seen = with_answer_timeout(sender.caller.call(sender.at, &call)).await;
             sender.record(sent_ms, seen);
         }))
     }
@@ -243,9 +259,9 @@
     }
 }
 
-/// Size and time of a submission.
+/// Number, size and deadline of a submission.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Ask {
+pub(super) struct SubmissionParams {
     pub(super) number: u64,
     pub(super) tokens: u32,
     pub(super) deadline_ms: u64,
@@ -277,8 +293,9 @@
     }
 }
 
-async fn patient(asked: impl Future<Output = Observation>) -> Observation {
-    let seen = tokio::time::timeout(PATIENCE, asked).await;
+/// Returns the observation of a caller that gives up after [`ANSWER_TIMEOUT`].
+async fn with_answer_timeout(request: impl Future<Output = Observation>) -> Observation {
+    let seen = tokio::time::timeout(ANSWER_TIMEOUT, request).await;
     seen.unwrap_or_else(|_| Observation {
         broken: Some("gave up waiting".into()),
         ..Observation::default()
--- a/testkit/tests/matrix.rs
+++ b/testkit/tests/matrix.rs
@@ -1,9 +1,9 @@
-//! The fault matrix: every cell is there, and a chosen few hold on real processes.
+//! Tests that the fault matrix is complete, and runs a few of its cells on real processes.
 
 use googletest::prelude::*;
 use jacinthweir_testkit::matrix::cell::{Cell, Fault, Step, all, impossible};
 use jacinthweir_testkit::matrix::report::{PageCfg, page};
-use jacinthweir_testkit::matrix::{self, CellEnd, MatrixCfg, MatrixEnd, Verdict};
+use jacinthweir_testkit::matrix::{self, CellResult, MatrixCfg, MatrixResult, Verdict};
 
 const CFG: MatrixCfg = MatrixCfg {
     seed: 7,
@@ -12,7 +12,7 @@
     verbose: false,
 };
 
-async fn verdict(fault: Fault, step: Step) -> Verdict {
+async fn run_cell(fault: Fault, step: Step) -> Verdict {
     let cell = Cell { step, fault };
     let end = matrix::run(&CFG, &[cell]).await.expect("runs");
     end.cells[0].verdict.clone()
@@ -32,7 +32,7 @@
         }
     }
     expect_that!(cells.len(), eq(Step::ALL.len() * Fault::ALL.len()));
-    // A process can end, stand still and be slow anywhere.
+    // A process can be killed, frozen or slow at any step, and the platform can be unavailable.
     for step in Step::ALL {
         for fault in [Fault::Kill, Fault::Freeze, Fault::Slow, Fault::PlatformOut] {
             expect_that!(
@@ -55,13 +55,13 @@
         (Fault::Freeze, Verdict::NotReached("not seen".to_owned())),
         (Fault::Slow, Verdict::Open("call x: ran 2 times".to_owned())),
     ];
-    let cells = ends.map(|(fault, verdict)| CellEnd {
+    let cells = ends.map(|(fault, verdict)| CellResult {
         cell: cell(fault),
         verdict,
     });
-    let end = MatrixEnd {
+    let end = MatrixResult {
         cells: cells.to_vec(),
-        ..MatrixEnd::default()
+        ..MatrixResult::default()
     };
     let cfg = PageCfg {
         command: "command".to_owned(),
@@ -77,41 +77,39 @@
     );
 }
 
-// The caller sees a broken connection, sends its key again elsewhere at once and later, and the
-// service has run the call at most once.
-// Order: the claim stands; its instance ends before anything is dispatched; the key comes to a
-// second instance, then to a third.
-// Why: a second instance that took the claim over could not tell whether the first dispatched.
+// The claimant is killed after its claim is stored and before the call is dispatched. The caller
+// sees a broken connection and sends its key to a second instance at once and to a third one later.
+// The service must run the call at most once: an instance that took over the claim could not tell
+// whether the claimant had dispatched the call.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_between_claim_and_dispatch() {
     expect_that!(
-        verdict(Fault::Kill, Step::Claimed).await,
+        run_cell(Fault::Kill, Step::Claimed).await,
         eq(&Verdict::Proved)
     );
 }
 
-// The caller's deadline passes without an answer, the key sent again elsewhere is told the truth,
-// and the service has run the call at most once.
-// Order: the claim stands; its instance stands still over the deadline; the key comes to a second
-// instance; the first wakes and would dispatch.
-// Why: a dispatch after the deadline would run a call that others were told is over.
+// The claimant is frozen after its claim is stored and resumes after the deadline of the caller.
+// Meanwhile the key is sent to a second instance, which must report the true outcome. The service
+// must run the call at most once: a dispatch after the deadline would run a call that was already
+// reported as over.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn frozen_between_claim_and_dispatch_and_woken_after_the_deadline() {
     expect_that!(
-        verdict(Fault::Freeze, Step::Claimed).await,
+        run_cell(Fault::Freeze, Step::Claimed).await,
         eq(&Verdict::Proved)
     );
 }
 
-// The operator sees a broken connection and applies the same change elsewhere; it is committed
-// once and comes into force everywhere.
-// Order: all parts stand; the instance ends before it sends the head; the change comes to others.
-// Why: parts without a head must neither count as a commit nor block the next one.
+// The instance is killed after it has written all parts and before it sends the head. The operator
+// sees a broken connection and applies the same change at other instances, where it is committed
+// once and comes into force everywhere. Parts without a head must neither count as a commit nor
+// block the next one.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_between_parts_and_head() {
-    let found = verdict(Fault::Kill, Step::PartsWritten).await;
+    let found = run_cell(Fault::Kill, Step::PartsWritten).await;
     expect_that!(found, eq(&Verdict::Proved));
 }
