--- a/testkit/examples/measure_recovery.rs
+++ b/testkit/examples/measure_recovery.rs
@@ -1,8 +1,8 @@
-//! Recovery time after a failure, on real processes: the table of docs/RECOVERY.md.
+//! Measures recovery times after failures on real processes, for the table of docs/RECOVERY.md.
 //!
 //! `cargo run --release -p jacinthweir-testkit --example measure_recovery [-- --seeds 5]`
 //!
-//! Exit code 1 where a caller got a wrong answer.
+//! The exit code is 1 if a caller got a wrong answer.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -20,22 +20,22 @@
     /// first seed
     #[argh(option, default = "1")]
     from_seed: u64,
-    /// requests a second
+    /// mean number of requests per second
     #[argh(option, default = "16.0")]
     rate: f64,
-    /// load before the failure, in seconds
+    /// duration of the load before the failure, in seconds
     #[argh(option, default = "4")]
     warm: u64,
-    /// load after the failure, in seconds
+    /// duration of the load after the failure, in seconds
     #[argh(option, default = "10")]
     after: u64,
-    /// how long the platform is out, in seconds
+    /// duration of the platform outage, in seconds
     #[argh(option, default = "6")]
     outage: u64,
     /// only scenarios whose name contains this; the control always runs
     #[argh(option)]
     only: Option<String>,
-    /// where the runs go as JSON
+    /// file for the results as JSON
     #[argh(option)]
     json: Option<PathBuf>,
     /// folder for the instances' logs of each run
@@ -70,7 +70,8 @@
     Ok(())
 }
 
-/// All chosen scenarios at one seed; the control first, which the others are held against.
+/// Runs all selected scenarios with one seed, starting with the control run that they are compared
+/// with.
 async fn measure(
     args: &Args,
     cfg: &RecoveryCfg,
@@ -84,14 +85,14 @@
         if !chosen && scenario != Scenario::Control {
             continue;
         }
-        // The outage's run is longer than the control.
+        // The run with the platform outage is longer than the control run.
         let reference = control
             .as_deref()
             .filter(|_| scenario != Scenario::PlatformOut);
         let run = recovery::run(cfg, scenario, seed, reference).await?;
         eprintln!("{}", serde_json::to_string(&run)?);
         if let Some(dir) = &args.logs {
-            keep_logs(dir, &run)?;
+            write_logs(dir, &run)?;
         }
         if scenario == Scenario::Control {
             control = Some(run.figures.timeline.clone());
@@ -101,7 +102,7 @@
     Ok(())
 }
 
-fn keep_logs(dir: &std::path::Path, run: &RecoveryRun) -> eyre::Result<()> {
+fn write_logs(dir: &std::path::Path, run: &RecoveryRun) -> eyre::Result<()> {
     std::fs::create_dir_all(dir)?;
     for (i, log) in run.logs.iter().enumerate() {
         let name = format!("{}-{}-entry-{i}.log", run.scenario, run.seed);
--- a/testkit/src/recovery.rs
+++ b/testkit/src/recovery.rs
@@ -1,9 +1,9 @@
-//! Recovery time after a failure, on real processes under an open-loop load.
+//! Measurement of recovery time after a failure, on real processes under open-loop load.
 //!
-//! One run starts a fleet, loads it with seeded arrivals, brings one [`Scenario`]'s failure about
-//! after the warm-up, and keeps the load on while the failure lasts. Every token's time and every
-//! outcome is as the caller saw it. All times count from the moment before the failure is brought
-//! about. The control runs of the same seeds say what throughput would have been without it.
+//! A run starts a fleet, loads it with seeded arrivals, injects the failure of one [`Scenario`]
+//! after the warm-up and continues the load during the failure. Token times and outcomes are those
+//! observed by the callers. All times count from the moment before the failure is injected. The
+//! control runs with the same seeds give the throughput without the failure.
 
 pub mod figures;
 pub mod scenario;
@@ -18,29 +18,29 @@
 use crate::load::arrivals::{Arrival, ArrivalsCfg};
 use crate::load::result::violation;
 use crate::{Fleet, FleetCfg, Result, load};
-use figures::{Figures, SeenAt};
+use figures::{Figures, TimedObservation};
 use scenario::Scenario;
 use suspicions::Suspicions;
 
-/// Runners of a run's fleet: each layer has holders in more than one failure domain.
+/// Number of runners of a fleet; each layer has holders in more than one failure domain.
 const RUNNERS: usize = 18;
-/// Speed of the runners against the samples: a step takes much longer than a timer's granularity.
+/// Speed of the runners relative to the samples; a step takes much longer than the timer granularity.
 const SPEED: f64 = 0.2;
-/// How old load reports are in the control run with slow ones, in milliseconds.
+/// Staleness of load reports in the control run with slow reports, in milliseconds.
 const SLOW_REPORT_MS: u64 = 3_000;
 
-/// What a run does.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct RecoveryCfg {
-    /// Deployment.
+    /// Deployment under test.
     pub deployment: Deployment,
-    /// Load before the failure.
+    /// Duration of the load before the failure.
     pub warm: Duration,
-    /// Load after it.
+    /// Duration of the load after the failure.
     pub after: Duration,
-    /// How long the platform is out.
+    /// Duration of the platform outage.
     pub outage: Duration,
-    /// Requests a second.
+    /// Mean number of requests per second.
     pub rate_per_s: f64,
 }
 
@@ -56,29 +56,31 @@
     }
 }
 
-/// One run.
+/// Result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct RecoveryRun {
     /// Scenario.
     pub scenario: Scenario,
-    /// Seed of the arrivals, and of which runner or instance fails.
+    /// Seed of the arrivals and of the choice of the runner or instance that fails.
     pub seed: u64,
-    /// What failed, by name.
+    /// Names of the processes or domains that failed.
     pub failed: Vec<String>,
-    /// What callers saw.
+    /// Figures observed by callers.
     pub figures: Figures,
-    /// What the instances suspected over the whole run.
+    /// Suspicions of the instances over the whole run.
     pub suspicions: Suspicions,
-    /// Instances' logs, where an answer was wrong or a stream recovered late.
+    /// Logs of the instances, for the analysis of wrong answers or late recovery.
     #[serde(skip)]
     pub logs: Vec<String>,
 }
 
-/// Runs one scenario at one seed. `control` are the tokens of the control run at the same seed.
+/// Runs one scenario with one seed.
+///
+/// `control` is the token timeline of the control run with the same seed.
 ///
 /// # Errors
 ///
-/// Where the fleet does not start or a process can't be reached.
+/// Returns an error if the fleet does not start or a process can't be reached.
 pub async fn run(
     cfg: &RecoveryCfg,
     scenario: Scenario,
@@ -89,29 +91,38 @@
     fleet.apply().await?;
     let arrivals = arrivals_cfg(cfg, scenario, seed);
     let start = Instant::now();
-    let load = tokio::spawn(watch(cfg.deployment, arrivals, fleet.entries(), start));
+    let load = tokio::spawn(observe_load(
+        cfg.deployment,
+        arrivals,
+        fleet.entries(),
+        start,
+    ));
     tokio::time::sleep(cfg.warm).await;
-    let struck = scenario::strike(&mut fleet, scenario, seed).await?;
+    let injected = scenario::inject(&mut fleet, scenario, seed).await?;
     if scenario == Scenario::PlatformOut {
         tokio::time::sleep(cfg.outage).await;
         scenario::heal(&fleet, scenario).await?;
     }
     let seen = match load.await {
         Ok(seen) => seen?,
-        Err(err) => return Err(crate::Error::Other(format!("the load failed: {err}"))),
+        Err(err) => {
+            return Err(crate::Error::Other(format!(
+                "the load generator failed: {err}"
+            )));
+        }
     };
     let suspicions = suspicions::read(&fleet).await?;
     let logs = fleet.instances.iter().map(|i| i.process.log()).collect();
     let span = figures::Span {
-        struck: struck.at.saturating_duration_since(start),
+        failure: injected.at.saturating_duration_since(start),
         end: cfg.warm + cfg.after,
     };
-    let figures = Figures::work_out(&seen, span, control);
+    let figures = Figures::compute(&seen, span, control);
     fleet.stop().await?;
     Ok(RecoveryRun {
         scenario,
         seed,
-        failed: struck.failed,
+        failed: injected.failed,
         figures,
         suspicions,
         logs,
@@ -128,8 +139,8 @@
     fleet
 }
 
-/// How long load lasts after the failure.
-fn lasts(cfg: &RecoveryCfg, scenario: Scenario) -> Duration {
+/// Returns how long the load continues after the failure.
+fn load_after_failure(cfg: &RecoveryCfg, scenario: Scenario) -> Duration {
     match scenario {
         Scenario::PlatformOut => cfg.after.max(cfg.outage + cfg.after / 2),
         _ => cfg.after,
@@ -137,7 +148,7 @@
 }
 
 fn arrivals_cfg(cfg: &RecoveryCfg, scenario: Scenario, seed: u64) -> ArrivalsCfg {
-    let length = cfg.warm + lasts(cfg, scenario);
+    let length = cfg.warm + load_after_failure(cfg, scenario);
     ArrivalsCfg {
         seed,
         rate_per_s: cfg.rate_per_s,
@@ -147,15 +158,16 @@
     }
 }
 
-async fn watch(
+/// Runs the load and collects the observations of the callers.
+async fn observe_load(
     deployment: Deployment,
     arrivals: ArrivalsCfg,
     entries: Vec<std::net::SocketAddr>,
     start: Instant,
-) -> Result<Vec<SeenAt>> {
+) -> Result<Vec<TimedObservation>> {
     let mut all = Vec::new();
     let take = |arrival: &Arrival, seen: &crate::caller::Observation| {
-        all.push(SeenAt {
+        all.push(TimedObservation {
             at_us: arrival.at_us,
             model: matches!(arrival.ask, load::arrivals::Ask::Model(_)),
             violation: violation(arrival, seen),
--- a/testkit/src/recovery/scenario.rs
+++ b/testkit/src/recovery/scenario.rs
@@ -1,4 +1,4 @@
-//! The failures that recovery is measured after.
+//! Failure scenarios for the measurement of recovery.
 
 use std::time::Instant;
 
@@ -8,12 +8,12 @@
 use crate::runner::knobs::Knobs;
 use crate::{Error, Fleet, Result};
 
-/// Factor of a degraded link.
-const SLOW_LINK: u32 = 100;
-/// A layer whose range is left with one holder: the last, which three of a run's runners hold.
+/// Slowdown factor of a degraded link.
+const SLOW_LINK_FACTOR: u32 = 100;
+/// The layer that is left with one holder: the last one, which three runners of a fleet hold.
 const LAST_LAYER: u32 = crate::fleet::deployment::LAYERS - 1;
 
-/// A failure, or none.
+/// A failure, or a control run without one.
 #[derive(
     Clone, Copy, Debug, derive_more::Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -22,19 +22,19 @@
     /// Nothing fails.
     #[display("control")]
     Control,
-    /// Nothing fails, and load reports are late.
+    /// Nothing fails, but load reports are delayed.
     #[display("control, slow reports")]
     ControlSlowReports,
     /// A runner is killed.
     #[display("runner killed")]
     RunnerKilled,
-    /// A runner stands still.
+    /// A runner is suspended.
     #[display("runner frozen")]
     RunnerFrozen,
     /// All holders but one of the last layer are killed.
     #[display("one holder left")]
     OneHolder,
-    /// A runner's link to the next stage slows a hundredfold.
+    /// A runner's link to the next stage is slowed by a factor of 100.
     #[display("link slow x100")]
     LinkSlow,
     /// All runners, services and instances of one failure domain are killed.
@@ -43,13 +43,13 @@
     /// An entry instance is killed.
     #[display("instance killed")]
     InstanceKilled,
-    /// The platform is out for a while.
+    /// The platform is temporarily unavailable.
     #[display("platform out")]
     PlatformOut,
 }
 
 impl Scenario {
-    /// All, controls first.
+    /// All scenarios, controls first.
     pub const ALL: [Self; 9] = [
         Self::Control,
         Self::ControlSlowReports,
@@ -63,24 +63,24 @@
     ];
 }
 
-/// What failed when.
+/// An injected failure.
 #[derive(Clone, Debug)]
-pub struct Struck {
-    /// Right before the first process was signalled or told.
+pub struct InjectedFailure {
+    /// Time right before the first process was signalled or called.
     pub at: Instant,
-    /// Names.
+    /// Names of the processes or domains that failed.
     pub failed: Vec<String>,
 }
 
-/// Brings the failure about.
+/// Injects the failure of a scenario.
 ///
 /// # Errors
 ///
-/// Where a process can't be signalled or a stand-in doesn't answer.
-pub async fn strike(fleet: &mut Fleet, scenario: Scenario, seed: u64) -> Result<Struck> {
+/// Returns an error if a process can't be signalled or a stand-in doesn't answer.
+pub async fn inject(fleet: &mut Fleet, scenario: Scenario, seed: u64) -> Result<InjectedFailure> {
     let pick = usize::try_from(seed).unwrap_or(0);
     let instance = pick % fleet.instances.len();
-    // Found before the clock is read: asking all runners takes a while.
+    // Determined before the clock is read, since querying all runners takes time.
     let runner = busiest(fleet, pick).await?;
     let at = Instant::now();
     let failed = match scenario {
@@ -93,16 +93,16 @@
             fleet.runners[runner].process.freeze()?;
             vec![fleet.runners[runner].listing.name.to_string()]
         }
-        Scenario::OneHolder => leave_one_holder(fleet, pick).await?,
+        Scenario::OneHolder => kill_holders_but_one(fleet, pick).await?,
         Scenario::LinkSlow => {
             let knobs = Knobs {
-                link_factor: Some(SLOW_LINK),
+                link_factor: Some(SLOW_LINK_FACTOR),
                 ..Knobs::default()
             };
             fleet.runner_admin(runner).set(&knobs).await?;
             vec![fleet.runners[runner].listing.name.to_string()]
         }
-        Scenario::DomainLost => lose_domain(fleet, pick).await?,
+        Scenario::DomainLost => kill_domain(fleet, pick).await?,
         Scenario::InstanceKilled => {
             fleet.instances[instance].process.kill().await?;
             vec![fleet.instances[instance].name.to_string()]
@@ -112,14 +112,14 @@
             vec!["platform".to_owned()]
         }
     };
-    Ok(Struck { at, failed })
+    Ok(InjectedFailure { at, failed })
 }
 
-/// Ends a failure that has an end.
+/// Heals a failure that is temporary.
 ///
 /// # Errors
 ///
-/// Where the platform doesn't answer.
+/// Returns an error if the platform doesn't answer.
 pub async fn heal(fleet: &Fleet, scenario: Scenario) -> Result<()> {
     match scenario {
         Scenario::PlatformOut => fleet.platform_admin().fault(&Fault::None).await,
@@ -127,8 +127,9 @@
     }
 }
 
-/// One of the three runners that ran most so far, by the seed: the failure of an idle one would
-/// show nothing.
+/// Returns one of the three runners that have run the most work, chosen by the seed.
+///
+/// The failure of an idle runner would have no effect to measure.
 async fn busiest(fleet: &Fleet, pick: usize) -> Result<usize> {
     let mut by_work = Vec::new();
     for i in 0..fleet.runners.len() {
@@ -140,24 +141,26 @@
     chosen.ok_or_else(|| Error::Other("the fleet has no runners".to_owned()))
 }
 
-async fn leave_one_holder(fleet: &mut Fleet, pick: usize) -> Result<Vec<String>> {
+/// Kills all holders of the last layer but one and returns their names.
+async fn kill_holders_but_one(fleet: &mut Fleet, pick: usize) -> Result<Vec<String>> {
     let holds = |cfg: &crate::RunnerCfg| cfg.holds.iter().any(|h| h.layers.end > LAST_LAYER);
     let holders: Vec<usize> = (0..fleet.runners.len())
         .filter(|i| holds(&fleet.runners[*i].cfg))
         .collect();
-    // The slowest holder could not carry the load: recovery would be bounded by capacity.
+    // A slow holder could not carry the load, and capacity would bound the recovery.
     let fast = |i: &&usize| fleet.runners[**i].listing.group.ends_with("fast");
     let fast: Vec<usize> = holders.iter().filter(fast).copied().collect();
-    let stays = fast.get(pick % fast.len().max(1)).copied();
+    let survivor = fast.get(pick % fast.len().max(1)).copied();
     let mut failed = Vec::new();
-    for i in holders.into_iter().filter(|i| Some(*i) != stays) {
+    for i in holders.into_iter().filter(|i| Some(*i) != survivor) {
         failed.push(fleet.runners[i].listing.name.to_string());
         fleet.runners[i].process.kill().await?;
     }
     Ok(failed)
 }
 
-async fn lose_domain(fleet: &mut Fleet, pick: usize) -> Result<Vec<String>> {
+/// Kills all processes of one failure domain and returns its name.
+async fn kill_domain(fleet: &mut Fleet, pick: usize) -> Result<Vec<String>> {
     let domains = fleet.deployment.domains();
     let domain = domains[pick % domains.len()];
     let runners = fleet.runners.iter_mut();
--- a/testkit/src/recovery/suspicions.rs
+++ b/testkit/src/recovery/suspicions.rs
@@ -1,33 +1,33 @@
-//! What the instances suspected, read from their dumps and metrics.
+//! Suspicions of the instances, read from their dumps and metrics.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Fleet, Result};
 
-/// Sums over the instances that run.
+/// Sums over the running instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Suspicions {
-    /// Upstreams doubted.
+    /// Doubts of upstreams, the stage before a suspicion.
     pub doubts: u64,
-    /// Upstreams suspected, confirmed or not.
+    /// Suspicions of upstreams, confirmed or not.
     pub upstreams: u64,
-    /// Of these, ended by a report.
+    /// Number of these that a report refuted.
     pub false_upstreams: u64,
-    /// Instances suspected by another.
+    /// Suspicions of instances by other instances.
     pub instances: u64,
-    /// Attempts given up as stalled.
+    /// Attempts abandoned as stalled.
     pub stalls: u64,
-    /// Retries that the budget allowed.
+    /// Retries allowed by the retry budget.
     pub retries: u64,
-    /// Retries that it refused.
+    /// Retries refused by the retry budget.
     pub retries_refused: u64,
 }
 
-/// Reads them.
+/// Reads the suspicions of all running instances.
 ///
 /// # Errors
 ///
-/// Where an instance that runs doesn't answer.
+/// Returns an error if a running instance doesn't answer.
 pub async fn read(fleet: &Fleet) -> Result<Suspicions> {
     let mut sum = Suspicions::default();
     let running = fleet.instances.iter();
@@ -57,7 +57,7 @@
     }
 }
 
-/// Sum of a counter's lines whose labels contain `label`.
+/// Returns the sum of the samples of a counter whose lines contain `label`.
 fn metric(text: &str, name: &str, label: &str) -> u64 {
     let lines = text.lines().filter(|l| l.starts_with(name));
     let lines = lines.filter(|l| l.contains(label));
--- a/testkit/src/recovery/table.rs
+++ b/testkit/src/recovery/table.rs
@@ -1,11 +1,11 @@
-//! The table of recovery times.
+//! Markdown table of recovery times.
 
 use std::fmt::Write as _;
 
 use super::RecoveryRun;
 use super::scenario::Scenario;
 
-/// A line for each scenario: the median over the seeds, with the least and the greatest.
+/// Formats one row per scenario, with the median, minimum and maximum over the seeds.
 #[must_use]
 pub fn table(runs: &[RecoveryRun]) -> String {
     let mut text = String::from(
@@ -23,7 +23,7 @@
 fn row(text: &mut String, scenario: Scenario, runs: &[&RecoveryRun]) {
     let times = |of: fn(&RecoveryRun) -> Option<u64>| spread(runs.iter().map(|r| of(r)).collect());
     let sum = |of: fn(&RecoveryRun) -> u64| runs.iter().map(|r| of(r)).sum::<u64>();
-    let tail: f64 = runs.iter().map(|r| share(r)).sum();
+    let tail: f64 = runs.iter().map(|r| tail_ratio(r)).sum();
     let _ = writeln!(
         text,
         "| {scenario} | {} | {} | {} | {} | {} | {} ({}) | {} | {:.2} | {} | {} | {} | {} ({}) | {} | {} | {} ({}) |",
@@ -36,8 +36,8 @@
         sum(|r| r.figures.streams_cut as u64),
         times(|r| r.figures.throughput_ms),
         tail / runs.len() as f64,
-        sum(|r| ended(r, true)),
-        sum(|r| ended(r, false)),
+        sum(|r| unanswered(r, true)),
+        sum(|r| unanswered(r, false)),
         sum(|r| r.figures.wrong.len() as u64),
         sum(|r| r.suspicions.upstreams),
         sum(|r| r.suspicions.false_upstreams),
@@ -48,19 +48,20 @@
     );
 }
 
-fn share(run: &RecoveryRun) -> f64 {
+fn tail_ratio(run: &RecoveryRun) -> f64 {
     run.figures.tail_per_s / run.figures.before_per_s.max(1.0)
 }
 
-/// Requests submitted after the failure that were refused as not run, or failed otherwise.
-fn ended(run: &RecoveryRun, refused: bool) -> u64 {
+/// Counts unanswered requests submitted after the failure: those refused as not run if `refused`,
+/// else those that failed otherwise.
+fn unanswered(run: &RecoveryRun, refused: bool) -> u64 {
     let outcomes = run.figures.outcomes.iter();
     let bad = outcomes.filter(|(how, _)| !how.starts_with("answered"));
     let own = bad.filter(|(how, _)| how.starts_with("not_run") == refused);
     own.map(|(_, n)| *n).sum()
 }
 
-/// Median, least and greatest; a run in which it never came about counts as the greatest.
+/// Formats the median, minimum and maximum; a run without a value counts as the maximum.
 fn spread(mut values: Vec<Option<u64>>) -> String {
     values.sort_unstable_by_key(|v| v.unwrap_or(u64::MAX));
     let show = |v: Option<&Option<u64>>| match v {
--- a/testkit/tests/recovery.rs
+++ b/testkit/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Real processes that fail under a caller: instances and runners are killed or stand still.
+//! Tests of recovery while callers wait: instances and runners are killed or frozen.
 
 use googletest::prelude::*;
 use jacinthweir_policy::prelude::*;
@@ -12,14 +12,14 @@
 const DEPLOYMENT: Deployment = Deployment::Tallinna;
 const MAX_TOKENS: u32 = 500;
 
-async fn fleet() -> Fleet {
+async fn start_fleet() -> Fleet {
     let fleet = Fleet::start(FleetCfg::small(DEPLOYMENT)).await;
     let fleet = fleet.expect("the fleet starts");
     fleet.apply().await.expect("the sample schema is applied");
     fleet
 }
 
-fn ask(prompt: &str) -> ModelCall {
+fn model_call(prompt: &str) -> ModelCall {
     ModelCall {
         // The pipeline with the longest answers.
         pipeline: "roster".into(),
@@ -29,13 +29,13 @@
     }
 }
 
-// The caller sees its connection refused, asks again which address to use, and is served. The
-// instance that it was told to use is killed after the answer; the others still name it for a
-// while, so the caller goes down the list that it was given.
+// The instance that the entry answer names first is killed after that answer. The connection of
+// the caller is refused, it asks for addresses again and is served. The other instances still name
+// the killed one for some time, so the caller tries the addresses of the list in order.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_asks_again_is_served_after_an_instance_was_killed() {
-    let mut fleet = fleet().await;
+    let mut fleet = start_fleet().await;
     let caller = fleet.caller("signals").expect("a caller");
     let told = caller.entry(fleet.entries()[0]).await.expect("an answer");
     let first = told.addresses[0].address;
@@ -45,12 +45,12 @@
         .find(|i| i.listen.callers == first);
     let killed = killed.expect("one of the fleet's");
     killed.process.kill().await.expect("it is killed");
-    let lost = caller.complete(first, &ask("lost")).await;
+    let lost = caller.complete(first, &model_call("lost")).await;
     expect_that!(lost.not_connected, eq(true));
     let cache = EntryCache::new(caller.clone(), fleet.entries());
     let mut seen = lost;
     for at in cache.addresses().await {
-        seen = caller.complete(at, &ask("served")).await;
+        seen = caller.complete(at, &model_call("served")).await;
         if !seen.not_connected {
             break;
         }
@@ -60,23 +60,25 @@
     fleet.stop().await.expect("the fleet stops");
 }
 
-// The caller sees one whole answer. The runner of a middle stage is killed after the first tokens
-// have arrived; the attempt breaks off, and another one resumes from the tokens that the caller
-// has, over the stages that are left.
+// The runner of a middle stage is killed after the first tokens have arrived. The attempt breaks
+// off, and another one resumes from the tokens that the caller has, over the remaining runners. The
+// caller receives one complete answer.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_is_resumed_after_a_runner_of_its_route_was_killed() {
-    let mut fleet = fleet().await;
+    let mut fleet = start_fleet().await;
     let prompt = "#len=400 who takes the closure";
     let caller = fleet.caller("signals").expect("a caller");
     let at = fleet.entries()[1];
     let (tx, mut rx) = mpsc::unbounded_channel();
-    let asking = tokio::spawn(async move {
+    let stream = tokio::spawn(async move {
         let mut show = |piece: &str| drop(tx.send(piece.to_owned()));
-        caller.complete_with(at, &ask(prompt), &mut show).await
+        caller
+            .complete_with(at, &model_call(prompt), &mut show)
+            .await
     });
     if rx.recv().await.is_none() {
-        let seen = asking.await.expect("the caller's task ends");
+        let seen = stream.await.expect("the caller's task ends");
         let log = fleet.instances[1].process.log_tail();
         panic!("no first token: {seen:?}\n{log}");
     }
@@ -86,16 +88,16 @@
         .kill()
         .await
         .expect("it is killed");
-    let seen = asking.await.expect("the caller's task ends");
+    let seen = stream.await.expect("the caller's task ends");
     expect_that!(seen.outcome, some(eq(Outcome::Answered)), "{seen:?}");
     expect_that!(seen.text, eq(&text::answer(prompt, MAX_TOKENS)));
-    // Else the kill came too late and showed nothing.
-    expect_that!(attempts(&fleet, middle).await, ge(2));
+    // With fewer max_attempt the kill came too late to interrupt the stream.
+    expect_that!(max_attempt(&fleet, middle).await, ge(2));
     fleet.stop().await.expect("the fleet stops");
 }
 
 /// Starts a stream at an instance and waits for its first token.
-async fn begun(
+async fn start_stream(
     fleet: &Fleet,
     at: usize,
     prompt: String,
@@ -103,41 +105,43 @@
     let caller = fleet.caller("signals").expect("a caller");
     let at = fleet.entries()[at];
     let (tx, mut rx) = mpsc::unbounded_channel();
-    let asking = tokio::spawn(async move {
+    let stream = tokio::spawn(async move {
         let mut show = |piece: &str| drop(tx.send(piece.to_owned()));
-        caller.complete_with(at, &ask(&prompt), &mut show).await
+        caller
+            .complete_with(at, &model_call(&prompt), &mut show)
+            .await
     });
     expect_that!(rx.recv().await, some(anything()), "no first token");
-    (asking, rx)
+    (stream, rx)
 }
 
-// The caller sees one whole answer. The runner of a middle stage stands still after the first
-// tokens have arrived: its connections stay open and nothing comes. The silence counts as a stall,
-// and another attempt resumes from the tokens that the caller has, past the runners that the stall
-// speaks against.
+// The runner of a middle stage is frozen after the first tokens have arrived: its connections stay
+// open and nothing arrives. The silence counts as a stall, and another attempt resumes from the
+// tokens that the caller has, avoiding the runners implicated by the stall. The caller receives one
+// complete answer.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_is_resumed_after_a_runner_of_its_route_froze() {
-    let fleet = fleet().await;
+    let fleet = start_fleet().await;
     let prompt = "#len=400 who takes the night";
-    let (asking, _rx) = begun(&fleet, 1, prompt.to_owned()).await;
+    let (stream, _rx) = start_stream(&fleet, 1, prompt.to_owned()).await;
     let middle = middle_runner(&fleet).await;
     let frozen = &fleet.runners[middle].process;
-    frozen.freeze().expect("it stands still");
-    let seen = asking.await.expect("the caller's task ends");
+    frozen.freeze().expect("it is frozen");
+    let seen = stream.await.expect("the caller's task ends");
     expect_that!(seen.outcome, some(eq(Outcome::Answered)), "{seen:?}");
     expect_that!(seen.text, eq(&text::answer(prompt, MAX_TOKENS)));
-    // Else it stood still too late and showed nothing.
-    expect_that!(attempts(&fleet, middle).await, ge(2));
+    // With fewer max_attempt the freeze came too late to interrupt the stream.
+    expect_that!(max_attempt(&fleet, middle).await, ge(2));
     fleet.stop().await.expect("the fleet stops");
 }
 
-// The callers see each stream end: answered whole, or with an error behind a part of the right
-// answer. All runners of a failure domain are killed after every stream's first token; what broke
-// off is resumed over the other domains.
+// All runners of a failure domain are killed after the first token of every stream. Interrupted
+// streams resume over the other domains. Each stream must end with the complete answer, or with an
+// error after a prefix of the correct answer.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_end_truthfully_after_a_failure_domains_runners_were_killed() {
+async fn streams_end_correctly_after_a_failure_domains_runners_were_killed() {
     let mut cfg = FleetCfg::small(DEPLOYMENT);
     cfg.runners = 18;
     let fleet = Fleet::start(cfg).await;
@@ -146,15 +150,15 @@
     let prompt = |i: usize| format!("#len=400 closure number {i}");
     let mut streams = Vec::new();
     for i in 0..fleet.instances.len() {
-        streams.push(begun(&fleet, i, prompt(i)).await);
+        streams.push(start_stream(&fleet, i, prompt(i)).await);
     }
     let domain = DEPLOYMENT.domain(1);
     let runners = fleet.runners.iter_mut();
     for runner in runners.filter(|r| r.listing.domain == domain) {
         runner.process.kill().await.expect("it is killed");
     }
-    for (i, (asking, _rx)) in streams.into_iter().enumerate() {
-        let seen = asking.await.expect("the caller's task ends");
+    for (i, (stream, _rx)) in streams.into_iter().enumerate() {
+        let seen = stream.await.expect("the caller's task ends");
         let right = text::answer(&prompt(i), MAX_TOKENS);
         match seen.outcome {
             Some(Outcome::Answered) => expect_that!(seen.text, eq(&right)),
@@ -165,7 +169,7 @@
     fleet.stop().await.expect("the fleet stops");
 }
 
-/// A runner that ran something without being the first stage of it.
+/// Returns a runner that ran work as a later stage and never as the first one.
 async fn middle_runner(fleet: &Fleet) -> usize {
     for i in 0..fleet.runners.len() {
         let witness = fleet.runner_admin(i).witness().await;
@@ -178,8 +182,8 @@
     panic!("no runner ran as a later stage");
 }
 
-/// Greatest attempt number that the runners but the killed one saw.
-async fn attempts(fleet: &Fleet, killed: usize) -> u32 {
+/// Returns the greatest attempt number seen by the runners other than the killed one.
+async fn max_attempt(fleet: &Fleet, killed: usize) -> u32 {
     let mut greatest = 0;
     for i in (0..fleet.runners.len()).filter(|i| *i != killed) {
         let witness = fleet.runner_admin(i).witness().await;
