--- a/testkit/examples/measure_claims.rs
+++ b/testkit/examples/measure_claims.rs
@@ -1,9 +1,9 @@
-//! What a claim costs: platform calls for each call of a plain service, and the time that the
-//! claim adds, measured with real processes in one run.
+//! Measures the cost of a claim with real processes: platform operations per service call, and the
+//! latency that the claim adds.
 //!
 //! `cargo run --release -p jacinthweir-testkit --example measure_claims -- [CALLS]`
 //!
-//! Calls go one after the other to one of three instances, idempotent and claimed ones in turn.
+//! Calls are sent sequentially to one of three instances, one kind of call after the other.
 
 use hdrhistogram::Histogram;
 use jacinthweir_testkit::Result;
@@ -13,12 +13,13 @@
 use jacinthweir_testkit::platform::admin::Counts;
 
 const DEPLOYMENT: Deployment = Deployment::Tallinna;
-const CALLS: u64 = 500;
+/// Default number of calls of each kind.
+const DEFAULT_CALLS: u64 = 500;
 
 #[tokio::main]
 async fn main() -> Result<()> {
     let calls = std::env::args().nth(1).and_then(|n| n.parse().ok());
-    let calls = calls.unwrap_or(CALLS);
+    let calls = calls.unwrap_or(DEFAULT_CALLS);
     let cfg = FleetCfg {
         instances: 3,
         runners: 0,
--- a/testkit/examples/measure_membership.rs
+++ b/testkit/examples/measure_membership.rs
@@ -1,15 +1,15 @@
-//! Measures what membership and observation of upstreams cost and how fast they notice.
+//! Measures the cost and detection time of membership and of the observation of upstreams.
 //!
-//! Fleets of instances run in one process by the policy alone; every message is encoded and
-//! decoded as it is between processes. Printed for each size: bytes and processor time a round of
-//! one second and instance, resident memory an instance, rounds until a death or leaving is known
-//! to all, and false alarms under lost messages. Rounds are simulated: none of it depends on the
-//! machine but processor time and memory.
+//! Fleets of instances are simulated in one process with the policy alone; every message is encoded
+//! and decoded as between processes. For each fleet size it prints bytes and processor time per
+//! instance and round of one second, resident memory per instance, rounds until a failure or a
+//! leaving is known to all, and false suspicions under message loss. Rounds are simulated, so only
+//! processor time and memory depend on the machine.
 //!
 //! `cargo run --release -p jacinthweir-testkit --example measure_membership [-- --seeds N] [--cost-only]`
 
 #[path = "../../policy/tests/support/fleet.rs"]
-#[allow(dead_code, reason = "the tests of the policy use the rest")]
+#[allow(dead_code, reason = "the rest is used by the tests of the policy")]
 mod fleet;
 
 use argh::FromArgs;
@@ -25,13 +25,13 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Measures membership.
+/// Measures the cost and detection time of membership.
 #[derive(FromArgs)]
 struct Args {
-    /// seeds for times to notice and alarms
+    /// number of seeds for detection times and false suspicions
     #[argh(option, default = "5")]
     seeds: u64,
-    /// bytes, time and memory only
+    /// measure bytes, processor time and memory only
     #[argh(switch)]
     cost_only: bool,
     /// file for the results as JSON
@@ -39,22 +39,23 @@
     json: Option<std::path::PathBuf>,
 }
 
-/// Instances, regions, runners.
-const SIZES: [(usize, usize, usize); 4] = [(6, 1, 40), (24, 1, 160), (96, 3, 480), (340, 7, 1200)];
-/// Rounds before anything is measured.
-const SETTLE: usize = 20;
-/// Rounds before bytes and time are measured: all records have spread by then.
-const SETTLE_COST: usize = 80;
+/// Numbers of instances, regions and runners of each fleet.
+const FLEET_SIZES: [(usize, usize, usize); 4] =
+    [(6, 1, 40), (24, 1, 160), (96, 3, 480), (340, 7, 1200)];
+/// Rounds before any measurement.
+const WARM_UP_ROUNDS: usize = 20;
+/// Rounds before bytes and time are measured, by which all records have spread.
+const COST_WARM_UP_ROUNDS: usize = 80;
 /// Rounds over which bytes and time are averaged.
-const MEASURED: usize = 10;
-/// Rounds with lost messages.
-const LOSSY: usize = 60;
-/// Give up waiting after so many rounds.
-const LIMIT: usize = 120;
-/// HTTP headers of a call and its answer, in bytes: an estimate.
+const MEASURED_ROUNDS: usize = 10;
+/// Rounds with message loss.
+const LOSSY_ROUNDS: usize = 60;
+/// Maximum number of rounds to wait for a condition.
+const MAX_ROUNDS: usize = 120;
+/// Estimated size of the HTTP headers of a call and its answer, in bytes.
 const HTTP_BYTES: usize = 330;
 
-/// One line of the result.
+/// Results for one fleet size.
 #[derive(Clone, Debug, Default, Serialize)]
 struct Row {
     instances: usize,
@@ -77,7 +78,7 @@
     alarms_loss_5: f64,
 }
 
-/// Least, median and greatest over the seeds, in rounds.
+/// Minimum, median and maximum over the seeds, in rounds.
 #[derive(Clone, Debug, Default, Serialize)]
 struct Spread {
     min: usize,
@@ -102,6 +103,7 @@
     }
 }
 
+/// Bytes of encoded messages by kind, and the number of messages.
 #[derive(Default)]
 struct Bytes {
     members: usize,
@@ -112,17 +114,17 @@
 fn main() -> eyre::Result<()> {
     let args: Args = argh::from_env();
     let mut rows = Vec::new();
-    for (instances, regions, runners) in SIZES {
+    for (instances, regions, runners) in FLEET_SIZES {
         let mut row = Row {
             instances,
             regions,
             runners,
             ..Row::default()
         };
-        cost(&mut row);
+        measure_cost(&mut row);
         if !args.cost_only {
-            notice(&mut row, args.seeds);
-            alarms(&mut row, args.seeds);
+            measure_detection(&mut row, args.seeds);
+            measure_false_suspicions(&mut row, args.seeds);
         }
         eprintln!("{instances} instances done");
         rows.push(row);
@@ -138,32 +140,32 @@
     let cfg = MembershipConfig::default();
     let mut fleet = Fleet::new(row.instances, row.regions, seed, &cfg);
     fleet.add_runners(row.runners);
-    fleet.rounds(SETTLE);
+    fleet.rounds(WARM_UP_ROUNDS);
     fleet
 }
 
-fn cost(row: &mut Row) {
+fn measure_cost(row: &mut Row) {
     let before = resident_kib();
     let mut fleet = fleet_of(row, 1);
-    fleet.rounds(SETTLE_COST - SETTLE);
+    fleet.rounds(COST_WARM_UP_ROUNDS - WARM_UP_ROUNDS);
     row.resident_kib = (resident_kib() - before) / row.instances as f64;
     row.load_age_s = load_age_s(&fleet);
     row.list_bytes = serde_json::to_vec(&fleet.list()).map_or(0, |v| v.len());
     let bytes = Rc::new(RefCell::new(Bytes::default()));
     let counted = Rc::clone(&bytes);
-    fleet.meter = Some(Box::new(move |_, _, msg| count(&counted, msg)));
+    fleet.meter = Some(Box::new(move |_, _, msg| count_message(&counted, msg)));
     fleet.polls = 0;
     let start = Instant::now();
-    fleet.rounds(MEASURED);
-    let instance_rounds = (row.instances * MEASURED) as f64;
+    fleet.rounds(MEASURED_ROUNDS);
+    let instance_rounds = (row.instances * MEASURED_ROUNDS) as f64;
     row.cpu_us_per_round = start.elapsed().as_secs_f64() * 1e6 / instance_rounds;
     let bytes = bytes.borrow();
-    // Each byte is sent by one instance and received by another: both count.
+    // Each byte is sent by one instance and received by another, and both are counted.
     let each = |n: usize| 2.0 * n as f64 / instance_rounds;
     row.member_bytes_per_s = each(bytes.members);
     row.upstream_bytes_per_s = each(bytes.upstreams);
-    // Two messages a call; those of members and upstreams travel together.
-    row.envelope_bytes_per_s = each(bytes.messages / 4 * (HTTP_BYTES + envelope()));
+    // Each call has two messages, and those of members and upstreams share a call.
+    row.envelope_bytes_per_s = each(bytes.messages / 4 * (HTTP_BYTES + envelope_bytes()));
     row.poll_bytes_per_s = fleet.polls as f64 * poll_bytes(&fleet) as f64 / instance_rounds;
     row.total_bytes_per_s = row.member_bytes_per_s
         + row.upstream_bytes_per_s
@@ -171,20 +173,20 @@
         + row.poll_bytes_per_s;
 }
 
-/// Mean age of the loads of runners in the own region, over all instances.
+/// Returns the mean age of the load reports of runners in the own region, over all instances.
 fn load_age_s(fleet: &Fleet) -> f64 {
     let mut ages = Vec::new();
     for node in &fleet.instances {
         let region = region_of(&node.membership.own().state.domain);
-        let near = node.upstreams.all();
-        let near = near.filter(|u| region_of(&u.listed().domain) == region);
-        let loads = near.filter_map(|u| u.load);
+        let regional = node.upstreams.all();
+        let regional = regional.filter(|u| region_of(&u.listed().domain) == region);
+        let loads = regional.filter_map(|u| u.load);
         ages.extend(loads.map(|l| (fleet.now.mono_ms - l.sampled_ms) as f64 / 1e3));
     }
     ages.iter().sum::<f64>() / ages.len() as f64
 }
 
-fn count(bytes: &RefCell<Bytes>, msg: &Message<'_>) {
+fn count_message(bytes: &RefCell<Bytes>, msg: &Message<'_>) {
     let mut bytes = bytes.borrow_mut();
     bytes.messages += 1;
     match msg {
@@ -195,7 +197,7 @@
     }
 }
 
-/// Size of the encoded message; it is decoded too, for the processor time.
+/// Encodes and decodes a message, for the processor time, and returns its encoded size.
 fn round_trip<T: Serialize + DeserializeOwned>(msg: &T) -> usize {
     let encoded = rmp_serde::to_vec_named(msg).unwrap_or_default();
     let decoded: Result<T, _> = rmp_serde::from_slice(&encoded);
@@ -203,8 +205,8 @@
     encoded.len()
 }
 
-/// Bytes of an exchange and its answer besides digests and deltas.
-fn envelope() -> usize {
+/// Returns the size of an exchange and its answer without digests and deltas.
+fn envelope_bytes() -> usize {
     let exchange = Exchange {
         from: fleet::name(0).into(),
         members: MemberDigest::default(),
@@ -215,12 +217,12 @@
         members: MemberDelta::default(),
         upstreams: UpstreamDelta::default(),
     };
-    let inner = size(&exchange.members) + size(&exchange.upstreams);
-    let inner = inner + size(&answer.members) + size(&answer.upstreams);
-    size(&exchange) + size(&answer) - inner
+    let inner = encoded_size(&exchange.members) + encoded_size(&exchange.upstreams);
+    let inner = inner + encoded_size(&answer.members) + encoded_size(&answer.upstreams);
+    encoded_size(&exchange) + encoded_size(&answer) - inner
 }
 
-fn size<T: Serialize>(msg: &T) -> usize {
+fn encoded_size<T: Serialize>(msg: &T) -> usize {
     rmp_serde::to_vec_named(msg).map_or(0, |v| v.len())
 }
 
@@ -229,8 +231,9 @@
     HTTP_BYTES + serde_json::to_vec(&report).map_or(0, |v| v.len())
 }
 
+/// Runs rounds until a condition holds, at most [`MAX_ROUNDS`], and returns their number.
 fn rounds_until(fleet: &mut Fleet, done: impl Fn(&Fleet) -> bool) -> usize {
-    (0..LIMIT)
+    (0..MAX_ROUNDS)
         .find(|_| {
             let done = done(fleet);
             if !done {
@@ -238,10 +241,10 @@
             }
             done
         })
-        .unwrap_or(LIMIT)
+        .unwrap_or(MAX_ROUNDS)
 }
 
-fn notice(row: &mut Row, seeds: u64) {
+fn measure_detection(row: &mut Row, seeds: u64) {
     let mut times: [Vec<usize>; 4] = Default::default();
     for seed in 1..=seeds {
         let mut fleet = fleet_of(row, seed);
@@ -265,19 +268,19 @@
     row.runner_dead_all = dead;
 }
 
-fn alarms(row: &mut Row, seeds: u64) {
+fn measure_false_suspicions(row: &mut Row, seeds: u64) {
     let per_hour = |loss: f64| {
         let mut alarms = 0;
         for seed in 1..=seeds {
             let cfg = MembershipConfig::default();
             let mut fleet = Fleet::new(row.instances, row.regions, seed, &cfg);
-            fleet.rounds(SETTLE);
+            fleet.rounds(WARM_UP_ROUNDS);
             let before = fleet.suspicions();
             fleet.loss = loss;
-            fleet.rounds(LOSSY);
+            fleet.rounds(LOSSY_ROUNDS);
             alarms += fleet.suspicions() - before;
         }
-        alarms as f64 * 3600.0 / (seeds as f64 * LOSSY as f64 * row.instances as f64)
+        alarms as f64 * 3600.0 / (seeds as f64 * LOSSY_ROUNDS as f64 * row.instances as f64)
     };
     row.alarms_loss_1 = per_hour(0.01);
     row.alarms_loss_5 = per_hour(0.05);
--- a/testkit/tests/configuration.rs
+++ b/testkit/tests/configuration.rs
@@ -1,6 +1,6 @@
-//! The configuration on real processes that freeze, are cut off or restart, and on a platform
-//! that goes back. What came into force is read from the instances' logs and judged by the
-//! policy's check.
+//! Tests of the configuration with real processes that are frozen, cut off or restarted, and with a
+//! platform that is restored to an older state. The revisions that came into force are read from
+//! the logs of the instances and checked by the policy.
 
 use std::time::Duration;
 
@@ -11,11 +11,12 @@
 use jacinthweir_testkit::{Fleet, FleetCfg};
 use jacinthweir_wire::peer::Head;
 
-/// How long something is waited for before the test gives up; no verdict hangs on less.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Maximum wait for a condition before the test fails; no assertion depends on a shorter wait.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Index of the last instance, which the tests freeze, cut off or restart.
 const LAST: usize = 3;
 
-async fn fleet() -> Fleet {
+async fn start_fleet() -> Fleet {
     let mut cfg = FleetCfg::small(Deployment::Associacao);
     cfg.instances = LAST + 1;
     cfg.runners = 1;
@@ -26,7 +27,7 @@
     fleet
 }
 
-/// Applies the sample with another number of tokens, at an instance, and gives the revision.
+/// Applies the sample with another token limit through an instance and returns the revision.
 async fn apply(fleet: &Fleet, at: usize, max_tokens: u32) -> u64 {
     let text = std::fs::read_to_string(fleet.deployment.schema()).unwrap();
     let changed = text.replacen(
@@ -44,17 +45,18 @@
     reply["revision"].as_u64().unwrap()
 }
 
-async fn until<F: Future<Output = bool>>(what: &str, done: impl Fn() -> F) {
+/// Waits until a condition holds; fails with `what` after [`WAIT_TIMEOUT`].
+async fn wait_until<F: Future<Output = bool>>(what: &str, done: impl Fn() -> F) {
     let wait = async {
         while !done().await {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait).await.expect(what);
+    tokio::time::timeout(WAIT_TIMEOUT, wait).await.expect(what);
 }
 
-/// Whether an instance has a revision in force and vouches for it.
-async fn serves(fleet: &Fleet, at: usize, revision: u64) -> bool {
+/// Returns whether an instance has a revision in force and confirms it as current.
+async fn serves_revision(fleet: &Fleet, at: usize, revision: u64) -> bool {
     let instance = &fleet.instances[at];
     let status = instance.operator().unwrap().status().await;
     status.is_ok_and(|status| {
@@ -66,8 +68,9 @@
     })
 }
 
-/// What an instance put in force, in the order of its log; a start begins a new incarnation.
-fn in_force(fleet: &Fleet, at: usize) -> Vec<InForceRecord> {
+/// Returns the revisions that an instance put in force, in the order of its log. Each start begins a
+/// new incarnation.
+fn in_force_records(fleet: &Fleet, at: usize) -> Vec<InForceRecord> {
     let instance = &fleet.instances[at];
     let mut incarnation = 0;
     let mut records = Vec::new();
@@ -91,22 +94,28 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_instance_frozen_over_several_revisions_goes_to_the_newest() {
-    // One instance stands still while three schemas are applied. When it wakes, old answers and
-    // watch events lie in its sockets. It ends at the newest revision and never goes back.
-    let fleet = fleet().await;
+async fn an_instance_frozen_over_several_revisions_reaches_the_newest() {
+    // One instance is frozen while three schemas are applied. When it resumes, old answers and
+    // watch events are waiting in its sockets. It must reach the newest revision and never revert.
+    let fleet = start_fleet().await;
     fleet.instances[LAST].process.freeze().unwrap();
     let mut newest = 1;
     for n in 0..3 {
-        // An operator who plans at an instance that has not heard of the last commit is told of a
-        // conflict, truthfully.
-        until("the last is in force", || serves(&fleet, n, newest)).await;
+        // A plan at an instance that has not yet received the last commit correctly results in a
+        // conflict.
+        wait_until("the last is in force", || {
+            serves_revision(&fleet, n, newest)
+        })
+        .await;
         newest = apply(&fleet, n, 600 + n as u32).await;
     }
     fleet.instances[LAST].process.wake().unwrap();
     for at in 0..=LAST {
-        until("the newest is in force", || serves(&fleet, at, newest)).await;
-        let records = in_force(&fleet, at);
+        wait_until("the newest is in force", || {
+            serves_revision(&fleet, at, newest)
+        })
+        .await;
+        let records = in_force_records(&fleet, at);
         expect_that!(
             records.last().map(|record| record.revision),
             some(eq(newest))
@@ -119,43 +128,52 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_instance_cut_off_from_everything_refuses_until_it_is_back() {
-    // Its link to the platform is cut and all other instances stand still. Its callers are
-    // refused, since newer revisions may be in force elsewhere; then the others wake.
-    let fleet = fleet().await;
+    // The link of one instance to the platform is cut and all others are frozen. It refuses its
+    // callers, since newer revisions may be in force elsewhere, until the others resume.
+    let fleet = start_fleet().await;
     fleet.platform_links[LAST].set(Link::Cut);
     for instance in &fleet.instances[..LAST] {
         instance.process.freeze().unwrap();
     }
-    until("it refuses", async || !serves(&fleet, LAST, 1).await).await;
+    wait_until("it refuses", async || {
+        !serves_revision(&fleet, LAST, 1).await
+    })
+    .await;
     for instance in &fleet.instances[..LAST] {
         instance.process.wake().unwrap();
     }
-    until("it serves again", || serves(&fleet, LAST, 1)).await;
+    wait_until("it serves again", || serves_revision(&fleet, LAST, 1)).await;
     let newest = apply(&fleet, 0, 600).await;
-    until("it follows its peers", || serves(&fleet, LAST, newest)).await;
+    wait_until("it follows its peers", || {
+        serves_revision(&fleet, LAST, newest)
+    })
+    .await;
     fleet.stop().await.unwrap();
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_instance_that_restarts_after_the_platform_went_back_keeps_the_accepted_revision() {
-    // The platform is restored to revision 1 after 2 was accepted, and an instance restarts at
-    // that moment. It reads revision 1 from the platform and must not serve by it. The others
-    // write revision 2 back.
-    let mut fleet = fleet().await;
+async fn an_instance_that_restarts_after_a_platform_restore_keeps_the_accepted_revision() {
+    // The platform is restored to revision 1 after revision 2 was accepted, and an instance
+    // restarts at that moment. It reads revision 1 from the platform and must not serve with it.
+    // The other instances write revision 2 back.
+    let mut fleet = start_fleet().await;
     let admin = fleet.platform_admin();
     admin.snapshot().await.unwrap();
     let accepted = apply(&fleet, 0, 600).await;
     for at in 0..=LAST {
-        until("in force everywhere", || serves(&fleet, at, accepted)).await;
+        wait_until("in force everywhere", || {
+            serves_revision(&fleet, at, accepted)
+        })
+        .await;
     }
     admin.restore().await.unwrap();
     fleet.restart_instance(LAST).await.unwrap();
-    until("the restarted instance serves", || {
-        serves(&fleet, LAST, accepted)
+    wait_until("the restarted instance serves", || {
+        serves_revision(&fleet, LAST, accepted)
     })
     .await;
-    until("the head is written back", async || {
+    wait_until("the head is written back", async || {
         let objects = admin.objects().await.unwrap();
         let head = objects
             .iter()
@@ -166,9 +184,12 @@
     })
     .await;
     for at in 0..=LAST {
-        let last_life = in_force(&fleet, at).iter().map(|r| r.incarnation).max();
-        let mut records = in_force(&fleet, at);
-        records.retain(|record| at != LAST || Some(record.incarnation) == last_life);
+        let last_incarnation = in_force_records(&fleet, at)
+            .iter()
+            .map(|r| r.incarnation)
+            .max();
+        let mut records = in_force_records(&fleet, at);
+        records.retain(|record| at != LAST || Some(record.incarnation) == last_incarnation);
         expect_that!(check_never_reverts(&[], &records), ok(eq(&())));
         if at == LAST {
             expect_that!(
