--- a/testkit/src/campaign.rs
+++ b/testkit/src/campaign.rs
@@ -5,7 +5,7 @@
 //! process interleaving depends on the operating system's scheduler.
 
 pub mod fault;
-pub mod faults;
+pub mod injection;
 pub mod load;
 pub mod recorder;
 pub mod watch;
@@ -75,12 +75,12 @@
     ));
     let mut rng = ChaCha8Rng::seed_from_u64(cfg.seed);
     let until = Instant::now() + cfg.length;
-    let faults = faults::run(&mut fleet, &recorder, &mut rng, until).await?;
+    let faults = injection::run(&mut fleet, &recorder, &mut rng, until).await?;
     tokio::time::sleep(SETTLE_TIME).await;
     stop.cancel();
     let _ = tokio::join!(load, watch);
-    faults::collect(&fleet, &recorder).await?;
-    faults::stop_all(&mut fleet, &recorder).await?;
+    injection::collect(&fleet, &recorder).await?;
+    injection::stop_all(&mut fleet, &recorder).await?;
     let history = recorder.take();
     let violations = history::check(&history, &Limits::default());
     let logs = if violations.is_empty() {
--- a/testkit/src/matrix/script.rs
+++ b/testkit/src/matrix/script.rs
@@ -10,7 +10,7 @@
 use super::cell::{Cell, Fault, Step, Work, work_of};
 use super::rig::{Rig, SubmissionParams};
 use crate::campaign::fault::Fault as CampaignFault;
-use crate::campaign::faults;
+use crate::campaign::injection;
 use crate::fleet::fault_points::{Action, reached};
 use crate::history::record::{Frozen, Shutdown};
 use crate::http::unix_ms;
@@ -162,7 +162,7 @@
             Work::Change => {
                 let operator = self.fleet.instances[i].operator()?;
                 let recorder = Arc::clone(&self.recorder);
-                let change = faults::apply(operator, recorder, job.params.number);
+                let change = injection::apply(operator, recorder, job.params.number);
                 Ok(tokio::spawn(change))
             }
         }
@@ -247,7 +247,7 @@
         let commits = self.recorder.history().commits.len();
         for fault in campaign_faults(cell) {
             let salt = self.race_salt();
-            faults::inject(&mut self.fleet, &self.recorder, fault, salt).await?;
+            injection::inject(&mut self.fleet, &self.recorder, fault, salt).await?;
         }
         if kills_service(cell) {
             self.kill_service(DYING_SERVICE).await?;
@@ -311,7 +311,7 @@
     /// Heals the faults outside the instance.
     async fn heal(&mut self, cell: Cell) -> Result<()> {
         for fault in campaign_faults(cell) {
-            faults::heal(&mut self.fleet, &self.recorder, fault).await?;
+            injection::heal(&mut self.fleet, &self.recorder, fault).await?;
         }
         if kills_service(cell) {
             self.fleet.restart_service(DYING_SERVICE).await?;
