--- a/ctl/src/text/relay.rs
+++ b/ctl/src/text/relay.rs
@@ -4,7 +4,8 @@
 
 use crate::table::Table;
 
-/// Formats a relay's state: the instance, then its chains, then its runners.
+/// Formats a state dump as a summary of the instance, a table of its chains and a table of its
+/// runners. The known instances (`members`) are left out.
 #[must_use]
 pub fn relay(dump: &RelayDump) -> String {
     let mut text = header(dump);
