--- a/plugins/relay/src/server.rs
+++ b/plugins/relay/src/server.rs
@@ -29,12 +29,13 @@
 /// Maximum number of addresses in an entry answer. Callers pick one at random.
 const MAX_ENTRY_ADDRESSES: usize = 64;
 
-/// Pause after a failed accept. File descriptors are exhausted, so an immediate retry would fail
+/// Pause after a failed accept: when file descriptors are exhausted, an immediate retry would fail
 /// too.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Minimum read buffer of a connection that hyper allows, in bytes. The buffer has to hold the
-/// largest head that callers may send.
+/// Smallest value that hyper accepts as the maximum buffer size of a connection, in bytes; it panics
+/// on a smaller one. Otherwise that maximum is the configured size of the largest request head,
+/// which the buffer has to hold.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
 
 /// Maximum number of headers of a request.
@@ -83,8 +84,8 @@
     for (kind, address) in listeners {
         let listener = match TcpListener::bind(address).await {
             Ok(listener) => listener,
-            // The deploy file fixes this port, and it may be in use on some machine. Callers are
-            // served without it.
+            // The deployment uses the same operators' port on every machine, and on some of them it
+            // may be taken. Serving callers does not depend on this listener.
             Err(cause) if kind == ListenerKind::Operators => {
                 log::error!(address:% = address, cause:% = cause; "operators' listener unavailable: no metrics and no dump");
                 continue;
@@ -131,8 +132,8 @@
                 continue;
             }
         };
-        // With Nagle's algorithm an event waits for the acknowledgement of the previous one. A
-        // failure only delays events.
+        // With Nagle's algorithm an event would wait for the acknowledgement of the previous one.
+        // The result is ignored because a failure to disable it only delays events.
         let _ = stream.set_nodelay(true);
         if kind == ListenerKind::Callers {
             if callers.len() >= node.settings.limits.connections {
@@ -162,8 +163,8 @@
         async move { Ok::<_, Infallible>(route(&node, kind, req).await) }
     });
     let mut builder = http1::Builder::new();
-    // The header timer also runs while a keep-alive connection is idle, and callers reuse
-    // connections that were idle for most of the configured time.
+    // hyper's header timer also runs while a keep-alive connection is idle, so it is set to the
+    // whole idle timeout: callers reuse connections that were idle for most of that time.
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(limits.idle_timeout_ms))
@@ -214,7 +215,8 @@
     let ready = node.is_ready();
     let membership = node.membership.borrow();
     let (loads, now) = (node.loads.borrow(), node.now());
-    // An instance that the store rejects refuses every request, while others can serve them.
+    // An instance without a confirmed configuration, for example because the store rejects it,
+    // refuses every request. Others can serve these requests.
     let serves = |m: &MemberState| match m.name == *own {
         true => ready,
         false => !loads.refuses(&m.name, &m.domain, now),
@@ -223,7 +225,7 @@
     let answer = node.with_rng(|rng| entry_answer(live, domain, &cfg, rng));
     let mut found: Vec<SocketAddr> = answer.addresses.iter().map(|a| a.address).collect();
     if found.is_empty() && !node.draining.get() {
-        // No instance is known to serve. This one at least answers with a retry time.
+        // No instance is known to serve. This one at least tells callers when to retry.
         found.push(node.settings.listen.callers);
     }
     if found.is_empty() {
