--- a/plugins/relay/src/call.rs
+++ b/plugins/relay/src/call.rs
@@ -1,7 +1,7 @@
 //! Calls: requests with a single answer, to services without layers.
 //!
-//! The answer is read completely before any of it is forwarded. A runner that fails midway then
-//! costs a retry where the call is repeatable, and no caller gets a partial answer.
+//! The answer is read completely before any of it is forwarded. If a runner fails midway, the
+//! caller therefore gets no partial answer, and a repeatable call can be retried.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,24 +26,25 @@
 /// Maximum answer size, in bytes: the answer is buffered in memory.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// Maximum number of failed connections of one call.
+/// Maximum number of failed connection attempts per call.
 const MAX_UNREACHED: u32 = 3;
 
-/// How long a runner is avoided after it answered that it is not the addressed one, in
+/// How long a runner is avoided after it rejected a request as misdirected (status 421), in
 /// milliseconds.
 const MISDIRECTED_AVOID_MS: Millis = 1_000;
 
 /// How long a runner is avoided after it refused a call because it is full, in milliseconds.
 const FULL_AVOID_MS: Millis = 100;
 
-/// How long a runner is avoided after a failed connection, in milliseconds. By then probes have
-/// usually shown whether it is dead.
+/// How long a runner is avoided after a failed connection, in milliseconds. Probes usually show
+/// within this time whether it is dead.
 const UNREACHED_AVOID_MS: Millis = 250;
 
 /// Minimum `Retry-After` of a refusal, in milliseconds. A call takes about 60 ms.
 const RETRY_AFTER_MS: Millis = 300;
 
-/// Maximum jitter added to it, so that callers refused together do not retry together.
+/// Maximum jitter added to [`RETRY_AFTER_MS`], in milliseconds, so that callers refused together do
+/// not retry together.
 const RETRY_AFTER_JITTER_MS: f64 = 200.0;
 
 /// Outcome of one attempt.
@@ -139,8 +140,8 @@
     let _in_flight = InFlightGuard::open(node, &runner.id);
     let sent_ms = node.now();
     let left = rq.remaining_ms(node);
-    // If another attempt is possible, this one is limited to the objective: a hanging runner would
-    // otherwise use up the whole deadline.
+    // If another attempt is possible, the time limit of this one is the route's objective: a
+    // hanging runner would otherwise use up all the time until the deadline.
     let time = if repeatable {
         left.min(rq.objective_ms.max(1))
     } else {
