--- a/plugins/relay/src/failure_detector.rs
+++ b/plugins/relay/src/failure_detector.rs
@@ -21,8 +21,8 @@
 use crate::peers;
 use crate::runner_probe::{self, MAX_PROBES, ProbeResult, ProbeTarget, Suspect};
 
-/// Minimum time between two checks for silent chains, in milliseconds. With checks every few
-/// milliseconds an instance spends more time on them than on its callers' events.
+/// Minimum time between two checks for silent chains, in milliseconds. If checks ran every few
+/// milliseconds, an instance would spend more time on them than on its callers' events.
 const MIN_CHECK_INTERVAL_MS: Millis = 8;
 
 /// Maximum time between two checks for silent chains, in milliseconds.
@@ -88,8 +88,8 @@
         .clamp(now + MIN_CHECK_INTERVAL_MS, longest)
 }
 
-/// Delay of a check from which on it is logged, in milliseconds. The cause is the instance's own
-/// work or a lack of CPU time.
+/// Minimum delay of a check for it to be logged, in milliseconds. Such a delay is caused by the
+/// instance's own work or a lack of CPU time.
 const LATE_CHECK_MS: Millis = 32;
 
 fn log_late_check(late_ms: Millis) {
@@ -159,8 +159,9 @@
     );
 }
 
-/// Handles a failed connection to a runner. Without any response the runner is probed; any other
-/// error shows that nothing listens there, and the runner is reported dead.
+/// Handles a failed connection to a runner. If there was no response at all, the runner is examined
+/// with witnesses; any other error shows that nothing listens there, and the runner is reported
+/// dead.
 pub(crate) fn connection_failed(node: &Rc<Node>, runner: &RunnerEntry, error: &DirectError) {
     if error.is_unanswered() {
         examine(node, Suspect::of(node, runner), 0);
@@ -169,8 +170,9 @@
     }
 }
 
-/// Handles a broken connection to a runner. A single probe shows at once whether it has ended; if
-/// there is no report, the runner is examined like any other silent one.
+/// Handles a broken connection to a runner, if a probe of it is due. A single probe shows at once
+/// whether the runner has ended; if the probe gives no result, the runner is examined like any
+/// other silent one.
 pub(crate) fn connection_lost(node: &Rc<Node>, id: &Name, born_ms: u64) {
     let Some(suspect) = suspect_if_due(node, id, born_ms) else {
         return;
@@ -187,8 +189,8 @@
     });
 }
 
-/// Starts an examination of a runner with witnesses, unless one is in progress. It was silent
-/// `silent_rounds` times already.
+/// Starts an examination of a runner with witnesses, unless one is in progress. `silent_rounds` is
+/// the number of rounds of probes in which the runner was already silent.
 fn examine(node: &Rc<Node>, suspect: Suspect, silent_rounds: u32) {
     let lifetime = (suspect.id.clone(), suspect.born_ms);
     if !node.probed_suspects.borrow_mut().insert(lifetime.clone()) {
@@ -208,8 +210,9 @@
         .refute(id, born_ms, node.now());
 }
 
-/// Processes a runner's report: its lifetime, its pace, and the runners that its requests are
-/// stalled on.
+/// Processes a runner's report. A report from another lifetime shows that this one is dead.
+/// Otherwise records the runner's pace and marks the runners that its requests are stalled on as
+/// dead.
 pub(crate) fn process_report(node: &Node, id: &Name, born_ms: u64, report: &Report) {
     if !report.is_from_lifetime(born_ms) {
         return report_dead(node, id, born_ms, "runner has restarted");
@@ -304,7 +307,7 @@
 }
 
 /// Merges failure reports of other instances. A single reporter is not enough: it may be unable to
-/// reach anyone, and the cause of the silence there may make the runner silent here as well.
+/// reach any runner, and what makes the runner silent there may make it silent here as well.
 pub(crate) fn receive_failure_reports(node: &Rc<Node>, reports: &[FailureReport]) {
     let mut is_new = false;
     for report in reports {
@@ -373,7 +376,8 @@
     }
 }
 
-/// Returns a runner as a suspect if this lifetime is not marked as dead and a probe is due.
+/// Returns a runner as a suspect if this lifetime is not marked as dead and a probe is due. The
+/// probe is then recorded, so the caller has to send it.
 fn suspect_if_due(node: &Node, id: &Name, born_ms: u64) -> Option<Suspect> {
     let mut runners = node.runners.borrow_mut();
     let entry = runners.entry(id).filter(|e| e.born_ms == born_ms);
@@ -383,10 +387,11 @@
     suspect.filter(|_| due)
 }
 
-/// Handles the message that a runner answers an instance of `domain` again. Returns whether it was
-/// marked as recovered. An instance that accepted the failure reports of others also accepts the
-/// recovery from its own failure domain. One that found the runner dead itself may be the only one
-/// cut off, so it probes.
+/// Handles the message of an instance in failure domain `domain` that a runner answers it again.
+/// Returns whether the runner was marked as recovered. If this instance marked the runner as dead
+/// on the reports of others, it also accepts a recovery reported from its own failure domain. In
+/// all other cases it probes the dead runner soon: if it found the runner dead itself, it may be
+/// the only instance cut off from it.
 pub(crate) fn receive_recovery(node: &Node, id: &Name, born_ms: u64, domain: &str) -> bool {
     let near = *domain == *node.settings.failure_domain;
     let now = node.now();
@@ -434,7 +439,7 @@
 }
 
 /// Probes dead and slow runners periodically. Dead ones that answer in the same lifetime, for
-/// example after a partition, are marked as recovered; slow ones get their current pace.
+/// example after a partition, are marked as recovered; for slow ones the current pace is recorded.
 async fn recovery_loop(node: &Rc<Node>) {
     loop {
         sleep(RECOVERY_INTERVAL).await;
