--- a/policy/src/upstreams/exchange.rs
+++ b/policy/src/upstreams/exchange.rs
@@ -8,8 +8,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Upstreams {
-    /// Returns the first message of an exchange with a peer in failure domain `domain` (if known),
-    /// using the given salt.
+    /// Returns the first message of an exchange.
+    ///
+    /// `salt` is the salt of the keys in all messages of the exchange. `domain` is the peer's
+    /// failure domain, if known; loads are included only if it is in the region of this instance.
     #[must_use]
     pub fn digest(&self, now: Now, salt: u32, domain: Option<&str>) -> UpstreamDigest {
         let near = domain.is_some_and(|d| region_of(d) == region_of(&self.domain));
@@ -89,7 +91,8 @@
         all.filter(move |(name, _)| buckets.contains(&(bucket(name) as u32)))
     }
 
-    /// Processes a response or a push; returns the message to send back, if any.
+    /// Processes the response to a digest, a push, or the response to a push; returns the message
+    /// to send back, if any.
     pub fn receive_delta(&mut self, now: Now, delta: &UpstreamDelta) -> Option<UpstreamDelta> {
         self.detect_suspension(now);
         self.apply_loads(now, delta.salt, &delta.loads);
@@ -109,9 +112,11 @@
         is_needed.then_some(next)
     }
 
-    /// Adds records whose hashes differ from those of the other side, and requests its versions.
+    /// Compares the records in the differing buckets with the peer's hashes. Adds to `next` the
+    /// records that the peer lacks or has with another hash, and requests those that this instance
+    /// lacks or has with another hash.
     ///
-    /// Neither side can tell from a hash which record is newer, so both are exchanged and merged.
+    /// A hash does not show which of two versions is newer, so both are sent and merged.
     fn compare(&self, delta: &UpstreamDelta, next: &mut UpstreamDelta) {
         let mut theirs: BTreeMap<u32, u32> = delta.hashes.iter().map(|h| (h.key, h.hash)).collect();
         let max = self.cfg.max_records;
@@ -145,7 +150,11 @@
         }
     }
 
-    /// Marks all upstreams as current after a complete exchange with a peer.
+    /// Clears the stale mark of all upstreams.
+    ///
+    /// Called when a message lists no differing bucket: it is then the last one that this instance
+    /// receives in the exchange, because the digests agree or because it is a push or the response
+    /// to a push.
     fn clear_stale(&mut self) {
         for (name, u) in &mut self.upstreams {
             if std::mem::take(&mut u.stale) {
