--- a/plugins/relay/src/settings.rs
+++ b/plugins/relay/src/settings.rs
@@ -19,7 +19,7 @@
     pub failure_domain: Name,
     /// Addresses to listen on.
     pub listen: Listen,
-    /// Addresses on which other instances listen for peers; may be stale.
+    /// Addresses of the peer listeners of some other instances, used as seeds; may be out of date.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// Address of the platform's metadata store.
@@ -42,7 +42,7 @@
     pub callers: SocketAddr,
     /// Readiness probes of the platform.
     pub ready: SocketAddr,
-    /// Callers' requests for the addresses to use.
+    /// Requests of callers for the addresses of the instances to use.
     pub entry: SocketAddr,
     /// Other instances.
     pub peers: SocketAddr,
@@ -69,17 +69,17 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// Time after which a revoked key is refused, in milliseconds.
+    /// Maximum time from the revocation of a key until it is refused, in milliseconds.
     pub revocation_ms: Millis,
     /// Maximum duration of a shutdown, in seconds.
     pub shutdown_s: f64,
     /// Time to live of an entry answer at callers, in milliseconds.
     pub entry_ttl_ms: Millis,
-    /// Retries per request that the shared retry budget grants.
+    /// Number of retries that the shared retry budget allows for each request in its window.
     pub repeat_ratio: f64,
-    /// Additional retries per window, over all instances.
+    /// Number of additional retries in a window, for all instances together.
     pub repeat_slack: f64,
-    /// Length of the window, in seconds.
+    /// Length of the retry budget's window, in seconds.
     pub repeat_window_s: f64,
 }
 
