--- a/plugins/relay/src/chain_attempts.rs
+++ b/plugins/relay/src/chain_attempts.rs
@@ -41,7 +41,7 @@
 pub(crate) struct ChainAttempts {
     pub(crate) send_record: SendRecord,
     attempts: Attempts,
-    /// Chains that refused the request or broke during it.
+    /// Chains that did not run the request, could not be reached, or broke while it was in flight.
     pub(crate) excluded: Vec<Rc<LiveChain>>,
 }
 
@@ -54,8 +54,8 @@
             .any(|l| std::ptr::eq(&raw const **l, live));
         let runners = node.runners.borrow();
         let ended = |id: &Name, born_ms: u64| {
-            // A runner that does not answer this instance may be alive. Only the end of its store
-            // entry is certain.
+            // A runner that does not answer this instance may still be alive. Its lifetime counts
+            // as ended only when its store entry is gone or shows another start.
             runners.entry(id).is_none_or(|e| e.born_ms != born_ms)
         };
         let (id, born_ms) = live.head();
@@ -156,7 +156,7 @@
     }
 }
 
-/// Records the interruption of a run of which nothing had arrived.
+/// Records the interruption of a run before any part of its answer arrived.
 fn record_interruption(node: &Rc<Node>, rq: &ProxiedRequest, in_flight: &InFlight, cause: &str) {
     let interrupted_run = InterruptedRun {
         rq,
@@ -184,7 +184,8 @@
     );
 }
 
-/// Excludes a runner that does not hold the layers in its store entry until the entry changes.
+/// Marks the layers in a runner's store entry as wrong, after an answer named the runner as not
+/// holding them. It is excluded from chains until its entry shows other layers.
 fn mark_misreported(node: &Node, address: std::net::SocketAddr) {
     let found = {
         let runners = node.runners.borrow();
