--- a/plugins/relay/src/placer.rs
+++ b/plugins/relay/src/placer.rs
@@ -1,8 +1,9 @@
 //! The placement lease, and placement orders to runners.
 //!
 //! An order contains the wanted layer range and the number of orders that the runner must have
-//! accepted before. A late order meets another number and is refused. An order without an answer
-//! therefore does no harm: the runner's entry shows its result, and the next plan starts there.
+//! accepted before it. If the runner has accepted another order in the meantime, the numbers differ
+//! and it refuses the late one. An order without an answer therefore does no harm: the runner's
+//! entry shows whether it took effect, and the next plan starts from that entry.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -26,15 +27,15 @@
 const LEASE_KIND: &str = "jacinthweir-leases";
 const LEASE_NAME: &str = "orders";
 
-/// Interval between placement rounds. A gap in a chain costs the streams of a failure domain each
-/// second that it lasts.
+/// Interval between placement rounds. It is short because every second of a gap in a chain costs the
+/// streams of a failure domain.
 const ROUND: Duration = Duration::from_millis(100);
 
 /// Timeout of an order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time after an answered order within which the runner's entry has to show the new range, in
-/// addition to the load time, in milliseconds. Entries are written at least at every heartbeat.
+/// Time that a runner's entry may lag behind its state, in milliseconds; added to the load time
+/// after an accepted order. Entries are written at least at every heartbeat.
 const ENTRY_LAG_MS: Millis = 2_500;
 
 /// Time for which a runner gets no further order after one without an answer, in milliseconds.
@@ -90,7 +91,8 @@
 }
 
 impl RegistrationDebounce {
-    /// Whether no runner registered recently, a runner holds layers, or the maximum delay is over.
+    /// Returns whether placement may start: a runner already holds layers, the number of runners
+    /// has been stable for the debounce interval, or the maximum delay has passed.
     fn is_over(&mut self, node: &Node) -> bool {
         let now = node.now();
         let known = node.runners.borrow().entries().count();
@@ -190,7 +192,8 @@
 }
 
 /// Records whether the store answered. An instance that does not reach the store leaves the lease
-/// to others, and its watches may be silent for long before they show the failure.
+/// to others. This is recorded here because watches may be silent for long before they show the
+/// failure.
 fn note_reachability(node: &Node, failure: Option<&StoreError>) {
     let unreachable = matches!(
         failure,
@@ -290,9 +293,9 @@
         .insert(m.runner.clone(), pending);
 }
 
-/// Returns how many orders a runner has accepted so far, as counted since its last report or as
-/// reported now. `None` if the runner does not answer, or its state differs from the one that the
-/// plan is based on.
+/// Returns how many orders a runner has accepted so far: the count kept since its last report, or
+/// that of a new report if none is kept. Returns `None` if the runner does not answer, or if its
+/// state differs from the entry that the plan is based on.
 async fn accepted_orders(node: &Node, m: &Move) -> Option<u64> {
     if let Some(orders) = node.runners.borrow().health(&m.runner).orders {
         return Some(orders);
@@ -317,7 +320,8 @@
     Some(report.orders)
 }
 
-/// Returns the maximum duration of a load in milliseconds, which concurrent loads slow down.
+/// Returns an upper bound on the duration of a load, in milliseconds: three times its time alone,
+/// because concurrent loads slow each other down.
 fn load_ms(engine: &Engine, m: &Move) -> Millis {
     let share = f64::from(m.layers.1 - m.layers.0) / f64::from(engine.layers.max(1));
     (engine.load_ms * share * 3.0) as Millis
