--- a/plugins/operators/src/lib.rs
+++ b/plugins/operators/src/lib.rs
@@ -68,8 +68,8 @@
     }
 }
 
-/// Handles `GET /operator/requests/{id}`: the record of a request, from the instance that served
-/// it.
+/// Handles `GET /operator/requests/{id}`: the record of a request. If another instance served the
+/// request, the record is fetched from that instance.
 struct RequestHandler(Arc<Kernel>);
 
 #[handler]
