--- a/plugins/relay/src/lib.rs
+++ b/plugins/relay/src/lib.rs
@@ -8,7 +8,7 @@
 //! | module | responsibility |
 //! |---|---|
 //! | [`settings`] | the settings file |
-//! | [`node`] | shared state of the process |
+//! | `node` | shared state of the process |
 //! | `live_chains` | chains in use and the requests in flight on each |
 //! | `watch` | watches the store for the configuration and the runners |
 //! | `peers` | anti-entropy exchanges with other instances |
@@ -16,16 +16,16 @@
 //! | `placer` | placement lease, and placement orders to runners |
 //! | `failure_detector` | probes the runners of a silent chain |
 //! | `server` | listeners |
-//! | `request` | parsing and authorisation of requests |
-//! | `attempt` | one attempt at a runner |
-//! | `interrupted_run`, `quarantine` | interrupted runs; requests that crash their runners |
+//! | `request` | authorisation, routing and dispatch of requests |
+//! | `attempt` | one send of a request to a runner, and validation of the answer's head |
+//! | `interrupted_run`, `quarantine` | record of interrupted runs; quarantine of requests that crash their runners |
 //! | `call` | requests with a single response |
 //! | `admission`, `chain_attempts`, `stream`, `events` | event streams: admission, attempts, response, events |
 //! | `rate_limits` | rate limits that runners announce |
 //! | `answer` | final responses, and what they may contain |
 //! | `shutdown` | drain and shutdown |
 //! | `dump` | state dump for operators |
-//! | `question` | single probes of runners |
+//! | `runner_probe` | probes of a single runner, and confirmation of its silence |
 //!
 //! The runtime has one thread, so shared state needs no locks. A [`std::cell::RefCell`] is borrowed
 //! for one decision and never across an await point.
@@ -71,7 +71,7 @@
     /// Logs, metrics or signal handlers cannot be set up.
     #[display("{_0}")]
     SetUp(#[error(not(source))] KernelError),
-    /// A listener cannot be bound.
+    /// A listener other than the operators' cannot be bound.
     #[display("cannot listen for {face} at {address}: {cause}")]
     Bind {
         /// Kind of clients that the listener serves.
@@ -93,7 +93,7 @@
     /// Opens the listeners and starts all tasks. Must be called within a [`tokio::task::LocalSet`].
     ///
     /// # Errors
-    /// The metrics cannot be set up, or a listener cannot be bound.
+    /// The metrics cannot be set up, or a listener other than the operators' cannot be bound.
     pub async fn spawn(settings: RelaySettings) -> Result<Relay, RelayError> {
         let node = Node::open(settings)?;
         let servers = server::bind(&node).await?;
@@ -106,7 +106,9 @@
         Ok(Relay { node, servers })
     }
 
-    /// Removes this instance from entry answers, completes the requests in progress and stops.
+    /// Removes this instance from entry answers, waits until the requests in progress have ended,
+    /// and stops. Shortly before the shutdown bound it stops waiting and returns
+    /// [`DrainOutcome::Cut`]; the remaining requests end with the process.
     pub async fn shut_down(self) -> DrainOutcome {
         let outcome = shutdown::run(&self.node, &self.servers).await;
         self.node.stop.cancel();
@@ -120,11 +122,12 @@
     }
 }
 
-/// Runs a relay as the whole process until a signal ends it. `path` is the settings file, which is
-/// checked again on reload.
+/// Runs a relay as the whole process until a termination signal, then shuts it down. On a hang-up
+/// signal, the settings file at `path` is validated for the next start, but not applied.
 ///
 /// # Errors
-/// Logs, metrics or signal handlers cannot be set up, or a listener cannot be bound.
+/// Logs, metrics or signal handlers cannot be set up, or a listener other than the operators'
+/// cannot be bound.
 pub async fn run(
     settings: RelaySettings,
     path: std::path::PathBuf,
